--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -83,7 +83,7 @@
 		s.noteSilent(address, err)
 		return
 	}
-	if s.options.Near(address) {
+	if s.options.SameZone(address) {
 		s.neighbourAt = time.Now()
 	}
 	if _, wasSilent := s.silent[address]; wasSilent {
@@ -101,7 +101,7 @@
 // this node is a bridge or hears of no neighbour, with all. Each change would cross the borders of zones
 // about as often as there are nodes otherwise.
 func (s *Syncer) mayExchange(address string) bool {
-	if s.options.Near(address) || s.options.Bridges() {
+	if s.options.SameZone(address) || s.options.Bridges() {
 		return true
 	}
 	s.mu.Lock()
--- a/antientropy/partners.go
+++ b/antientropy/partners.go
@@ -57,7 +57,7 @@
 func (s *Syncer) inZone(addresses []string) []string {
 	var near []string
 	for _, address := range addresses {
-		if s.options.Near(address) {
+		if s.options.SameZone(address) {
 			near = append(near, address)
 		}
 	}
--- a/antientropy/partners_test.go
+++ b/antientropy/partners_test.go
@@ -156,7 +156,7 @@
 	for i, address := range fleet.addresses {
 		node := newDrawing(fleet.addresses, fleet.addresses[:zonedWatchers])
 		node.salt, node.permute = fmt.Sprint(seed, address), random.Shuffle
-		node.options.Near = func(other string) bool { return fleet.zoneOf[other] == fleet.zoneOf[address] }
+		node.options.SameZone = func(other string) bool { return fleet.zoneOf[other] == fleet.zoneOf[address] }
 		if i < zonedWatchers {
 			node.options.Relays = func() []string {
 				return []string{fleet.addresses[(i+1)%zonedWatchers], fleet.addresses[(i+2)%zonedWatchers]}
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -45,9 +45,9 @@
 	// Sources returns the addresses of other nodes that this one looks at besides: those that
 	// hear first from the store. Default: none.
 	Sources func() []string
-	// Near reports whether a node is in the zone of this one. News go to such nodes. Default: all
+	// SameZone reports whether a node is in the zone of this one. News go to such nodes. Default: all
 	// are.
-	Near func(address string) bool
+	SameZone func(address string) bool
 	// Relays returns the nodes of other zones to which this one brings news besides. Default: none.
 	Relays func() []string
 	// Bridges reports whether this node exchanges objects with nodes of other zones. Default: it does.
@@ -157,8 +157,8 @@
 	if options.BecameWhole == nil {
 		options.BecameWhole = func() {}
 	}
-	if options.Near == nil {
-		options.Near = func(string) bool { return true }
+	if options.SameZone == nil {
+		options.SameZone = func(string) bool { return true }
 	}
 	if options.Bridges == nil {
 		options.Bridges = func() bool { return true }
