--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -101,7 +101,7 @@
 // this node is a bridge or hears of no neighbour, with all. Each change would cross the borders of zones
 // about as often as there are nodes otherwise.
 func (s *Syncer) mayExchange(address string) bool {
-	if s.options.SameZone(address) || s.options.Bridges() {
+	if s.options.SameZone(address) || s.options.IsZoneRelay() {
 		return true
 	}
 	s.mu.Lock()
--- a/antientropy/news.go
+++ b/antientropy/news.go
@@ -95,7 +95,7 @@
 // relays of other zones are among them where this node is a bridge.
 func (s *Syncer) newsOrBridged() []string {
 	near, relays := s.newsTargets(s.options.Fanout)
-	if !s.options.Bridges() {
+	if !s.options.IsZoneRelay() {
 		return near
 	}
 	return append(near, relays...)
--- a/antientropy/partners.go
+++ b/antientropy/partners.go
@@ -36,7 +36,7 @@
 		}
 	}
 	candidates, silent := s.available(s.options.Peers(), now)
-	if !s.options.Bridges() {
+	if !s.options.IsZoneRelay() {
 		candidates = s.inZone(candidates)
 	}
 	return s.drawFrom(append(s.partners(candidates, now), silent...), 1)
--- a/antientropy/partners_test.go
+++ b/antientropy/partners_test.go
@@ -221,7 +221,7 @@
 		fleet := newZonedFleet(300, 3, 1)
 		near, far := fleet.addresses[3], fleet.addresses[1]
 		node := fleet.nodes[fleet.addresses[0]]
-		node.options.Bridges = func() bool { return false }
+		node.options.IsZoneRelay = func() bool { return false }
 		g.Expect(node.mayExchange(far)).To(BeTrue(), "it has heard of no neighbour yet")
 		node.noteContact(near, nil)
 		g.Expect(node.mayExchange(far)).To(BeFalse())
@@ -235,7 +235,7 @@
 		time.Sleep(neighbourPatience + time.Second)
 		g.Expect(node.mayExchange(far)).To(BeTrue(), "its neighbours have fallen silent")
 		node.noteContact(near, nil)
-		node.options.Bridges = func() bool { return true }
+		node.options.IsZoneRelay = func() bool { return true }
 		g.Expect(node.mayExchange(far)).To(BeTrue())
 	})
 }
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -50,8 +50,8 @@
 	SameZone func(address string) bool
 	// Relays returns the nodes of other zones to which this one brings news besides. Default: none.
 	Relays func() []string
-	// Bridges reports whether this node exchanges objects with nodes of other zones. Default: it does.
-	Bridges func() bool
+	// IsZoneRelay reports whether this node exchanges objects with nodes of other zones. Default: it does.
+	IsZoneRelay func() bool
 	// Whole reports whether the copy of this node is whole: it has listed all kinds. Default:
 	// it never is.
 	Whole func() bool
@@ -160,8 +160,8 @@
 	if options.SameZone == nil {
 		options.SameZone = func(string) bool { return true }
 	}
-	if options.Bridges == nil {
-		options.Bridges = func() bool { return true }
+	if options.IsZoneRelay == nil {
+		options.IsZoneRelay = func() bool { return true }
 	}
 	if options.Relays == nil {
 		options.Relays = func() []string { return nil }
