--- a/antientropy/partners.go
+++ b/antientropy/partners.go
@@ -49,7 +49,7 @@
 	now := time.Now()
 	answering, silent := s.available(s.options.Peers(), now)
 	candidates := append(s.partners(s.inZone(answering), now), silent...)
-	relays, _ = s.available(s.options.Relays(), now)
+	relays, _ = s.available(s.options.RemoteRelays(), now)
 	return s.drawFrom(s.notBringing(candidates), count), s.notBringing(relays)
 }
 
--- a/antientropy/partners_test.go
+++ b/antientropy/partners_test.go
@@ -158,7 +158,7 @@
 		node.salt, node.permute = fmt.Sprint(seed, address), random.Shuffle
 		node.options.SameZone = func(other string) bool { return fleet.zoneOf[other] == fleet.zoneOf[address] }
 		if i < zonedWatchers {
-			node.options.Relays = func() []string {
+			node.options.RemoteRelays = func() []string {
 				return []string{fleet.addresses[(i+1)%zonedWatchers], fleet.addresses[(i+2)%zonedWatchers]}
 			}
 		}
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -48,8 +48,8 @@
 	// SameZone reports whether a node is in the zone of this one. News go to such nodes. Default: all
 	// are.
 	SameZone func(address string) bool
-	// Relays returns the nodes of other zones to which this one brings news besides. Default: none.
-	Relays func() []string
+	// RemoteRelays returns the nodes of other zones to which this one brings news besides. Default: none.
+	RemoteRelays func() []string
 	// IsZoneRelay reports whether this node exchanges objects with nodes of other zones. Default: it does.
 	IsZoneRelay func() bool
 	// Whole reports whether the copy of this node is whole: it has listed all kinds. Default:
@@ -163,8 +163,8 @@
 	if options.IsZoneRelay == nil {
 		options.IsZoneRelay = func() bool { return true }
 	}
-	if options.Relays == nil {
-		options.Relays = func() []string { return nil }
+	if options.RemoteRelays == nil {
+		options.RemoteRelays = func() []string { return nil }
 	}
 	if options.Sources == nil {
 		options.Sources = func() []string { return nil }
