--- a/antientropy/partners.go
+++ b/antientropy/partners.go
@@ -28,7 +28,7 @@
 func (s *Syncer) draw() []string {
 	now := time.Now()
 	if s.isSourceRound() {
-		candidates, silent := s.available(s.options.Sources(), now)
+		candidates, silent := s.available(s.options.Monitored(), now)
 		if len(candidates) > 0 {
 			// Every second round is one of these.
 			rounds := int(sourcePeriod / (2 * s.options.Interval))
--- a/antientropy/partners_test.go
+++ b/antientropy/partners_test.go
@@ -21,7 +21,7 @@
 	return New(Options{
 		Replica: replica.New(urgentKind, func(replica.Change) {}), Logger: slog.New(slog.DiscardHandler),
 		Client: peer.NewClient("test", nil, timeline.NewClock(time.Now)),
-		Peers:  func() []string { return peers }, Sources: func() []string { return sources },
+		Peers:  func() []string { return peers }, Monitored: func() []string { return sources },
 	})
 }
 
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -42,9 +42,9 @@
 	Replica *replica.Replica
 	// Peers returns the addresses of the other nodes.
 	Peers func() []string
-	// Sources returns the addresses of other nodes that this one looks at besides: those that
+	// Monitored returns the addresses of other nodes that this one looks at besides: those that
 	// hear first from the store. Default: none.
-	Sources func() []string
+	Monitored func() []string
 	// SameZone reports whether a node is in the zone of this one. News go to such nodes. Default: all
 	// are.
 	SameZone func(address string) bool
@@ -166,8 +166,8 @@
 	if options.RemoteRelays == nil {
 		options.RemoteRelays = func() []string { return nil }
 	}
-	if options.Sources == nil {
-		options.Sources = func() []string { return nil }
+	if options.Monitored == nil {
+		options.Monitored = func() []string { return nil }
 	}
 	if options.Refetch == nil {
 		options.Refetch = func(context.Context, replica.Key) {}
--- a/router/router.go
+++ b/router/router.go
@@ -191,7 +191,7 @@
 	r.client = peer.NewClient(options.Settings.Name, options.Dial, stamps)
 	r.client.Observe(r.countCall)
 	r.syncer = antientropy.New(antientropy.Options{
-		Replica: r.copy, Peers: r.peers, Sources: r.sources, SameZone: r.isNear, RemoteRelays: r.relays, IsZoneRelay: r.isBridge, Client: r.client, Logger: options.Logger,
+		Replica: r.copy, Peers: r.peers, Monitored: r.sources, SameZone: r.isNear, RemoteRelays: r.relays, IsZoneRelay: r.isBridge, Client: r.client, Logger: options.Logger,
 		Follows: r.following.Load, Whole: r.backends.Synced, BecameWhole: r.backendsWhole,
 		Address: options.Settings.PeerAddress, LinkBytes: options.Settings.LinkBytes, Refetch: r.refetch,
 	})
