--- a/antientropy/agreement.go
+++ b/antientropy/agreement.go
@@ -47,7 +47,7 @@
 
 // ageToTell is the age of the urgent objects as other nodes are told it, in milliseconds.
 func (s *Syncer) ageToTell() uint32 {
-	if s.options.Follows() {
+	if s.options.WatchesStore() {
 		return 0
 	}
 	return uint32(min(s.Agreement().Age.Milliseconds(), math.MaxUint32))
--- a/antientropy/agreement_test.go
+++ b/antientropy/agreement_test.go
@@ -22,7 +22,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			teller, listener := newTestNode(t), newTestNode(t)
-			teller.syncer.options.Follows = func() bool { return test.follows }
+			teller.syncer.options.WatchesStore = func() bool { return test.follows }
 			teller.syncer.agreedAt = time.Now().Add(-heard)
 			listener.syncer.agreedAt = time.Now().Add(-time.Hour)
 			listener.syncer.syncWith(context.Background(), teller.address)
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -55,8 +55,8 @@
 	// Whole reports whether the copy of this node is whole: it has listed all kinds. Default:
 	// it never is.
 	Whole func() bool
-	// Follows reports whether this node follows the store. Default: it does.
-	Follows func() bool
+	// WatchesStore reports whether this node follows the store. Default: it does.
+	WatchesStore func() bool
 	// BecameWhole is called once the copy has all that a whole one has, though this node
 	// may have listed nothing. It may be called again. Default: nothing.
 	BecameWhole func()
@@ -151,8 +151,8 @@
 	if options.Whole == nil {
 		options.Whole = func() bool { return false }
 	}
-	if options.Follows == nil {
-		options.Follows = func() bool { return true }
+	if options.WatchesStore == nil {
+		options.WatchesStore = func() bool { return true }
 	}
 	if options.BecameWhole == nil {
 		options.BecameWhole = func() {}
