--- a/antientropy/handler.go
+++ b/antientropy/handler.go
@@ -28,7 +28,7 @@
 
 func (s *Syncer) handleCompare(request *peerpb.CompareReplicas) *peerpb.Response {
 	// Asked before the digest is taken: what is whole then stays so.
-	whole := s.options.Whole()
+	whole := s.options.Complete()
 	compared := &peerpb.ReplicaVersions{Same: request.GetDigest() == s.options.Replica.Digest(), Whole: whole, ComparesParts: true, UrgentAgeMs: s.ageToTell()}
 	if !compared.GetSame() {
 		compared.Buckets = s.options.Replica.Buckets()
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -52,9 +52,9 @@
 	RemoteRelays func() []string
 	// IsZoneRelay reports whether this node exchanges objects with nodes of other zones. Default: it does.
 	IsZoneRelay func() bool
-	// Whole reports whether the copy of this node is whole: it has listed all kinds. Default:
+	// Complete reports whether the copy of this node is whole: it has listed all kinds. Default:
 	// it never is.
-	Whole func() bool
+	Complete func() bool
 	// WatchesStore reports whether this node follows the store. Default: it does.
 	WatchesStore func() bool
 	// BecameWhole is called once the copy has all that a whole one has, though this node
@@ -148,8 +148,8 @@
 	if options.Avoidance == 0 {
 		options.Avoidance = defaultAvoidance
 	}
-	if options.Whole == nil {
-		options.Whole = func() bool { return false }
+	if options.Complete == nil {
+		options.Complete = func() bool { return false }
 	}
 	if options.WatchesStore == nil {
 		options.WatchesStore = func() bool { return true }
@@ -303,7 +303,7 @@
 	versions := response.GetReplicaVersions()
 	s.noteBuild(address, versions.GetComparesParts())
 	// A copy that is whole stays so: there is nothing to note any more.
-	compared := comparison{covers: versions.GetWhole() && !s.options.Whole(), byPart: versions.GetComparesParts(), agreedAt: agreedAt(began, versions)}
+	compared := comparison{covers: versions.GetWhole() && !s.options.Complete(), byPart: versions.GetComparesParts(), agreedAt: agreedAt(began, versions)}
 	if !versions.GetSame() {
 		compared.differing = shuffled(s.options.Replica.Differing(versions.GetBuckets()))
 	}
