--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -57,9 +57,9 @@
 	Complete func() bool
 	// WatchesStore reports whether this node follows the store. Default: it does.
 	WatchesStore func() bool
-	// BecameWhole is called once the copy has all that a whole one has, though this node
+	// OnComplete is called once the copy has all that a whole one has, though this node
 	// may have listed nothing. It may be called again. Default: nothing.
-	BecameWhole func()
+	OnComplete func()
 	// Address is where other nodes find this one. Without it, nobody fetches chunks here that
 	// this node has announced or sent.
 	Address string
@@ -154,8 +154,8 @@
 	if options.WatchesStore == nil {
 		options.WatchesStore = func() bool { return true }
 	}
-	if options.BecameWhole == nil {
-		options.BecameWhole = func() {}
+	if options.OnComplete == nil {
+		options.OnComplete = func() {}
 	}
 	if options.SameZone == nil {
 		options.SameZone = func(string) bool { return true }
@@ -344,7 +344,7 @@
 	whole := !slices.Contains(s.covered[:], false)
 	s.mu.Unlock()
 	if whole {
-		s.options.BecameWhole()
+		s.options.OnComplete()
 	}
 }
 
--- a/antientropy/syncer_test.go
+++ b/antientropy/syncer_test.go
@@ -72,7 +72,7 @@
 	n.syncer = New(Options{
 		Replica: n.copied, Peers: func() []string { return nil }, Client: client,
 		Logger: slog.New(slog.DiscardHandler), CallTimeout: 10 * time.Second,
-		Complete: n.whole.Load, BecameWhole: func() { n.whole.Store(true) },
+		Complete: n.whole.Load, OnComplete: func() { n.whole.Store(true) },
 	})
 	server := peer.NewServer(n.handle, clock)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/router/router.go
+++ b/router/router.go
@@ -192,7 +192,7 @@
 	r.client.Observe(r.countCall)
 	r.syncer = antientropy.New(antientropy.Options{
 		Replica: r.copy, Peers: r.peers, Monitored: r.sources, SameZone: r.isNear, RemoteRelays: r.relays, IsZoneRelay: r.isBridge, Client: r.client, Logger: options.Logger,
-		WatchesStore: r.following.Load, Complete: r.backends.Synced, BecameWhole: r.backendsWhole,
+		WatchesStore: r.following.Load, Complete: r.backends.Synced, OnComplete: r.backendsWhole,
 		Address: options.Settings.PeerAddress, LinkBytes: options.Settings.LinkBytes, Refetch: r.refetch,
 	})
 	r.coordinator = coordinator.New(coordinator.Options{Engines: r.engines, Shortlist: r.shortlist, ZoneOf: r.zoneOf, Nodes: r.responsiveCount, Now: r.now})
