--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -70,7 +70,7 @@
 		s.contactChanges.Add(1)
 		s.options.Logger.Warn("node lost", "address", address, "error", err.Error())
 	}
-	current.until = now.Add(s.options.Avoidance)
+	current.until = now.Add(s.options.UnresponsiveBackoff)
 	s.silent[address] = current
 	s.options.Client.Reset(address)
 }
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -81,8 +81,8 @@
 	ExchangeTimeout time.Duration
 	// Fanout is to how many nodes news are brought at once. Default 2.
 	Fanout int
-	// Avoidance is how long a node that did not answer is left alone. Default 2s.
-	Avoidance time.Duration
+	// UnresponsiveBackoff is how long a node that did not answer is left alone. Default 2s.
+	UnresponsiveBackoff time.Duration
 }
 
 // Syncer compares the copy of this node with those of others.
@@ -145,8 +145,8 @@
 	if options.Fanout == 0 {
 		options.Fanout = defaultFanout
 	}
-	if options.Avoidance == 0 {
-		options.Avoidance = defaultAvoidance
+	if options.UnresponsiveBackoff == 0 {
+		options.UnresponsiveBackoff = defaultAvoidance
 	}
 	if options.Complete == nil {
 		options.Complete = func() bool { return false }
