--- a/antientropy/agreement.go
+++ b/antientropy/agreement.go
@@ -7,8 +7,8 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// Agreement tells how far this node's copy is known to be like those of others.
-type Agreement struct {
+// SyncStatus tells how far this node's copy is known to be like those of others.
+type SyncStatus struct {
 	// Age is how long ago the urgent objects of the copy were those of a node that follows the store, as far as
 	// other nodes tell. It counts from the start of the node where none has told.
 	Age time.Duration
@@ -25,10 +25,10 @@
 }
 
 // Agreement returns how far the copy is known to be like others.
-func (s *Syncer) Agreement() Agreement {
+func (s *Syncer) Agreement() SyncStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	agreement := Agreement{Age: time.Since(s.agreedAt), Exchanges: len(s.exchanging)}
+	agreement := SyncStatus{Age: time.Since(s.agreedAt), Exchanges: len(s.exchanging)}
 	for _, exchange := range s.exchanging {
 		agreement.OldestExchange = max(agreement.OldestExchange, time.Since(exchange.began))
 	}
