--- a/antientropy/agreement.go
+++ b/antientropy/agreement.go
@@ -9,9 +9,9 @@
 
 // SyncStatus tells how far this node's copy is known to be like those of others.
 type SyncStatus struct {
-	// Age is how long ago the urgent objects of the copy were those of a node that follows the store, as far as
+	// UrgentAge is how long ago the urgent objects of the copy were those of a node that follows the store, as far as
 	// other nodes tell. It counts from the start of the node where none has told.
-	Age time.Duration
+	UrgentAge time.Duration
 	// Exchanges is how many exchanges of objects are under way, and OldestExchange how long the first of them is.
 	Exchanges      int
 	OldestExchange time.Duration
@@ -28,7 +28,7 @@
 func (s *Syncer) Agreement() SyncStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	agreement := SyncStatus{Age: time.Since(s.agreedAt), Exchanges: len(s.exchanging)}
+	agreement := SyncStatus{UrgentAge: time.Since(s.agreedAt), Exchanges: len(s.exchanging)}
 	for _, exchange := range s.exchanging {
 		agreement.OldestExchange = max(agreement.OldestExchange, time.Since(exchange.began))
 	}
@@ -50,7 +50,7 @@
 	if s.options.WatchesStore() {
 		return 0
 	}
-	return uint32(min(s.Agreement().Age.Milliseconds(), math.MaxUint32))
+	return uint32(min(s.Agreement().UrgentAge.Milliseconds(), math.MaxUint32))
 }
 
 // agreedAt returns when a node that follows the store had the urgent objects that another node has, by what that one
