--- a/antientropy/agreement.go
+++ b/antientropy/agreement.go
@@ -24,8 +24,8 @@
 	missed bool
 }
 
-// Agreement returns how far the copy is known to be like others.
-func (s *Syncer) Agreement() SyncStatus {
+// SyncStatus returns how far the copy is known to be like others.
+func (s *Syncer) SyncStatus() SyncStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	agreement := SyncStatus{UrgentAge: time.Since(s.agreedAt), Exchanges: len(s.exchanging)}
@@ -50,7 +50,7 @@
 	if s.options.WatchesStore() {
 		return 0
 	}
-	return uint32(min(s.Agreement().UrgentAge.Milliseconds(), math.MaxUint32))
+	return uint32(min(s.SyncStatus().UrgentAge.Milliseconds(), math.MaxUint32))
 }
 
 // agreedAt returns when a node that follows the store had the urgent objects that another node has, by what that one
--- a/antientropy/agreement_test.go
+++ b/antientropy/agreement_test.go
@@ -26,7 +26,7 @@
 			teller.syncer.agreedAt = time.Now().Add(-heard)
 			listener.syncer.agreedAt = time.Now().Add(-time.Hour)
 			listener.syncer.syncWith(context.Background(), teller.address)
-			g.Expect(listener.syncer.Agreement().UrgentAge).To(BeNumerically("~", test.age, time.Second))
+			g.Expect(listener.syncer.SyncStatus().UrgentAge).To(BeNumerically("~", test.age, time.Second))
 		})
 	}
 }
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -7,7 +7,7 @@
 
 // freshness returns how new the configuration of this node may be.
 func (r *Router) freshness() gateway.Freshness {
-	agreement := r.syncer.Agreement()
+	agreement := r.syncer.SyncStatus()
 	return gateway.Freshness{
 		RevisionInForce: r.revisionInForce.Load(), RevisionKnown: r.revisionKnown(),
 		AgreedAgo: agreement.UrgentAge, Exchanges: agreement.Exchanges, OldestExchange: agreement.OldestExchange,
@@ -27,8 +27,8 @@
 func (r *Router) publishFreshness() {
 	r.metrics.Gauge("configuration_revision_in_force", func() float64 { return float64(r.revisionInForce.Load()) })
 	r.metrics.Gauge("configuration_revision_known", func() float64 { return float64(r.revisionKnown()) })
-	r.metrics.Gauge("copy_agreed_age_seconds", func() float64 { return r.syncer.Agreement().UrgentAge.Seconds() })
-	r.metrics.Gauge("copy_exchanges_under_way", func() float64 { return float64(r.syncer.Agreement().Exchanges) })
+	r.metrics.Gauge("copy_agreed_age_seconds", func() float64 { return r.syncer.SyncStatus().UrgentAge.Seconds() })
+	r.metrics.Gauge("copy_exchanges_under_way", func() float64 { return float64(r.syncer.SyncStatus().Exchanges) })
 }
 
 // noteInForce notes the object whose configuration is in force now.
--- a/router/staleness.go
+++ b/router/staleness.go
@@ -50,7 +50,7 @@
 // isStale reports whether this node has to follow the store because no other node tells of a configuration that is
 // new enough.
 func (r *Router) isStale() bool {
-	age := r.syncer.Agreement().UrgentAge
+	age := r.syncer.SyncStatus().UrgentAge
 	follows, began := r.staleness.observe(time.Now(), age)
 	if began {
 		r.metrics.Add("followed_store_as_stale", 1)
