--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -24,8 +24,8 @@
 	return !silent
 }
 
-// ContactChanges counts how often a node has fallen silent or answered again so far.
-func (s *Syncer) ContactChanges() uint64 { return s.contactChanges.Load() }
+// ResponsivenessChanges counts how often a node has fallen silent or answered again so far.
+func (s *Syncer) ResponsivenessChanges() uint64 { return s.contactChanges.Load() }
 
 // SilentFor returns how long a node has not answered; zero if it does.
 func (s *Syncer) SilentFor(address string) time.Duration {
--- a/router/fleetview.go
+++ b/router/fleetview.go
@@ -147,7 +147,7 @@
 
 // fleet returns what this node knows of the fleet now.
 func (r *Router) fleet() *fleetView {
-	version := fleetViewVersion{nodes: r.nodes.changes(), contacts: r.syncer.ContactChanges(), settings: r.settings.Load()}
+	version := fleetViewVersion{nodes: r.nodes.changes(), contacts: r.syncer.ResponsivenessChanges(), settings: r.settings.Load()}
 	return r.view.get(version, func() *fleetView {
 		own, registered := r.ownNode()
 		if !registered {
