--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -27,8 +27,8 @@
 // ResponsivenessChanges counts how often a node has fallen silent or answered again so far.
 func (s *Syncer) ResponsivenessChanges() uint64 { return s.contactChanges.Load() }
 
-// SilentFor returns how long a node has not answered; zero if it does.
-func (s *Syncer) SilentFor(address string) time.Duration {
+// UnresponsiveFor returns how long a node has not answered; zero if it does.
+func (s *Syncer) UnresponsiveFor(address string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current, silent := s.silent[address]
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -135,7 +135,7 @@
 
 func (r *Router) removeIfLost(ctx context.Context, object objectapi.Object) {
 	node, known := r.nodes.named(object.Name)
-	if !known || r.syncer.SilentFor(node.Address) < lostAfter {
+	if !known || r.syncer.UnresponsiveFor(node.Address) < lostAfter {
 		return
 	}
 	err := r.options.Backplane.Store.Delete(ctx, kindNode, object.Name, object.Version)
