--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -38,9 +38,9 @@
 	return time.Since(current.since)
 }
 
-// Silent notes that a node did not answer a call. It counts as silent until a comparison with it
+// ReportFailure notes that a node did not answer a call. It counts as silent until a comparison with it
 // succeeds; where a connection to it could be opened, one is made first.
-func (s *Syncer) Silent(address string, err error) {
+func (s *Syncer) ReportFailure(address string, err error) {
 	if errors.Is(err, peer.ErrNotSent) {
 		s.noteContact(address, err)
 		return
--- a/antientropy/news.go
+++ b/antientropy/news.go
@@ -186,7 +186,7 @@
 		for _, message := range messages {
 			if _, err := s.callExchange(ctx, address, message); err != nil {
 				s.bulkFailed(ctx, "news not brought", address, err)
-				s.Silent(address, err)
+				s.ReportFailure(address, err)
 				return
 			}
 		}
--- a/antientropy/partners_test.go
+++ b/antientropy/partners_test.go
@@ -120,12 +120,12 @@
 				other = address
 			}
 		}
-		s.Silent(other, peer.ErrNotSent)
+		s.ReportFailure(other, peer.ErrNotSent)
 		g.Expect(drawn(s, 200, true)).NotTo(HaveKey(other))
 		time.Sleep(defaultAvoidance)
 		g.Expect(drawn(s, 200, true)).To(HaveKey(other))
 		for address := range partners {
-			s.Silent(address, peer.ErrNotSent)
+			s.ReportFailure(address, peer.ErrNotSent)
 		}
 		g.Expect(len(drawn(s, 200, true))).To(BeNumerically(">=", partnerCount), "others take their place")
 	})
--- a/router/engines.go
+++ b/router/engines.go
@@ -62,7 +62,7 @@
 func (r *Router) Own() string { return r.options.Settings.PeerAddress }
 
 // Silent implements coordinator.Fleet.
-func (r *Router) Silent(address string, err error) { r.syncer.Silent(address, err) }
+func (r *Router) Silent(address string, err error) { r.syncer.ReportFailure(address, err) }
 
 // shortlistSize is how many engines of each role are drawn for a request before all are looked at: so many
 // of the whole service, and so many in the zone of the request's node.
