--- a/antientropy/exchange.go
+++ b/antientropy/exchange.go
@@ -37,7 +37,7 @@
 	delete(s.exchanging, address)
 	s.mu.Unlock()
 	if missed {
-		s.News()
+		s.ScheduleSync()
 	}
 }
 
--- a/antientropy/news.go
+++ b/antientropy/news.go
@@ -62,7 +62,7 @@
 		s.UrgentNews()
 		return
 	}
-	s.News()
+	s.ScheduleSync()
 }
 
 // spreadNews brings what changed to some nodes of the zone, and what came from the store to the relays of other
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -210,8 +210,8 @@
 	s.background.Wait()
 }
 
-// News has the copy compared soon. It never blocks.
-func (s *Syncer) News() { notify(s.news) }
+// ScheduleSync has the copy compared soon. It never blocks.
+func (s *Syncer) ScheduleSync() { notify(s.news) }
 
 // UrgentNews has the copy compared at once. It never blocks.
 func (s *Syncer) UrgentNews() { notify(s.urgentNews) }
