--- a/antientropy/news.go
+++ b/antientropy/news.go
@@ -59,7 +59,7 @@
 func (s *Syncer) Changed(change replica.Change) {
 	s.fresh.add(change.Record.Key(), change.Source == replica.SourceStore)
 	if s.options.Replica.IsUrgent(change.Record) {
-		s.UrgentNews()
+		s.ScheduleUrgentSync()
 		return
 	}
 	s.ScheduleSync()
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -213,8 +213,8 @@
 // ScheduleSync has the copy compared soon. It never blocks.
 func (s *Syncer) ScheduleSync() { notify(s.news) }
 
-// UrgentNews has the copy compared at once. It never blocks.
-func (s *Syncer) UrgentNews() { notify(s.urgentNews) }
+// ScheduleUrgentSync has the copy compared at once. It never blocks.
+func (s *Syncer) ScheduleUrgentSync() { notify(s.urgentNews) }
 
 func notify(waiting chan struct{}) {
 	select {
