--- a/configuration/syncer.go
+++ b/configuration/syncer.go
@@ -69,7 +69,7 @@
 func (s *Syncer) Run(ctx context.Context) {
 	defer s.pulls.Close()
 	periodic.RunNow(ctx, roleInterval, func(ctx context.Context) {
-		if !s.Asked() || s.placement.IsAmong(watcherKey, watchersPerZone) {
+		if !s.Synced() || s.placement.IsAmong(watcherKey, watchersPerZone) {
 			s.watch(ctx)
 		}
 	})
@@ -174,9 +174,9 @@
 	s.asked = true
 }
 
-// Asked reports whether the platform or a peer has told the newest version
+// Synced reports whether the platform or a peer has told the newest version
 // since the start of the node, and the node has it.
-func (s *Syncer) Asked() bool {
+func (s *Syncer) Synced() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.asked && s.holder.Current().Version() >= s.newest
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -80,7 +80,7 @@
 	if c.draining.Load() || c.Table.Self().State != membership.StateStarting {
 		return
 	}
-	if !c.syncer.Asked() || c.Configuration.Current().Version() == 0 {
+	if !c.syncer.Synced() || c.Configuration.Current().Version() == 0 {
 		return
 	}
 	// Every peer gets the time to make itself known and to tell its version: nodes
