--- a/configuration/snapshot.go
+++ b/configuration/snapshot.go
@@ -98,9 +98,9 @@
 	return tenant, match == 1
 }
 
-// Whole returns all objects, ordered by name, in a copy of their lists. It costs
+// Merged returns all objects, ordered by name, in a copy of their lists. It costs
 // memory for every tenant and is meant for operators' calls.
-func (s *Snapshot) Whole() *api.Configuration { return Join(s.Head.Version, s.parts) }
+func (s *Snapshot) Merged() *api.Configuration { return Join(s.Head.Version, s.parts) }
 
 // PoolNames returns the names of all pools, in no order.
 func (s *Snapshot) PoolNames() []string { return slices.Collect(maps.Keys(s.pools)) }
--- a/operator/plan.go
+++ b/operator/plan.go
@@ -88,7 +88,7 @@
 // MakePlan computes the plan of an intent and the configuration it leads to. It
 // returns a *FindingsError if that configuration has faults.
 func MakePlan(current *configuration.Snapshot, intent Intent) (*Plan, *api.Configuration, error) {
-	standing := current.Whole()
+	standing := current.Merged()
 	next, err := clone(standing)
 	if err != nil {
 		return nil, nil, err
--- a/operator/server.go
+++ b/operator/server.go
@@ -178,7 +178,7 @@
 }
 
 func (s *Server) configuration(ctx iris.Context) {
-	reply(ctx, http.StatusOK, s.options.Configuration.Current().Whole())
+	reply(ctx, http.StatusOK, s.options.Configuration.Current().Merged())
 }
 
 func (s *Server) status(ctx iris.Context) {
--- a/sim/hollow/react.go
+++ b/sim/hollow/react.go
@@ -120,7 +120,7 @@
 	if err := holder.Advance(ctx, head, configuration.FromStore(store)); err != nil {
 		return 0, err
 	}
-	tenant := holder.Current().Whole().Tenants[0]
+	tenant := holder.Current().Merged().Tenants[0]
 	tenant.Weight = float64(head.Version + 1)
 	plan, next, err := operator.MakePlan(holder.Current(), operator.Intent{
 		Action: operator.ActionApply, Objects: api.Configuration{Tenants: []api.Tenant{tenant}},
--- a/sim/rehearsal/roles_test.go
+++ b/sim/rehearsal/roles_test.go
@@ -124,7 +124,7 @@
 				t.Errorf("%s: %d advised, %d applied", policy, advised, applied)
 			}
 			prefill := 0
-			for _, pool := range fleet.Alive()[0].Core.Configuration.Current().Whole().Pools {
+			for _, pool := range fleet.Alive()[0].Core.Configuration.Current().Merged().Pools {
 				for _, member := range pool.Engines {
 					if member.Role == api.RolePrefill {
 						prefill++
