--- a/soak/notices_test.go
+++ b/soak/notices_test.go
@@ -124,7 +124,7 @@
 // askForBackoff has back ends turn a share of their requests away for a time, zero for all, and ask for backoff.
 func (w *world) askForBackoff(asking []*backEnd, share float64, lasting time.Duration) {
 	for _, b := range asking {
-		b.setCondition(standin.Condition{Backoff: backoffText, Share: share})
+		b.setCondition(standin.Condition{Backoff: backoffText, RejectShare: share})
 	}
 	time.Sleep(lasting)
 	for _, b := range asking {
@@ -240,7 +240,7 @@
 			ends := asked.At.Add(backoffTime)
 			// An answer that is held or lost is not heard, and a request that is held arrives late.
 			span := observation{began: asked.At.Add(-backoffNoticed), ended: ends}
-			if !asked.TurnedAway || !known || !record.undisturbed(sender.node, span.began, ends) ||
+			if !asked.Rejected || !known || !record.undisturbed(sender.node, span.began, ends) ||
 				!record.sameLife(backEnd, asked.At, ends) || touched(span, record.troubles[backEnd]) {
 				continue
 			}
@@ -306,7 +306,7 @@
 	record := noticeRecord{senders: map[string]nodeMoment{}, arrivals: map[string][]standin.Arrival{}}
 	arrive := func(id string, node int, after time.Duration, turnedAway bool) {
 		record.senders[id] = nodeMoment{node, began}
-		record.arrivals["b"] = append(record.arrivals["b"], standin.Arrival{At: began.Add(after), Request: id, TurnedAway: turnedAway})
+		record.arrivals["b"] = append(record.arrivals["b"], standin.Arrival{At: began.Add(after), Request: id, Rejected: turnedAway})
 	}
 	arrive("asked", 1, 0, true)
 	arrive("early", 1, backoffNoticed, false)
--- a/soak/repeats_test.go
+++ b/soak/repeats_test.go
@@ -97,7 +97,7 @@
 		for _, b := range w.backEndsOf(service) {
 			arrivals = append(append(arrivals, b.arrivals()...), b.misdirected()...)
 		}
-		repeats += len(standin.BeyondFirst(arrivals))
+		repeats += len(standin.UpstreamRetries(arrivals))
 		if worst, broken := retryRule.Worst(w.requests.of(service), arrivals); broken {
 			violations = append(violations, fmt.Sprintf("%s got %v", service, worst))
 		}
