--- a/soak/crashes_test.go
+++ b/soak/crashes_test.go
@@ -109,7 +109,7 @@
 	}
 	n.requests.add(k, time.Now())
 	request.Host, request.GetBody = routeHost, nil
-	caller := standin.Caller{ID: id, Wait: 4 * time.Second, PromptTokens: 3000, MaxOutputTokens: 2000, LengthHint: 600, Key: keyOf(steadyTenant)}
+	caller := standin.CallerHeaders{ID: id, Wait: 4 * time.Second, PromptTokens: 3000, MaxOutputTokens: 2000, LengthHint: 600, Key: keyOf(steadyTenant)}
 	caller.Set(request.Header)
 	response, err := transport.RoundTrip(request)
 	if err == nil {
--- a/soak/load_test.go
+++ b/soak/load_test.go
@@ -91,7 +91,7 @@
 		return o
 	}
 	request.Host, request.Close, request.GetBody = routeHost, lastOnConnection, nil
-	caller := standin.Caller{ID: id, Wait: 4 * time.Second, PromptTokens: 3000, MaxOutputTokens: 2000, LengthHint: 600, Key: keyOf(tenant), Tenant: "forged"}
+	caller := standin.CallerHeaders{ID: id, Wait: 4 * time.Second, PromptTokens: 3000, MaxOutputTokens: 2000, LengthHint: 600, Key: keyOf(tenant), Tenant: "forged"}
 	caller.Set(request.Header)
 	response, err := transport.RoundTrip(request)
 	o.sent = sent.Load()
@@ -101,8 +101,8 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	o.sent, o.status, o.complete, o.body = true, response.StatusCode, err == nil, string(body)
-	o.requestID, o.signature = standin.AnswerOf(response.Header)
-	o.leaving = standin.SaysLeaving(response.Header)
+	o.requestID, o.signature = standin.ResponseIdentity(response.Header)
+	o.leaving = standin.AnnouncesLeaving(response.Header)
 	return finished(o)
 }
 
--- a/soak/tenants_test.go
+++ b/soak/tenants_test.go
@@ -117,7 +117,7 @@
 			violations = append(violations, fmt.Sprintf("%s of %s was rejected at node %d", o.id, o.tenant, o.node))
 		}
 		for _, run := range runs {
-			if name, keyShown := standin.Identified(run); name != o.tenant || keyShown {
+			if name, keyShown := standin.IdentityOf(run); name != o.tenant || keyShown {
 				violations = append(violations, fmt.Sprintf("%s of %q was named %q, key shown %t", o.id, o.tenant, name, keyShown))
 			}
 		}
@@ -153,7 +153,7 @@
 func TestJudgeOfTenantsNoticesEachDefect(t *testing.T) {
 	named := func(tenant, key string) standin.Run {
 		run := standin.Run{Header: http.Header{}}
-		standin.Caller{Key: key, Tenant: tenant}.Set(run.Header)
+		standin.CallerHeaders{Key: key, Tenant: tenant}.Set(run.Header)
 		return run
 	}
 	for name, c := range map[string]struct {
