--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -264,17 +264,17 @@
 	b := &backEnd{id: fmt.Sprintf("i-%d", w.made), service: service, stage: stage, zone: w.zoneOf(w.made)}
 	b.begin()
 	var handler http.Handler
-	crashing := &standin.Crashing{Body: crashText, After: crashAfter, End: func() { w.crash(b) }}
+	crashing := &standin.CrashTrigger{BodyContains: crashText, After: crashAfter, Crash: func() { w.crash(b) }}
 	if service == "llm" {
 		b.engine = standin.NewEngine(b.id, stage)
 		b.engine.Events, b.engine.Event, b.engine.Switch = events, eventTime, time.Second
 		b.engine.Staged = func(stage string) { w.announce(b, "ready", stage) }
-		b.engine.Crashing = crashing
+		b.engine.CrashTrigger = crashing
 		handler = b.engine
 	} else {
 		b.server = standin.NewServer(b.id)
 		b.server.Work = 20 * time.Millisecond
-		b.server.Crashing = crashing
+		b.server.CrashTrigger = crashing
 		handler = b.server
 	}
 	address := w.serve(handler, &b.web)
