--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -206,7 +206,7 @@
 // spoil has a back end fail in several ways.
 func (w *world) spoil(b *backEnd, count int) {
 	if b.engine != nil {
-		b.engine.SetFaults(standin.EngineFaults{RefuseHandles: count, TearAfter: count, Tears: count, FailPrefills: count, SilentPrefills: 1, LateOrders: 1})
+		b.engine.SetFaults(standin.EngineFaults{RefuseHandles: count, TruncateAfter: count, Truncations: count, FailPrefills: count, SilentPrefills: 1, LateOrders: 1})
 		return
 	}
 	b.server.SetFaults(standin.ServerFaults{
--- a/soak/tenants_test.go
+++ b/soak/tenants_test.go
@@ -79,7 +79,7 @@
 	b.proxy.reset()
 	stage := b.stage
 	if b.engine != nil {
-		b.engine.Forget()
+		b.engine.Restart()
 		stage = b.engine.Stage()
 	}
 	b.setCondition(standin.Condition{})
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -267,8 +267,8 @@
 	crashing := &standin.CrashTrigger{BodyContains: crashText, After: crashAfter, Crash: func() { w.crash(b) }}
 	if service == "llm" {
 		b.engine = standin.NewEngine(b.id, stage)
-		b.engine.Events, b.engine.Event, b.engine.Switch = events, eventTime, time.Second
-		b.engine.Staged = func(stage string) { w.announce(b, "ready", stage) }
+		b.engine.EventCount, b.engine.EventInterval, b.engine.StageSwitchTime = events, eventTime, time.Second
+		b.engine.OnStageChange = func(stage string) { w.announce(b, "ready", stage) }
 		b.engine.CrashTrigger = crashing
 		handler = b.engine
 	} else {
@@ -368,7 +368,7 @@
 	for _, b := range w.backEnds {
 		runs := b.runs()
 		if b.engine != nil {
-			runs = append(runs, b.engine.Prompts()...)
+			runs = append(runs, b.engine.Prefills()...)
 		}
 		for _, run := range runs {
 			received[run.ID] = append(received[run.ID], run)
