--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -196,7 +196,7 @@
 
 // deafStore has the store forget its watches and its history while things change.
 func (w *world) deafStore(lasting time.Duration) {
-	w.store.SetFaults(standin.StoreFaults{Deaf: true, LoseAnswers: 1})
+	w.store.SetFaults(standin.StoreFaults{DropWatches: true, DropAnswers: 1})
 	w.configure()
 	time.Sleep(min(lasting, time.Second))
 	w.store.Compact()
@@ -210,7 +210,7 @@
 		return
 	}
 	b.server.SetFaults(standin.ServerFaults{
-		Fail: count, Full: count, FullUnstated: 1, Torn: count, Lost: count, Other: 1, Unsigned: 1, Silent: 1,
+		Fail: count, Reject: count, Unavailable: 1, Truncate: count, Drop: count, Misattribute: 1, Unsigned: 1, Silent: 1,
 	})
 }
 
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -273,7 +273,7 @@
 		handler = b.engine
 	} else {
 		b.server = standin.NewServer(b.id)
-		b.server.Work = 20 * time.Millisecond
+		b.server.WorkTime = 20 * time.Millisecond
 		b.server.CrashTrigger = crashing
 		handler = b.server
 	}
