--- a/soak/repeats_test.go
+++ b/soak/repeats_test.go
@@ -72,10 +72,10 @@
 // setRejecting has a back end reject a share of the callers' requests.
 func (b *backEnd) setRejecting(share float64) {
 	if b.engine != nil {
-		b.engine.SetRejecting(share)
+		b.engine.SetRejectShare(share)
 		return
 	}
-	b.server.SetRejecting(share)
+	b.server.SetRejectShare(share)
 }
 
 // misdirected returns the requests that were meant for another life of a back end.
