--- a/antientropy/behind_test.go
+++ b/antientropy/behind_test.go
@@ -33,10 +33,10 @@
 // WithGroup implements slog.Handler.
 func (m messages) WithGroup(string) slog.Handler { return m }
 
-// TestANodeThatCannotFollowAsksTheStore offers a node a version whose chunks nobody has. It says
-// that it is behind, and has the store asked; what comes from there ends it.
-func TestANodeThatCannotFollowAsksTheStore(t *testing.T) {
-	// patience is far above the time after which a node says that it is behind.
+// TestStalledTransferReadsFromStore offers a node a version whose chunks no node has. The node logs that it is
+// behind, and reads the object from the store, which ends the transfer.
+func TestStalledTransferReadsFromStore(t *testing.T) {
+	// patience is far above the time after which a node logs that it is behind.
 	const patience = 10 * behindAfter
 	g := NewWithT(t)
 	empty, behind := newTestNode(t), newTestNode(t)
@@ -45,19 +45,19 @@
 	object := objectapi.Object{Kind: urgentKind, Name: "main", Version: 5, Spec: largeConfiguration(5000)}
 	asked := make(chan replica.Key, 1)
 	behind.syncer.options.Refetch = func(_ context.Context, key replica.Key) {
-		behind.copied.Apply(replica.SourceStore, replica.Record{Object: object})
+		behind.replica.Apply(replica.SourceStore, replica.Record{Object: object})
 		asked <- key
 	}
 	offered := replica.Record{Object: objectapi.Object{Kind: object.Kind, Name: object.Name, Version: object.Version}}
 	manifest := chunk.Split(object.Spec)
-	// Comparisons offer it again and again, also after a source has missed its time.
+	// Comparisons offer the object repeatedly, also after a source has timed out.
 	offer := func() chan replica.Key {
 		behind.syncer.transfers.offer(offered, manifest, empty.address)
 		return asked
 	}
 	g.Eventually(offer).WithTimeout(patience).Should(Receive(Equal(offered.Key())))
 	g.Eventually(logged).WithTimeout(patience).Should(Receive(Equal("behind")))
-	g.Expect(behind.copied.Live(urgentKind)).To(HaveLen(1))
+	g.Expect(behind.replica.Live(urgentKind)).To(HaveLen(1))
 	g.Eventually(logged).WithTimeout(patience).Should(Receive(Equal("caught up")))
 	done := make(chan struct{})
 	go func() {
@@ -67,20 +67,20 @@
 	g.Eventually(done).WithTimeout(patience).Should(BeClosed(), "nothing is fetched any more")
 }
 
-// TestAnotherSourceStepsIn has the only node that has an object go while it is fetched; the offer
-// of another one delivers the rest.
-func TestAnotherSourceStepsIn(t *testing.T) {
+// TestTransferResumesFromAnotherSource loses the only source of an object during the transfer; the offer of
+// another node delivers the rest.
+func TestTransferResumesFromAnotherSource(t *testing.T) {
 	g := NewWithT(t)
 	second, behind := newTestNode(t), newTestNode(t)
 	object := objectapi.Object{Kind: urgentKind, Name: "main", Version: 5, Spec: largeConfiguration(5000)}
-	second.copied.Apply(replica.SourceStore, replica.Record{Object: object})
+	second.replica.Apply(replica.SourceStore, replica.Record{Object: object})
 	offered := replica.Record{Object: objectapi.Object{Kind: object.Kind, Name: object.Name, Version: object.Version}}
-	// The first node has named the chunks and does not answer any more.
+	// The first node has offered the chunks and does not answer any more.
 	behind.syncer.transfers.offer(offered, chunk.Split(object.Spec), "127.0.0.1:1")
 	behind.syncer.background.Wait()
-	g.Expect(behind.copied.Live(urgentKind)).To(BeEmpty())
+	g.Expect(behind.replica.Live(urgentKind)).To(BeEmpty())
 	g.Expect(behind.compare(t.Context(), second.address)).To(Succeed())
-	live := behind.copied.Live(urgentKind)
+	live := behind.replica.Live(urgentKind)
 	g.Expect(live).To(HaveLen(1))
 	g.Expect([]byte(live[0].Spec)).To(Equal([]byte(object.Spec)))
 }
--- a/antientropy/benchmark_test.go
+++ b/antientropy/benchmark_test.go
@@ -8,8 +8,8 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// BenchmarkConfigurationChange measures what a node receives and how long it takes on loopback, by
-// the number of routes: for a configuration that it has nothing of, and for one route changed.
+// BenchmarkConfigurationChange measures how much a node receives and how long it takes on loopback, by the
+// number of routes: for a configuration of which it has nothing, and for one changed route.
 func BenchmarkConfigurationChange(b *testing.B) {
 	for _, routes := range []int{48, 1_400, 5_000, 14_000, 20_000} {
 		before := largeConfiguration(routes)
@@ -24,15 +24,15 @@
 	ahead, behind := newTestNode(b), newTestNode(b)
 	version := int64(0)
 	store := func(node *testNode, content []byte) {
-		node.copied.Apply(replica.SourceStore, replica.Record{Object: objectapi.Object{
+		node.replica.Apply(replica.SourceStore, replica.Record{Object: objectapi.Object{
 			Kind: urgentKind, Name: "main", Version: version, Spec: content,
 		}})
 	}
 	received := 0
 	for b.Loop() {
 		b.StopTimer()
-		behind.copied = replica.New(urgentKind, func(replica.Change) {})
-		behind.syncer.options.Replica = behind.copied
+		behind.replica = replica.New(urgentKind, func(replica.Change) {})
+		behind.syncer.options.Replica = behind.replica
 		behind.syncer.transfers.index = newChunkIndex()
 		if before != nil {
 			version++
@@ -46,8 +46,8 @@
 		if err := behind.compare(b.Context(), ahead.address); err != nil {
 			b.Fatal(err)
 		}
-		if behind.copied.Digest() != ahead.copied.Digest() {
-			b.Fatal("copies differ")
+		if behind.replica.Digest() != ahead.replica.Digest() {
+			b.Fatal("replicas differ")
 		}
 		received += ahead.answered
 	}
--- a/antientropy/chunkindex.go
+++ b/antientropy/chunkindex.go
@@ -7,18 +7,18 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// chunkIndex finds the chunks of the long contents that this node has. It keeps one version of
-// each object, the one that was last asked for. It is safe for concurrent use.
+// chunkIndex finds the chunks of the chunked objects that this node has. It keeps one version of each object,
+// the one last requested. It is safe for concurrent use.
 type chunkIndex struct {
 	mu      sync.Mutex
 	objects map[replica.Key]indexedObject
 }
 
-// indexedObject is one version of an object, divided.
+// indexedObject is one version of an object, split into chunks.
 type indexedObject struct {
 	version  int64
 	manifest chunk.Manifest
-	// contents are parts of the object's content, not copies.
+	// contents are slices of the object's content, not copies.
 	contents map[chunk.ID][]byte
 }
 
@@ -26,7 +26,7 @@
 	return &chunkIndex{objects: map[replica.Key]indexedObject{}}
 }
 
-// manifest returns the chunks of a record's content, and divides it if it was not yet.
+// manifest returns the chunks of a record's content, and splits it if it is not indexed yet.
 func (x *chunkIndex) manifest(record replica.Record) chunk.Manifest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -39,14 +39,14 @@
 	return manifest
 }
 
-// add puts a record whose chunks are known into the index.
+// add indexes a record whose chunks are known.
 func (x *chunkIndex) add(record replica.Record, manifest chunk.Manifest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.put(record, manifest)
 }
 
-// put replaces the version of an object; the lock is held.
+// put replaces the indexed version of an object; the caller holds the lock.
 func (x *chunkIndex) put(record replica.Record, manifest chunk.Manifest) {
 	x.objects[record.Key()] = indexedObject{
 		version: record.Object.Version, manifest: manifest, contents: manifest.Contents(record.Object.Spec),
--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -9,10 +9,10 @@
 	"github.com/reelrun/reelrun/peer"
 )
 
-// silence is a time in which a node has not answered.
-type silence struct {
+// unresponsiveState describes a node that does not answer.
+type unresponsiveState struct {
 	since time.Time
-	// until is when it is asked again.
+	// until is when it is called again.
 	until time.Time
 }
 
@@ -20,26 +20,26 @@
 func (s *Syncer) Responsive(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, silent := s.silent[address]
-	return !silent
+	_, unresponsive := s.unresponsive[address]
+	return !unresponsive
 }
 
-// ResponsivenessChanges counts how often a node has fallen silent or answered again so far.
-func (s *Syncer) ResponsivenessChanges() uint64 { return s.contactChanges.Load() }
+// ResponsivenessChanges returns how often a node has become unresponsive or responsive again so far.
+func (s *Syncer) ResponsivenessChanges() uint64 { return s.responsivenessChanges.Load() }
 
-// UnresponsiveFor returns how long a node has not answered; zero if it does.
+// UnresponsiveFor returns how long a node has not answered; zero if it is responsive.
 func (s *Syncer) UnresponsiveFor(address string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	current, silent := s.silent[address]
-	if !silent {
+	current, unresponsive := s.unresponsive[address]
+	if !unresponsive {
 		return 0
 	}
 	return time.Since(current.since)
 }
 
-// ReportFailure notes that a node did not answer a call. It counts as silent until a comparison with it
-// succeeds; where a connection to it could be opened, one is made first.
+// ReportFailure records that a node did not answer a call. The node counts as unresponsive once a comparison
+// with it fails too, or at once where no connection could be opened, until a comparison succeeds.
 func (s *Syncer) ReportFailure(address string, err error) {
 	if errors.Is(err, peer.ErrNotSent) {
 		s.noteContact(address, err)
@@ -49,11 +49,10 @@
 	s.inBackground(func(ctx context.Context) { s.verify(ctx, address, now) })
 }
 
-// verify compares the copy with that of a node that did not answer a call, once for all who ask
-// at the same time.
+// verify compares with a node that did not answer a call, once for all concurrent reports.
 func (s *Syncer) verify(ctx context.Context, address string, failedAt time.Time) {
 	_, _, _ = s.verifying.Do(address, func() (any, error) {
-		_, err := s.compareAnew(ctx, address, failedAt)
+		_, err := s.compareOnNewConnection(ctx, address, failedAt)
 		if ctx.Err() == nil {
 			s.noteContact(address, err)
 		}
@@ -61,50 +60,51 @@
 	})
 }
 
-// noteSilent leaves a node alone for a while; the lock is held.
-func (s *Syncer) noteSilent(address string, err error) {
+// markUnresponsive records that a node does not answer, and suspends calls to it for a while; the caller holds
+// the lock.
+func (s *Syncer) markUnresponsive(address string, err error) {
 	now := time.Now()
-	current, known := s.silent[address]
+	current, known := s.unresponsive[address]
 	if !known {
 		current.since = now
-		s.contactChanges.Add(1)
+		s.responsivenessChanges.Add(1)
 		s.options.Logger.Warn("node lost", "address", address, "error", err.Error())
 	}
 	current.until = now.Add(s.options.UnresponsiveBackoff)
-	s.silent[address] = current
+	s.unresponsive[address] = current
 	s.options.Client.Reset(address)
 }
 
-// noteContact notes whether a node has answered a comparison.
+// noteContact records whether a node has answered a comparison.
 func (s *Syncer) noteContact(address string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.noteSilent(address, err)
+		s.markUnresponsive(address, err)
 		return
 	}
 	if s.options.SameZone(address) {
-		s.neighbourAt = time.Now()
+		s.zoneContactAt = time.Now()
 	}
-	if _, wasSilent := s.silent[address]; wasSilent {
-		delete(s.silent, address)
-		s.contactChanges.Add(1)
+	if _, wasUnresponsive := s.unresponsive[address]; wasUnresponsive {
+		delete(s.unresponsive, address)
+		s.responsivenessChanges.Add(1)
 		s.options.Logger.Info("node back", "address", address)
 	}
 }
 
-// neighbourPatience is how long a node without an answer of its own zone waits before it exchanges
-// objects with other zones itself: some comparisons.
-const neighbourPatience = 3 * time.Second
+// zoneContactTimeout is how long a node without a response from its own zone waits before it exchanges objects
+// with other zones itself: the time of several comparisons.
+const zoneContactTimeout = 3 * time.Second
 
-// mayExchange reports whether objects are exchanged with a node: with those of the own zone, and, where
-// this node is a bridge or hears of no neighbour, with all. Each change would cross the borders of zones
-// about as often as there are nodes otherwise.
+// mayExchange reports whether objects are exchanged with a node: with nodes of the own zone always, and with
+// all nodes where this node is a zone relay or gets no response from its zone. Otherwise each change would
+// cross zone borders about as often as there are nodes.
 func (s *Syncer) mayExchange(address string) bool {
 	if s.options.SameZone(address) || s.options.IsZoneRelay() {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.neighbourAt.IsZero() || time.Since(s.neighbourAt) > neighbourPatience
+	return s.zoneContactAt.IsZero() || time.Since(s.zoneContactAt) > zoneContactTimeout
 }
--- a/antientropy/exchange.go
+++ b/antientropy/exchange.go
@@ -13,13 +13,13 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// beginExchange reports whether objects may be exchanged with a node now. If so, endExchange ends
-// that.
+// beginExchange reports whether an exchange of objects with a node may start now, and registers it; endExchange
+// ends it.
 func (s *Syncer) beginExchange(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if current, underWay := s.exchanging[address]; underWay {
-		current.missed = true
+		current.differedAgain = true
 		s.exchanging[address] = current
 		return false
 	}
@@ -30,37 +30,37 @@
 	return true
 }
 
-// endExchange ends an exchange. What changed while it was under way is passed on at once.
+// endExchange ends an exchange. Changes during the exchange schedule a new round at once.
 func (s *Syncer) endExchange(address string) {
 	s.mu.Lock()
-	missed := s.exchanging[address].missed
+	differedAgain := s.exchanging[address].differedAgain
 	delete(s.exchanging, address)
 	s.mu.Unlock()
-	if missed {
+	if differedAgain {
 		s.ScheduleSync()
 	}
 }
 
-// bulkFailed logs a call with long contents that failed. The other node may live all the same:
+// logBulkFailure logs a failed call with long contents. The other node may be responsive all the same:
 // comparisons decide that.
-func (s *Syncer) bulkFailed(ctx context.Context, what, address string, err error) {
+func (s *Syncer) logBulkFailure(ctx context.Context, what, address string, err error) {
 	if ctx.Err() == nil {
 		s.options.Logger.Warn(what, "address", address, "error", err.Error())
 	}
 }
 
-// exchangeAll makes the buckets that differ alike. Where they are compared whole, a comparison goes on
-// with a few of them only, unless this copy is not whole and the other one is: a node that starts would
-// need as many comparisons as the fleet's objects fill messages.
+// exchangeAll reconciles the buckets that differ. Without comparing parts, one comparison is followed by the
+// exchange of a few buckets only, unless the other replica is complete and this one is not: a node that starts
+// would need as many comparisons as the fleet's objects fill messages.
 func (s *Syncer) exchangeAll(ctx context.Context, address string, compared comparison) error {
-	differing, together := compared.differing, bucketsPerExchange
+	differing, batchSize := compared.differing, bucketsPerExchange
 	switch {
-	case compared.byPart:
-		together = bucketsByPart
-	case !compared.covers:
+	case compared.supportsParts:
+		batchSize = bucketsPerPartExchange
+	case !compared.otherComplete:
 		differing = differing[:min(len(differing), bucketsPerComparison)]
 	}
-	for buckets := range slices.Chunk(differing, together) {
+	for buckets := range slices.Chunk(differing, batchSize) {
 		if err := s.exchangeBuckets(ctx, address, compared, buckets); err != nil {
 			return err
 		}
@@ -68,11 +68,11 @@
 	return nil
 }
 
-// exchangeBuckets makes a few buckets alike. It goes on with one whose objects do not fit into one
-// message where the other copy is whole.
+// exchangeBuckets reconciles a few buckets. If the objects of a bucket do not fit into one message and the
+// other replica is complete, it continues until all are received.
 func (s *Syncer) exchangeBuckets(ctx context.Context, address string, compared comparison, buckets []int) error {
 	sections := replica.WholeBuckets(buckets)
-	if compared.byPart && len(s.options.Replica.Versions(sections)) >= len(buckets)*worthParts {
+	if compared.supportsParts && len(s.options.Replica.Versions(sections)) >= len(buckets)*minObjectsForParts {
 		differing, err := s.compareParts(ctx, address, buckets)
 		if err != nil {
 			return errors.Wrap(err, "compare parts")
@@ -86,12 +86,12 @@
 		if err != nil {
 			return err
 		}
-		if !compared.covers || result.taken == 0 {
+		if !compared.otherComplete || result.applied == 0 {
 			break
 		}
 	}
-	if result.complete() && compared.covers {
-		s.cover(buckets)
+	if result.complete() && compared.otherComplete {
+		s.markComplete(buckets)
 	}
 	return nil
 }
@@ -118,22 +118,21 @@
 }
 
 const (
-	// worthParts is from how many objects a bucket on the digests of its parts are shorter than the versions
-	// of all.
-	worthParts = 6
-	// bucketsPerExchange bounds the buckets of one call, so that it ends in time over a
-	// slow link too.
+	// minObjectsForParts is the average number of objects per bucket from which the digests of its parts are
+	// shorter than the versions of all its objects.
+	minObjectsForParts = 6
+	// bucketsPerExchange bounds the buckets of one call, so that it completes within its timeout on a slow link
+	// too.
 	bucketsPerExchange = 4
-	// bucketsByPart is the same where only parts that differ are exchanged.
-	bucketsByPart = 16
-	// bucketsPerComparison bounds the buckets of one comparison, so that news do not
-	// wait for the rest of a large difference. The rest comes with the next comparisons.
+	// bucketsPerPartExchange is the same where only parts that differ are exchanged.
+	bucketsPerPartExchange = 16
+	// bucketsPerComparison bounds the buckets that are exchanged after one comparison, so that new updates do
+	// not wait for the rest of a large difference. Later comparisons handle the rest.
 	bucketsPerComparison = 12
 )
 
-// shuffled returns buckets in the order in which they are exchanged: the urgent one,
-// and then the others by chance, so that a node far behind gets different ones from
-// different nodes.
+// shuffled returns buckets in the order in which they are exchanged: the urgent one first, and then the others
+// at random, so that a node far behind gets different ones from different nodes.
 func shuffled(buckets []int) []int {
 	rand.Shuffle(len(buckets), func(i, j int) { buckets[i], buckets[j] = buckets[j], buckets[i] })
 	if i := slices.Index(buckets, replica.UrgentBucket); i > 0 {
@@ -142,20 +141,21 @@
 	return buckets
 }
 
-// exchangeResult is how far one exchange has come.
+// exchangeResult describes the progress of one exchange.
 type exchangeResult struct {
-	// truncated is set where not all that is newer at the other node fitted into its answer.
+	// truncated is set if the response did not hold all objects that are newer at the other node.
 	truncated bool
-	// offered is how many long objects are only named, and fetched now.
+	// offered is the number of chunked objects that were offered by their chunk IDs and are being fetched.
 	offered int
-	// taken is how many objects of the other node were newer.
-	taken int
+	// applied is the number of received objects that were newer.
+	applied int
 }
 
-// complete reports whether nothing newer is left at the other node.
+// complete reports whether the other node has nothing newer left.
 func (r exchangeResult) complete() bool { return !r.truncated && r.offered == 0 }
 
-// exchange takes over what another node has newer in some sections, and sends it what it lacks.
+// exchange applies the objects that another node has newer in some sections, and sends it those that are newer
+// here.
 func (s *Syncer) exchange(ctx context.Context, address string, sections []replica.Section) (exchangeResult, error) {
 	request := &peerpb.ExchangeObjects{
 		Versions: objectVersions(s.options.Replica.Versions(sections)), ReadsCompressed: true,
@@ -173,7 +173,7 @@
 		return exchangeResult{}, errors.Wrap(err, "receive objects")
 	}
 	result := exchangeResult{truncated: received.GetTruncated()}
-	result.taken, result.offered = s.take(objects, address)
+	result.applied, result.offered = s.applyReceived(objects, address)
 	wanted := s.options.Replica.Records(keysOf(received.GetWanted()))
 	if len(wanted) == 0 {
 		return result, nil
@@ -190,18 +190,18 @@
 	return response.GetStoredObjects(), err
 }
 
-// take applies objects of another node, and begins to fetch the long ones. It returns how many were
-// newer, and how many it was offered to fetch.
-func (s *Syncer) take(objects []*peerpb.StoredObject, address string) (taken, offered int) {
-	records, longObjects, err := recordsOfObjects(objects)
+// applyReceived applies objects of another node, and starts fetching the chunked ones. It returns how many were
+// newer, and how many were offered for fetching.
+func (s *Syncer) applyReceived(objects []*peerpb.StoredObject, address string) (applied, offered int) {
+	records, chunkedObjects, err := recordsOfObjects(objects)
 	if err != nil {
-		s.options.Logger.Error("objects of another node refused", "error", err.Error())
+		s.options.Logger.Error("rejected objects of another node", "error", err.Error())
 	}
-	taken = s.apply(records...)
-	for _, long := range longObjects {
-		s.transfers.offer(long.record, long.manifest, address)
+	applied = s.apply(records...)
+	for _, chunked := range chunkedObjects {
+		s.transfers.offer(chunked.record, chunked.manifest, address)
 	}
-	return taken, len(longObjects)
+	return applied, len(chunkedObjects)
 }
 
 // apply applies records of other nodes. It returns how many were newer.
--- a/antientropy/fuzz_test.go
+++ b/antientropy/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// FuzzObjectsOfAnotherNode decodes objects and chunks as another node may send them. What is taken
-// must be within the bounds, and a chunk's name must be that of its content.
+// FuzzObjectsOfAnotherNode decodes objects and chunks as another node may send them. Accepted objects must be
+// within the size limit, and a chunk's ID must be the digest of its content.
 func FuzzObjectsOfAnotherNode(f *testing.F) {
 	content := largeConfiguration(400)
 	record := replica.Record{Object: objectapi.Object{Kind: urgentKind, Name: "main", Version: 3, Spec: content}}
@@ -30,10 +30,10 @@
 	f.Fuzz(func(t *testing.T, stored, chunks []byte) {
 		var objects peerpb.StoredObjects
 		if proto.Unmarshal(stored, &objects) == nil {
-			_, longObjects, _ := recordsOfObjects(objects.GetObjects())
-			for _, long := range longObjects {
-				if long.manifest.Bytes() > maxObjectBytes {
-					t.Fatalf("object of %d bytes", long.manifest.Bytes())
+			_, chunkedObjects, _ := recordsOfObjects(objects.GetObjects())
+			for _, chunked := range chunkedObjects {
+				if chunked.manifest.Bytes() > maxObjectBytes {
+					t.Fatalf("object of %d bytes", chunked.manifest.Bytes())
 				}
 			}
 		}
@@ -41,7 +41,7 @@
 		if proto.Unmarshal(chunks, &received) == nil {
 			for id, content := range contentsOf(&received) {
 				if id != chunk.IDOf(content) {
-					t.Fatal("a chunk has another name than its content")
+					t.Fatal("chunk ID differs from the digest of its content")
 				}
 			}
 		}
--- a/antientropy/handler.go
+++ b/antientropy/handler.go
@@ -10,7 +10,7 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// Handle answers another node.
+// Handle answers a call of another node.
 func (s *Syncer) Handle(_ context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_CompareReplicas:
@@ -27,16 +27,16 @@
 }
 
 func (s *Syncer) handleCompare(request *peerpb.CompareReplicas) *peerpb.Response {
-	// Asked before the digest is taken: what is whole then stays so.
-	whole := s.options.Complete()
-	compared := &peerpb.ReplicaVersions{Same: request.GetDigest() == s.options.Replica.Digest(), Whole: whole, ComparesParts: true, UrgentAgeMs: s.ageToTell()}
+	// Read before the digest is taken: a replica that is complete stays so.
+	isComplete := s.options.Complete()
+	compared := &peerpb.ReplicaVersions{Same: request.GetDigest() == s.options.Replica.Digest(), Whole: isComplete, ComparesParts: true, UrgentAgeMs: s.reportedUrgentAge()}
 	if !compared.GetSame() {
 		compared.Buckets = s.options.Replica.Buckets()
 	}
 	return &peerpb.Response{Body: &peerpb.Response_ReplicaVersions{ReplicaVersions: compared}}
 }
 
-// handleCompareParts tells which parts of some buckets differ.
+// handleCompareParts returns which parts of some buckets differ.
 func (s *Syncer) handleCompareParts(request *peerpb.CompareParts) *peerpb.Response {
 	differing := &peerpb.DifferingParts{}
 	for _, asked := range request.GetBuckets() {
@@ -47,19 +47,19 @@
 }
 
 func (s *Syncer) handleExchange(request *peerpb.ExchangeObjects) *peerpb.Response {
-	brought, err := objectsOf(request.GetObjects(), request.GetCompressed())
+	received, err := objectsOf(request.GetObjects(), request.GetCompressed())
 	if err != nil {
-		s.options.Logger.Error("objects of another node refused", "error", err.Error())
+		s.options.Logger.Error("rejected objects of another node", "error", err.Error())
 	}
-	s.take(brought, request.GetAddress())
+	s.applyReceived(received, request.GetAddress())
 	newerHere, newerThere := s.options.Replica.Compare(sectionsOf(request), recordsOf(request.GetVersions()))
 	answer := s.encodeNewer(s.options.Replica.Records(newerHere), request.GetReadsCompressed())
 	answer.Wanted = wantedVersions(newerThere)
 	return &peerpb.Response{Body: &peerpb.Response_StoredObjects{StoredObjects: answer}}
 }
 
-// sectionsOf returns what an exchange is about: whole buckets where it names no parts, as older
-// builds do not.
+// sectionsOf returns the sections of an exchange: whole buckets where it names no parts, since older builds
+// name none.
 func sectionsOf(request *peerpb.ExchangeObjects) []replica.Section {
 	sections := make([]replica.Section, len(request.GetBuckets()))
 	for i, bucket := range request.GetBuckets() {
@@ -71,13 +71,13 @@
 	return sections
 }
 
-// handleFetch sends the chunks that this node has, as many as one message holds, unless it has
-// sent too many lately.
+// handleFetch sends the requested chunks that this node has, as many as fit into one message, unless the upload
+// limit is exceeded.
 func (s *Syncer) handleFetch(request *peerpb.FetchChunks) *peerpb.Response {
 	contents := &peerpb.ChunkContents{}
 	length, sent := 0, 0
 	for _, digest := range request.GetDigests() {
-		content, found := s.transfers.find(idOf(digest))
+		content, found := s.transfers.find(chunkIDOf(digest))
 		if !found {
 			continue
 		}
--- a/antientropy/partners_test.go
+++ b/antientropy/partners_test.go
@@ -16,19 +16,19 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// newDrawing returns the syncer of one node of a fleet; nothing is called.
-func newDrawing(peers, sources []string) *Syncer {
+// newSelector returns the syncer of one node of a fleet; it calls no other node.
+func newSelector(peers, monitored []string) *Syncer {
 	return New(Options{
 		Replica: replica.New(urgentKind, func(replica.Change) {}), Logger: slog.New(slog.DiscardHandler),
 		Client: peer.NewClient("test", nil, timeline.NewClock(time.Now)),
-		Peers:  func() []string { return peers }, Monitored: func() []string { return sources },
+		Peers:  func() []string { return peers }, Monitored: func() []string { return monitored },
 	})
 }
 
-// newsDrawn returns all nodes of one round with news.
-func (s *Syncer) newsDrawn() []string {
-	near, relays := s.newsTargets(defaultFanout)
-	return append(near, relays...)
+// selectedForPush returns all nodes of one push round.
+func (s *Syncer) selectedForPush() []string {
+	zoneMember, relays := s.pushTargets(defaultFanout)
+	return append(zoneMember, relays...)
 }
 
 func fleetOf(size int) []string {
@@ -39,13 +39,13 @@
 	return addresses
 }
 
-// drawn returns all nodes of many rounds.
-func drawn(s *Syncer, rounds int, isNews bool) map[string]bool {
+// selected returns all nodes of many rounds.
+func selected(s *Syncer, rounds int, isPush bool) map[string]bool {
 	seen := map[string]bool{}
 	for range rounds {
-		round := s.draw
-		if isNews {
-			round = func() []string { return s.newsDrawn() }
+		round := s.selectPeers
+		if isPush {
+			round = func() []string { return s.selectedForPush() }
 		}
 		for _, address := range round() {
 			seen[address] = true
@@ -54,17 +54,17 @@
 	return seen
 }
 
-// TestConnectionsDoNotGrowWithTheFleet counts the nodes that one of 400 calls in a period.
-func TestConnectionsDoNotGrowWithTheFleet(t *testing.T) {
+// TestConnectionsDoNotGrowWithFleetSize counts the nodes that one of 400 calls in a period.
+func TestConnectionsDoNotGrowWithFleetSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		fleet := fleetOf(400)
-		s := newDrawing(fleet, fleet[:12])
-		first := drawn(s, 300, true)
+		s := newSelector(fleet, fleet[:12])
+		first := selected(s, 300, true)
 		g.Expect(first).To(HaveLen(partnerCount))
-		g.Expect(drawn(s, 300, false)).To(HaveLen(len(union(first, fleet[:12]))))
+		g.Expect(selected(s, 300, false)).To(HaveLen(len(union(first, fleet[:12]))))
 		time.Sleep(partnerPeriod)
-		g.Expect(drawn(s, 300, true)).NotTo(Equal(first), "others in the next period")
+		g.Expect(selected(s, 300, true)).NotTo(Equal(first), "others in the next period")
 	})
 }
 
@@ -79,41 +79,41 @@
 	return joined
 }
 
-// TestASmallFleetComparesWithAll has each node call each other one.
-func TestASmallFleetComparesWithAll(t *testing.T) {
+// TestSmallFleetComparesWithAllNodes has each node call each other one.
+func TestSmallFleetComparesWithAllNodes(t *testing.T) {
 	fleet := fleetOf(8)
-	NewWithT(t).Expect(drawn(newDrawing(fleet, fleet), 500, false)).To(HaveLen(len(fleet)))
+	NewWithT(t).Expect(selected(newSelector(fleet, fleet), 500, false)).To(HaveLen(len(fleet)))
 }
 
-// TestNewsReachAll spreads news from one node over the partners of 400: each node that hears
-// of them brings them to two.
-func TestNewsReachAll(t *testing.T) {
+// TestUpdatesReachAllNodes propagates an update from one node over the partners of 400: each node that receives
+// it pushes it to two.
+func TestUpdatesReachAllNodes(t *testing.T) {
 	g := NewWithT(t)
 	const rounds = 25
 	fleet := fleetOf(400)
 	nodes := map[string]*Syncer{}
 	for _, address := range fleet {
-		nodes[address] = newDrawing(fleet, fleet[:12])
+		nodes[address] = newSelector(fleet, fleet[:12])
 	}
-	knows := map[string]bool{fleet[0]: true}
+	reached := map[string]bool{fleet[0]: true}
 	for range rounds {
-		for address := range union(knows, nil) {
-			for _, next := range nodes[address].newsDrawn() {
-				knows[next] = true
+		for address := range union(reached, nil) {
+			for _, next := range nodes[address].selectedForPush() {
+				reached[next] = true
 			}
 		}
 	}
-	g.Expect(knows).To(HaveLen(len(fleet)))
+	g.Expect(reached).To(HaveLen(len(fleet)))
 }
 
-// TestSilentNodesAreTriedAgain marks a node as silent that is no partner of this one: it is
-// left alone for a while, and then tried until it answers.
-func TestSilentNodesAreTriedAgain(t *testing.T) {
+// TestUnresponsiveNodesAreRetried marks a node as unresponsive that is no partner of this one: it is not called
+// for a while, and then retried until it answers.
+func TestUnresponsiveNodesAreRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		fleet := fleetOf(400)
-		s := newDrawing(fleet, fleet[:12])
-		partners := drawn(s, 300, true)
+		s := newSelector(fleet, fleet[:12])
+		partners := selected(s, 300, true)
 		var other string
 		for _, address := range fleet {
 			if !partners[address] {
@@ -121,24 +121,23 @@
 			}
 		}
 		s.ReportFailure(other, peer.ErrNotSent)
-		g.Expect(drawn(s, 200, true)).NotTo(HaveKey(other))
-		time.Sleep(defaultAvoidance)
-		g.Expect(drawn(s, 200, true)).To(HaveKey(other))
+		g.Expect(selected(s, 200, true)).NotTo(HaveKey(other))
+		time.Sleep(defaultUnresponsiveBackoff)
+		g.Expect(selected(s, 200, true)).To(HaveKey(other))
 		for address := range partners {
 			s.ReportFailure(address, peer.ErrNotSent)
 		}
-		g.Expect(len(drawn(s, 200, true))).To(BeNumerically(">=", partnerCount), "others take their place")
+		g.Expect(len(selected(s, 200, true))).To(BeNumerically(">=", partnerCount), "others take their place")
 	})
 }
 
-// TestAllSourcesAreLookedAt lets one node look at all: it finds the lost ones wherever they
-// are.
-func TestAllSourcesAreLookedAt(t *testing.T) {
+// TestAllMonitoredNodesAreCompared has one node monitor all: it must detect the lost ones whatever their zone.
+func TestAllMonitoredNodesAreCompared(t *testing.T) {
 	fleet := fleetOf(400)
-	NewWithT(t).Expect(drawn(newDrawing(fleet, fleet), 10_000, false)).To(HaveLen(len(fleet)))
+	NewWithT(t).Expect(selected(newSelector(fleet, fleet), 10_000, false)).To(HaveLen(len(fleet)))
 }
 
-// zonedFleet is a fleet of three zones whose nodes draw by one seed.
+// zonedFleet is a fleet of three zones whose nodes select peers by one seed.
 type zonedFleet struct {
 	addresses []string
 	zoneOf    map[string]int
@@ -154,7 +153,7 @@
 		fleet.zoneOf[address] = i % zones
 	}
 	for i, address := range fleet.addresses {
-		node := newDrawing(fleet.addresses, fleet.addresses[:zonedWatchers])
+		node := newSelector(fleet.addresses, fleet.addresses[:zonedWatchers])
 		node.salt, node.permute = fmt.Sprint(seed, address), random.Shuffle
 		node.options.SameZone = func(other string) bool { return fleet.zoneOf[other] == fleet.zoneOf[address] }
 		if i < zonedWatchers {
@@ -167,34 +166,34 @@
 	return fleet
 }
 
-// spread brings news of one node to all, and returns how many know them in the end, and how many calls
-// that took, within zones and across their borders.
-func (f zonedFleet) spread(from string, rounds int) (knowing, calls, across int) {
-	knows := map[string]bool{from: true}
-	heard := []string{from}
+// propagate pushes an update of one node to all, and returns how many received it in the end, and how many
+// calls that took, in total and across zone borders.
+func (f zonedFleet) propagate(from string, rounds int) (count, calls, across int) {
+	reached := map[string]bool{from: true}
+	senders := []string{from}
 	for range rounds {
 		var next []string
-		for _, address := range heard {
-			for _, other := range f.nodes[address].newsDrawn() {
+		for _, address := range senders {
+			for _, other := range f.nodes[address].selectedForPush() {
 				calls++
 				if f.zoneOf[other] != f.zoneOf[address] {
 					across++
 				}
-				if !knows[other] {
-					knows[other] = true
+				if !reached[other] {
+					reached[other] = true
 					next = append(next, other)
 				}
 			}
 		}
-		heard = next
+		senders = next
 	}
-	return len(knows), calls, across
+	return len(reached), calls, across
 }
 
-// TestNewsCrossZonesByRelays spreads news in fleets of three zones. Most nodes hear of them, and few of
-// the calls cross a border. How many hear varies with the partners that are drawn, so that twenty fleets
-// are looked at together.
-func TestNewsCrossZonesByRelays(t *testing.T) {
+// TestUpdatesCrossZonesThroughRelays propagates updates in fleets of three zones. Most nodes receive them, and
+// few of the calls cross a border. The number of receivers varies with the randomly selected partners, so the
+// test sums up twenty fleets.
+func TestUpdatesCrossZonesThroughRelays(t *testing.T) {
 	g := NewWithT(t)
 	const (
 		rounds = 25
@@ -202,51 +201,51 @@
 		zones  = 3
 		fleets = 20
 	)
-	knowing := 0
+	reached := 0
 	for seed := range uint64(fleets) {
 		fleet := newZonedFleet(size, zones, seed)
-		// One node of a zone has news that the store does not have.
-		known, calls, across := fleet.spread(fleet.addresses[200], rounds)
-		knowing += known
+		// One node of a zone has an update that the store does not have.
+		delivered, calls, across := fleet.propagate(fleet.addresses[200], rounds)
+		reached += delivered
 		g.Expect(across).To(BeNumerically("<=", 2*zonedWatchers))
 		g.Expect(calls).To(BeNumerically(">", 10*across))
 	}
-	g.Expect(knowing).To(BeNumerically(">", fleets*size*3/4), "the rest hears at the next rounds without news")
+	g.Expect(reached).To(BeNumerically(">", fleets*size*3/4), "the rest hears at the next rounds without news")
 }
 
-// TestOnlyBridgesExchangeAcrossZones asks nodes of three zones with whom they exchange objects.
-func TestOnlyBridgesExchangeAcrossZones(t *testing.T) {
+// TestOnlyZoneRelaysExchangeAcrossZones checks with whom nodes of three zones exchange objects.
+func TestOnlyZoneRelaysExchangeAcrossZones(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		fleet := newZonedFleet(300, 3, 1)
-		near, far := fleet.addresses[3], fleet.addresses[1]
+		zoneMember, far := fleet.addresses[3], fleet.addresses[1]
 		node := fleet.nodes[fleet.addresses[0]]
 		node.options.IsZoneRelay = func() bool { return false }
 		g.Expect(node.mayExchange(far)).To(BeTrue(), "it has heard of no neighbour yet")
-		node.noteContact(near, nil)
+		node.noteContact(zoneMember, nil)
 		g.Expect(node.mayExchange(far)).To(BeFalse())
-		g.Expect(node.mayExchange(near)).To(BeTrue())
+		g.Expect(node.mayExchange(zoneMember)).To(BeTrue())
 		for range 100 {
-			for _, address := range node.draw() {
+			for _, address := range node.selectPeers() {
 				isSource := slices.Contains(fleet.addresses[:zonedWatchers], address)
 				g.Expect(isSource || fleet.zoneOf[address] == 0).To(BeTrue(), "%s", address)
 			}
 		}
-		time.Sleep(neighbourPatience + time.Second)
+		time.Sleep(zoneContactTimeout + time.Second)
 		g.Expect(node.mayExchange(far)).To(BeTrue(), "its neighbours have fallen silent")
-		node.noteContact(near, nil)
+		node.noteContact(zoneMember, nil)
 		node.options.IsZoneRelay = func() bool { return true }
 		g.Expect(node.mayExchange(far)).To(BeTrue())
 	})
 }
 
-// TestManySourcesAreLookedAtInTime lets one node look at a thousand others: it is to find the lost ones
+// TestMonitoredNodesAreComparedInTime has one node monitor a thousand others: it must detect the lost ones
 // within a minute whatever the size of the fleet.
-func TestManySourcesAreLookedAtInTime(t *testing.T) {
+func TestMonitoredNodesAreComparedInTime(t *testing.T) {
 	for _, size := range []int{100, 1000, 2000} {
 		fleet := fleetOf(size)
-		node := newDrawing(fleet, fleet)
+		node := newSelector(fleet, fleet)
 		rounds := int(time.Minute / node.options.Interval)
-		NewWithT(t).Expect(len(drawn(node, rounds, false))).To(BeNumerically(">", size*9/10), "of %d", size)
+		NewWithT(t).Expect(len(selected(node, rounds, false))).To(BeNumerically(">", size*9/10), "of %d", size)
 	}
 }
--- a/antientropy/property_test.go
+++ b/antientropy/property_test.go
@@ -14,23 +14,23 @@
 
 // reset empties a node.
 func (n *testNode) reset() {
-	n.copied = replica.New(urgentKind, func(replica.Change) {})
-	n.syncer.options.Replica = n.copied
+	n.replica = replica.New(urgentKind, func(replica.Change) {})
+	n.syncer.options.Replica = n.replica
 	n.syncer.transfers.index = newChunkIndex()
 	n.syncer.transfers.byKey = map[replica.Key]*transfer{}
 }
 
 // edited returns a content with a part inserted, removed or replaced.
 func edited(t *rapid.T, content []byte) []byte {
-	chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "edit"), 1))
-	at := chance.IntN(len(content))
-	length := chance.IntN(50_000)
+	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "edit"), 1))
+	at := random.IntN(len(content))
+	length := random.IntN(50_000)
 	part := make([]byte, length)
 	for i := range part {
-		part[i] = byte(chance.IntN(256))
+		part[i] = byte(random.IntN(256))
 	}
 	end := min(len(content), at+length)
-	switch chance.IntN(3) {
+	switch random.IntN(3) {
 	case 0:
 		return append(append(bytes.Clone(content[:at]), part...), content[at:]...)
 	case 1:
@@ -40,19 +40,20 @@
 	}
 }
 
-// alike reports whether all nodes have the same versions.
-func alike(nodes []*testNode) bool {
+// converged reports whether all nodes have the same versions.
+func converged(nodes []*testNode) bool {
 	for _, node := range nodes {
-		if node.copied.Digest() != nodes[0].copied.Digest() {
+		if node.replica.Digest() != nodes[0].replica.Digest() {
 			return false
 		}
 	}
 	return true
 }
 
-// TestLongObjectsBecomeAlike has the store deliver versions of a long object to any node, and nodes compare their copies in any order. The oracle is the newest version: no node
-// may ever have other bytes for a version than the store's, and in the end all have the newest.
-func TestLongObjectsBecomeAlike(t *testing.T) {
+// TestChunkedObjectsConverge has the store deliver versions of a chunked object to any node, and nodes compare
+// their replicas in any order. No node may ever have other bytes for a version than the store's, and in the end
+// all must have the newest version.
+func TestChunkedObjectsConverge(t *testing.T) {
 	const (
 		nodeCount = 3
 		// patience is far above what the nodes need, also on a busy machine.
@@ -64,7 +65,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		for _, node := range nodes {
-			// All had the newest version at the end of the case before, so that nothing is fetched.
+			// All had the newest version at the end of the previous case, so nothing is being fetched.
 			node.syncer.background.Wait()
 			node.reset()
 		}
@@ -79,7 +80,7 @@
 			syncer := nodes[from].syncer
 			compared, err := syncer.compare(t.Context(), nodes[to].address)
 			if err == nil {
-				// Long objects are fetched meanwhile, also while the next nodes compare.
+				// Chunked objects are fetched in the background, also while the next nodes compare.
 				err = syncer.exchangeAll(t.Context(), nodes[to].address, compared)
 			}
 			if err != nil {
@@ -91,20 +92,20 @@
 				newest++
 				content = edited(t, content)
 				versions[newest] = content
-				nodes[index.Draw(t, "node")].copied.Apply(replica.SourceStore, replica.Record{Object: objectapi.Object{
+				nodes[index.Draw(t, "node")].replica.Apply(replica.SourceStore, replica.Record{Object: objectapi.Object{
 					Kind: urgentKind, Name: "main", Version: newest, Spec: content,
 				}})
 				continue
 			}
 			compare(index.Draw(t, "from"), index.Draw(t, "to"))
 		}
-		for until := time.Now().Add(patience); !alike(nodes) && time.Now().Before(until); {
+		for until := time.Now().Add(patience); !converged(nodes) && time.Now().Before(until); {
 			for from := range nodeCount {
 				compare(from, (from+1)%nodeCount)
 			}
 		}
 		for _, node := range nodes {
-			live := node.copied.Live(urgentKind)
+			live := node.replica.Live(urgentKind)
 			if len(live) != 1 {
 				t.Fatalf("%d objects", len(live))
 			}
--- a/antientropy/news_test.go
+++ b/antientropy/push_test.go
@@ -13,15 +13,15 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// change applies an object and tells the syncer, as the node's router does.
+// change applies an object and notifies the syncer, as the node's router does.
 func (n *testNode) change(name string, version int64) {
 	record := replica.Record{Object: objectapi.Object{Kind: "things", Name: name, Version: version, Spec: []byte(`{"state":"ready"}`)}}
-	n.copied.Apply(replica.SourceStore, record)
+	n.replica.Apply(replica.SourceStore, record)
 	n.syncer.Changed(replica.Change{Record: record, Source: replica.SourceStore})
 }
 
 func (n *testNode) has(name string) func() bool {
-	return func() bool { return n.copied.Version(replica.Key{Kind: "things", Name: name}) > 0 }
+	return func() bool { return n.replica.Version(replica.Key{Kind: "things", Name: name}) > 0 }
 }
 
 // run runs the node's syncer until the test ends, with other nodes as its peers.
@@ -44,9 +44,9 @@
 	})
 }
 
-// TestChangesAreBroughtWithoutAComparison counts the bytes of one change to a node whose copy differs in
-// thousands of others: only the change is brought.
-func TestChangesAreBroughtWithoutAComparison(t *testing.T) {
+// TestChangesArePushedWithoutComparison counts the bytes of one change to a node whose replica differs in
+// thousands of other objects: only the change must be sent.
+func TestChangesArePushedWithoutComparison(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newTestNode(t), newTestNode(t)
 	for i := range 5000 {
@@ -59,9 +59,9 @@
 	g.Expect(second.exchanged()).To(BeNumerically("<", 300))
 }
 
-// TestASlowNodeHoldsUpNoNews brings changes to two nodes, one of which takes a second for each. The other one
-// hears of all of them meanwhile.
-func TestASlowNodeHoldsUpNoNews(t *testing.T) {
+// TestSlowNodeDoesNotDelayUpdates pushes changes to two nodes, one of which takes a second for each. The other
+// one must receive all of them meanwhile.
+func TestSlowNodeDoesNotDelayUpdates(t *testing.T) {
 	g := NewWithT(t)
 	first, slow, other := newTestNode(t), newTestNode(t), newTestNode(t)
 	slow.exchangeDelay = time.Second
@@ -76,18 +76,18 @@
 	g.Eventually(slow.has("changed-2"), 10*time.Second).Should(BeTrue())
 }
 
-// TestManyChangesAreCompared notes more changes than are kept.
-func TestManyChangesAreCompared(t *testing.T) {
+// TestPendingUpdatesAreBounded adds more changes than are kept.
+func TestPendingUpdatesAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	var fresh freshObjects
-	for i := range maxFresh + 1 {
-		fresh.add(replica.Key{Kind: "things", Name: strconv.Itoa(i)}, i%2 == 0)
+	var pending pendingUpdates
+	for i := range maxPending + 1 {
+		pending.add(replica.Key{Kind: "things", Name: strconv.Itoa(i)}, i%2 == 0)
 	}
-	all, fromStore, areAll := fresh.take()
-	g.Expect(all).To(HaveLen(maxFresh))
-	g.Expect(fromStore).To(HaveLen(maxFresh / 2))
-	g.Expect(areAll).To(BeFalse())
-	all, _, areAll = fresh.take()
+	all, fromStore, isComplete := pending.drain()
+	g.Expect(all).To(HaveLen(maxPending))
+	g.Expect(fromStore).To(HaveLen(maxPending / 2))
+	g.Expect(isComplete).To(BeFalse())
+	all, _, isComplete = pending.drain()
 	g.Expect(all).To(BeEmpty())
-	g.Expect(areAll).To(BeTrue())
+	g.Expect(isComplete).To(BeTrue())
 }
--- a/antientropy/newsrest_test.go
+++ b/antientropy/pushthrottle_test.go
@@ -8,33 +8,33 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestRoundsBecomeFewerWhileNewsKeepComing counts rounds while a node always has news, and after a calm time.
-func TestRoundsBecomeFewerWhileNewsKeepComing(t *testing.T) {
+// TestPushesAreThrottledUnderLoad counts rounds while a node always has updates, and after a quiet period.
+func TestPushesAreThrottledUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		var rest newsRest
-		news := make(chan struct{}, 1)
+		var throttle pushThrottle
+		updates := make(chan struct{}, 1)
 		rounds := func(lasting time.Duration) (count int) {
 			for until := time.Now().Add(lasting); time.Now().Before(until); {
-				notify(news)
+				notify(updates)
 				select {
-				case <-rest.over:
-					rest.end()
-				case <-rest.unless(news):
+				case <-throttle.expired:
+					throttle.release()
+				case <-throttle.gate(updates):
 					count++
-					rest.begin(time.Now())
+					throttle.start(time.Now())
 				}
 			}
 			return count
 		}
 		g.Expect(rounds(10*time.Second)).To(BeNumerically("<=", 52), "each 200 ms, after the first ones")
-		if rest.over != nil {
-			<-rest.over
-			rest.end()
+		if throttle.expired != nil {
+			<-throttle.expired
+			throttle.release()
 		}
 		time.Sleep(time.Second)
 		began := time.Now()
 		g.Expect(rounds(time.Millisecond)).To(Equal(1))
-		g.Expect(time.Since(began)).To(Equal(shortestRest), "the first ones follow soon")
+		g.Expect(time.Since(began)).To(Equal(minPushInterval), "the first ones follow soon")
 	})
 }
--- a/antientropy/silent_test.go
+++ b/antientropy/silent_test.go
@@ -17,13 +17,13 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// stepWithin is how long a change may take from one node to the next where a connection fell silent: it has 3 s to
-// reach all nodes, and takes three steps in the largest fleet of the sheets in which most nodes do not follow the
+// hopLimit is how long a change may take from one node to the next where a connection has stalled: it has 3 s
+// to reach all nodes, and takes three hops in the largest supported fleet, in which most nodes do not watch the
 // store.
-const stepWithin = time.Second
+const hopLimit = time.Second
 
-// silentPair is a node and another one that it tells of changes, in virtual time.
-type silentPair struct {
+// peerPair is a node and another one to which it pushes changes, in virtual time.
+type peerPair struct {
 	network *memnet.Network
 	near    *replica.Replica
 	far     *replica.Replica
@@ -36,21 +36,21 @@
 	peerPort = ":80"
 )
 
-func newSilentPair() *silentPair {
-	pair := &silentPair{network: memnet.NewNetwork(memnet.NewGate())}
+func newPeerPair() *peerPair {
+	pair := &peerPair{network: memnet.NewNetwork(memnet.NewGate())}
 	clock := timeline.NewClock(time.Now)
 	newSyncer := func(host string, changed func(replica.Change), peers ...string) (*replica.Replica, *Syncer, *peer.Client) {
 		client := peer.NewClient(host, func(ctx context.Context, address string) (net.Conn, error) {
 			return pair.network.Dial(ctx, host, address)
 		}, clock)
-		copied := replica.New(urgentKind, changed)
-		return copied, New(Options{
-			Replica: copied, Peers: func() []string { return peers }, Client: client, Logger: slog.New(slog.DiscardHandler), Address: host + peerPort,
+		local := replica.New(urgentKind, changed)
+		return local, New(Options{
+			Replica: local, Peers: func() []string { return peers }, Client: client, Logger: slog.New(slog.DiscardHandler), Address: host + peerPort,
 		}), client
 	}
 	var nearSyncer *Syncer
-	near, told, nearClient := newSyncer(nearHost, func(change replica.Change) { nearSyncer.Changed(change) }, farHost+peerPort)
-	nearSyncer = told
+	near, created, nearClient := newSyncer(nearHost, func(change replica.Change) { nearSyncer.Changed(change) }, farHost+peerPort)
+	nearSyncer = created
 	far, farSyncer, farClient := newSyncer(farHost, func(replica.Change) {})
 	pair.near, pair.far = near, far
 	server := peer.NewServer(farSyncer.Handle, clock)
@@ -74,8 +74,8 @@
 	return pair
 }
 
-// change gives the near node a version, and returns how long the far one takes to have it.
-func (p *silentPair) change(version int64) time.Duration {
+// change gives the near node a version, and returns how long it takes to arrive at the far one.
+func (p *peerPair) change(version int64) time.Duration {
 	const step = 10 * time.Millisecond
 	began := time.Now()
 	object := objectapi.Object{Kind: urgentKind, Name: "main", Version: version, Spec: []byte(`{}`)}
@@ -86,19 +86,20 @@
 	return time.Since(began)
 }
 
-// TestAChangeWaitsForASilentConnection has the connections to another node fall silent between two changes.
-func TestAChangeWaitsForASilentConnection(t *testing.T) {
+// TestChangeArrivesDespiteStalledConnection stalls the connections to another node between two changes: they
+// deliver nothing any more, but are not closed.
+func TestChangeArrivesDespiteStalledConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		pair := newSilentPair()
+		pair := newPeerPair()
 		defer pair.close()
-		g.Expect(pair.change(1)).To(BeNumerically("<", stepWithin))
+		g.Expect(pair.change(1)).To(BeNumerically("<", hopLimit))
 		for version := int64(2); version < 6; version++ {
 			time.Sleep(3 * time.Second)
 			g.Expect(pair.network.Silence(func(memnet.Link) bool { return true })).To(BeNumerically(">", 0))
 			took := pair.change(version)
 			t.Logf("reached the next node after %v", took)
-			g.Expect(took).To(BeNumerically("<", stepWithin))
+			g.Expect(took).To(BeNumerically("<", hopLimit))
 		}
 	})
 }
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -22,116 +22,117 @@
 
 // Defaults of Options.
 const (
-	defaultInterval        = 400 * time.Millisecond
-	defaultCallTimeout     = 300 * time.Millisecond
-	defaultExchangeTimeout = 2 * time.Second
-	defaultFanout          = 3
-	defaultAvoidance       = 2 * time.Second
-	// maxExchanges is how many exchanges of objects run at once. Each has up to 128 KiB, 105 ms of
-	// a link of 10 Mbit/s.
+	defaultInterval            = 400 * time.Millisecond
+	defaultCallTimeout         = 300 * time.Millisecond
+	defaultExchangeTimeout     = 2 * time.Second
+	defaultFanout              = 3
+	defaultUnresponsiveBackoff = 2 * time.Second
+	// maxExchanges bounds the exchanges of objects that run at once. Each carries up to 128 KiB, which takes
+	// 105 ms on a link of 10 Mbit/s.
 	maxExchanges = 4
-	// uploadShare is the part of the link that chunks may take. The rest is for requests, and
-	// for the calls by which nodes know that others live.
+	// uploadShare is the share of the link that sending chunks may use. The rest is for requests, and for the
+	// comparisons that detect unresponsive nodes.
 	uploadShare = 0.6
-	// uploadBurst is how long chunks may take all of the link.
+	// uploadBurst is how long chunks may use the whole link.
 	uploadBurst = 50 * time.Millisecond
 )
 
-// Options are the parts of a Syncer.
+// Options configures a Syncer.
 type Options struct {
 	Replica *replica.Replica
 	// Peers returns the addresses of the other nodes.
 	Peers func() []string
-	// Monitored returns the addresses of other nodes that this one looks at besides: those that
-	// hear first from the store. Default: none.
+	// Monitored returns the addresses of nodes that are compared with in addition to the partners, whatever
+	// their zone: those that watch the store, and all nodes at the node that removes lost ones. Default: none.
 	Monitored func() []string
-	// SameZone reports whether a node is in the zone of this one. News go to such nodes. Default: all
+	// SameZone reports whether a node is in this node's zone. Updates are pushed to such nodes. Default: all
 	// are.
 	SameZone func(address string) bool
-	// RemoteRelays returns the nodes of other zones to which this one brings news besides. Default: none.
+	// RemoteRelays returns zone relays of other zones, to which updates from the store are pushed too. Default:
+	// none.
 	RemoteRelays func() []string
 	// IsZoneRelay reports whether this node exchanges objects with nodes of other zones. Default: it does.
 	IsZoneRelay func() bool
-	// Complete reports whether the copy of this node is whole: it has listed all kinds. Default:
-	// it never is.
+	// Complete reports whether this node's replica is complete: all kinds have been listed. Default: it never
+	// is.
 	Complete func() bool
-	// WatchesStore reports whether this node follows the store. Default: it does.
+	// WatchesStore reports whether this node watches the store. Default: it does.
 	WatchesStore func() bool
-	// OnComplete is called once the copy has all that a whole one has, though this node
-	// may have listed nothing. It may be called again. Default: nothing.
+	// OnComplete is called once the replica has everything that a complete one has, even if this node has
+	// listed nothing from the store. It may be called more than once. Default: no call.
 	OnComplete func()
-	// Address is where other nodes find this one. Without it, nobody fetches chunks here that
-	// this node has announced or sent.
+	// Address is the address at which other nodes reach this one. Without it, no node fetches chunks of objects
+	// that this node has announced or sent.
 	Address string
-	// LinkBytes is what the link of this node carries, in bytes a second. Default: no bound.
+	// LinkBytes is the bandwidth of this node's link in bytes per second. Default: unlimited.
 	LinkBytes float64
-	// Refetch asks the store for an object that no node sends any more, and applies it. Default:
-	// nothing.
+	// Refetch reads an object from the store that no node can send any more, and applies it. Default: no call.
 	Refetch func(ctx context.Context, key replica.Key)
-	// Client calls them.
+	// Client calls other nodes.
 	Client *peer.Client
 	Logger *slog.Logger
 	// Interval is the time between two comparisons. Default 400ms.
 	Interval time.Duration
-	// CallTimeout bounds the comparison of two digests, by which a node is known to live.
-	// Default 300ms.
+	// CallTimeout bounds the comparison of two digests, which decides whether a node is responsive. Default
+	// 300ms.
 	CallTimeout time.Duration
-	// ExchangeTimeout bounds one exchange of objects, which has up to 128 KiB and its own
-	// connection. A node that misses it does not count as lost. Default 2s.
+	// ExchangeTimeout bounds one exchange of objects, which carries up to 128 KiB on a connection of its own. A
+	// node that exceeds it does not count as unresponsive. Default 2s.
 	ExchangeTimeout time.Duration
-	// Fanout is to how many nodes news are brought at once. Default 2.
+	// Fanout is the number of nodes to which an update is pushed at once. Default 2.
 	Fanout int
-	// UnresponsiveBackoff is how long a node that did not answer is left alone. Default 2s.
+	// UnresponsiveBackoff is how long a node that did not answer is not called again. Default 2s.
 	UnresponsiveBackoff time.Duration
 }
 
-// Syncer compares the copy of this node with those of others.
+// Syncer compares this node's replica with those of other nodes.
 type Syncer struct {
 	options Options
-	// news and urgentNews tell that the copy has changed, and fresh holds what.
-	news, urgentNews chan struct{}
-	fresh            freshObjects
+	// updates and urgentUpdates signal that the replica has changed; pending holds the changed objects.
+	updates, urgentUpdates chan struct{}
+	pending                pendingUpdates
 
 	started time.Time
-	// salt makes this node's order of the others its own.
+	// salt gives each node a different order of the other nodes.
 	salt string
-	// permute puts a number of things into an order by chance.
+	// permute shuffles a number of elements; tests replace it.
 	permute func(count int, swap func(i, j int))
-	// verifying holds the nodes that are compared with because they did not answer a call.
+	// verifying deduplicates the comparisons with nodes that did not answer a call.
 	verifying singleflight.Group
-	// transfers fetches long objects.
+	// transfers fetches chunked objects.
 	transfers *transfers
-	// uploads bounds the chunks that this node sends, in bytes.
+	// uploads limits the chunks that this node sends, in bytes.
 	uploads *rate.Limiter
-	// background counts what runs beside the comparisons; ctx ends it.
+	// background waits for work that runs beside the comparisons; ctx ends it.
 	background sync.WaitGroup
 	ctx        context.Context
 	stop       context.CancelFunc
-	// contactChanges counts changes of silent.
-	contactChanges atomic.Uint64
+	// responsivenessChanges counts the changes of unresponsive.
+	responsivenessChanges atomic.Uint64
 
 	mu sync.Mutex
-	// rounds counts the draws that brought no news.
+	// rounds counts the rounds of periodic comparisons.
 	rounds int
-	// silent holds the nodes that did not answer.
-	silent map[string]silence
-	// neighbourAt is when a node of this zone last answered.
-	neighbourAt time.Time
-	// byPart holds the nodes that compare parts of buckets.
-	byPart map[string]bool
-	// spreadAt is when news were last spread, and exchangedAt when the last exchange of objects began.
-	spreadAt, exchangedAt time.Time
-	// bringing holds the nodes to which news are being brought.
-	bringing map[string]bool
-	// exchanging holds the nodes with which objects are exchanged at present.
+	// unresponsive holds the nodes that did not answer.
+	unresponsive map[string]unresponsiveState
+	// zoneContactAt is when a node of this zone last answered.
+	zoneContactAt time.Time
+	// supportsParts holds the nodes that can compare parts of buckets.
+	supportsParts map[string]bool
+	// pushedAt is when updates were last pushed, and exchangedAt when the last exchange of objects began.
+	pushedAt, exchangedAt time.Time
+	// pushing holds the nodes to which updates are being pushed.
+	pushing map[string]bool
+	// exchanging holds the exchanges of objects in progress, by the other node's address.
 	exchanging map[string]ongoingExchange
-	// agreedAt is when a node that follows the store had the urgent objects of this copy.
-	agreedAt time.Time
-	// covered marks the buckets that this node has taken over from whole copies.
-	covered [replica.BucketCount]bool
+	// confirmedAt is the latest time at which a node that watches the store is known to have had the urgent
+	// objects of this replica.
+	confirmedAt time.Time
+	// completeBuckets marks the buckets that this node has taken over from complete replicas.
+	completeBuckets [replica.BucketCount]bool
 }
 
-// New returns a syncer that does nothing until Run.
+// New returns a syncer that is idle until Run.
 func New(options Options) *Syncer {
 	if options.Interval == 0 {
 		options.Interval = defaultInterval
@@ -146,7 +147,7 @@
 		options.Fanout = defaultFanout
 	}
 	if options.UnresponsiveBackoff == 0 {
-		options.UnresponsiveBackoff = defaultAvoidance
+		options.UnresponsiveBackoff = defaultUnresponsiveBackoff
 	}
 	if options.Complete == nil {
 		options.Complete = func() bool { return false }
@@ -173,17 +174,17 @@
 		options.Refetch = func(context.Context, replica.Key) {}
 	}
 	s := &Syncer{
-		options: options, news: make(chan struct{}, 1), urgentNews: make(chan struct{}, 1), silent: map[string]silence{},
+		options: options, updates: make(chan struct{}, 1), urgentUpdates: make(chan struct{}, 1), unresponsive: map[string]unresponsiveState{},
 		started: time.Now(), salt: uuid.NewString(), permute: rand.Shuffle,
 		uploads:    newUploadLimiter(options.LinkBytes),
-		exchanging: map[string]ongoingExchange{}, agreedAt: time.Now(), byPart: map[string]bool{}, bringing: map[string]bool{},
+		exchanging: map[string]ongoingExchange{}, confirmedAt: time.Now(), supportsParts: map[string]bool{}, pushing: map[string]bool{},
 	}
 	s.transfers = newTransfers(s)
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s
 }
 
-// newUploadLimiter bounds the chunks that a node sends over a link of so many bytes a second.
+// newUploadLimiter limits the chunks that a node sends over a link of linkBytes per second.
 func newUploadLimiter(linkBytes float64) *rate.Limiter {
 	if linkBytes <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -192,7 +193,7 @@
 	return rate.NewLimiter(rate.Limit(linkBytes*uploadShare), burst)
 }
 
-// inBackground runs a part of the work beside the comparisons, until Close at the latest.
+// inBackground runs work beside the comparisons, until Close at the latest.
 func (s *Syncer) inBackground(work func(ctx context.Context)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,7 +203,7 @@
 	s.background.Go(func() { work(s.ctx) })
 }
 
-// Close ends what runs in the background.
+// Close stops the background work and waits for it.
 func (s *Syncer) Close() {
 	s.mu.Lock()
 	s.stop()
@@ -210,11 +211,12 @@
 	s.background.Wait()
 }
 
-// ScheduleSync has the copy compared soon. It never blocks.
-func (s *Syncer) ScheduleSync() { notify(s.news) }
+// ScheduleSync schedules a push or comparison, which may be delayed while pushes are throttled. It never
+// blocks.
+func (s *Syncer) ScheduleSync() { notify(s.updates) }
 
-// ScheduleUrgentSync has the copy compared at once. It never blocks.
-func (s *Syncer) ScheduleUrgentSync() { notify(s.urgentNews) }
+// ScheduleUrgentSync schedules an immediate push or comparison. It never blocks.
+func (s *Syncer) ScheduleUrgentSync() { notify(s.urgentUpdates) }
 
 func notify(waiting chan struct{}) {
 	select {
@@ -223,108 +225,111 @@
 	}
 }
 
-// Run compares until the context ends.
+// Run compares and pushes until the context ends.
 func (s *Syncer) Run(ctx context.Context) {
 	defer s.Close()
 	ticker := time.NewTicker(s.options.Interval)
 	defer ticker.Stop()
-	s.noteAgreement(time.Now())
-	var rest newsRest
+	s.noteConfirmed(time.Now())
+	var throttle pushThrottle
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.forEach(s.draw(), func(address string) { s.syncWith(ctx, address) })
-		case <-rest.over:
-			rest.end()
-		case <-rest.unless(s.news):
-			s.spreadNews(ctx)
-			rest.begin(time.Now())
-		case <-s.urgentNews:
-			s.spreadNews(ctx)
+			s.forEach(s.selectPeers(), func(address string) { s.syncWith(ctx, address) })
+		case <-throttle.expired:
+			throttle.release()
+		case <-throttle.gate(s.updates):
+			s.pushUpdates(ctx)
+			throttle.start(time.Now())
+		case <-s.urgentUpdates:
+			s.pushUpdates(ctx)
 		}
 	}
 }
 
-// syncWith compares the copies of this node and another one, and begins to make them alike.
+// syncWith compares the replicas of this node and another one, and starts an exchange of the objects that
+// differ.
 func (s *Syncer) syncWith(ctx context.Context, address string) {
 	began := time.Now()
 	compared, err := s.compare(ctx, address)
 	if err != nil && !errors.Is(err, peer.ErrNotSent) {
-		compared, err = s.compareAnew(ctx, address, began)
+		compared, err = s.compareOnNewConnection(ctx, address, began)
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	s.noteContact(address, err)
 	if err == nil && !slices.Contains(compared.differing, replica.UrgentBucket) {
-		s.noteAgreement(compared.agreedAt)
+		s.noteConfirmed(compared.confirmedAt)
 	}
 	if err != nil || len(compared.differing) == 0 || !s.mayExchange(address) {
 		return
 	}
-	if !compared.covers && !s.mayRepair() || !s.beginExchange(address) {
-		// The next comparison goes on.
+	if !compared.otherComplete && !s.mayRepair() || !s.beginExchange(address) {
+		// The next comparison continues.
 		return
 	}
 	s.inBackground(func(ctx context.Context) {
 		defer s.endExchange(address)
 		if err := s.exchangeAll(ctx, address, compared); err != nil {
-			s.bulkFailed(ctx, "exchange failed", address, err)
+			s.logBulkFailure(ctx, "exchange failed", address, err)
 			return
 		}
-		s.noteAgreement(compared.agreedAt)
+		s.noteConfirmed(compared.confirmedAt)
 	})
 }
 
-// comparison is what a node knows of another one's copy.
+// comparison is the result of comparing this node's replica with another one.
 type comparison struct {
 	// differing are the buckets that differ, in the order in which they are exchanged.
 	differing []int
-	// covers is set where the other copy is whole and this one is not known to be.
-	covers bool
-	// byPart is set where the other node compares parts of buckets; older builds do not.
-	byPart bool
-	// agreedAt is when a node that follows the store had the urgent objects of the other copy.
-	agreedAt time.Time
+	// otherComplete is set where the other replica is complete and this one is not known to be.
+	otherComplete bool
+	// supportsParts is set where the other node can compare parts of buckets; older builds cannot.
+	supportsParts bool
+	// confirmedAt is the latest time at which a node that watches the store is known to have had the urgent
+	// objects of the other replica.
+	confirmedAt time.Time
 }
 
-// compare asks another node whether its copy differs. It is a short call, by which nodes know
-// that others live.
+// compare asks another node whether its replica differs. The call is short, and decides whether the node is
+// responsive.
 func (s *Syncer) compare(ctx context.Context, address string) (comparison, error) {
 	began := time.Now()
 	response, err := s.call(ctx, peer.LaneControl, address, s.options.CallTimeout, &peerpb.Request{Body: &peerpb.Request_CompareReplicas{
 		CompareReplicas: &peerpb.CompareReplicas{Digest: s.options.Replica.Digest()},
 	}})
 	if err != nil {
-		return comparison{}, errors.Wrap(err, "compare copies")
+		return comparison{}, errors.Wrap(err, "compare replicas")
 	}
 	versions := response.GetReplicaVersions()
-	s.noteBuild(address, versions.GetComparesParts())
-	// A copy that is whole stays so: there is nothing to note any more.
-	compared := comparison{covers: versions.GetWhole() && !s.options.Complete(), byPart: versions.GetComparesParts(), agreedAt: agreedAt(began, versions)}
+	s.notePartsSupport(address, versions.GetComparesParts())
+	// A complete replica stays complete: there is nothing left to record then.
+	compared := comparison{otherComplete: versions.GetWhole() && !s.options.Complete(), supportsParts: versions.GetComparesParts(), confirmedAt: confirmedAt(began, versions)}
 	if !versions.GetSame() {
 		compared.differing = shuffled(s.options.Replica.Differing(versions.GetBuckets()))
 	}
-	if compared.covers {
-		s.cover(othersThan(compared.differing))
+	if compared.otherComplete {
+		s.markComplete(bucketsExcept(compared.differing))
 	}
 	return compared, nil
 }
 
-// compareAnew is compare on a connection that was opened after a moment. Established ones may
-// fall silent for good, without a reset, while new ones work; yamux has no keep-alive here, since
-// comparisons take its place.
-func (s *Syncer) compareAnew(ctx context.Context, address string, openedAfter time.Time) (comparison, error) {
+// compareOnNewConnection is compare on a connection that was opened after the given time. Established
+// connections may stop delivering for good, without a reset, while new ones work; yamux has no keep-alive here,
+// since comparisons serve that purpose.
+func (s *Syncer) compareOnNewConnection(ctx context.Context, address string, openedAfter time.Time) (comparison, error) {
 	s.options.Client.ResetLane(peer.LaneControl, address, openedAfter)
-	// What silenced one connection may have silenced the other. A call that is under way may only be slow.
+	// Whatever stalled this connection may have stalled the bulk connection too. A call in progress there may
+	// only be slow.
 	s.options.Client.ResetUnusedLane(peer.LaneBulk, address, openedAfter)
 	return s.compare(ctx, address)
 }
 
-// othersThan returns all buckets but the given ones.
-func othersThan(buckets []int) []int {
+// bucketsExcept returns all buckets but the given ones.
+func bucketsExcept(buckets []int) []int {
 	others := make([]int, 0, replica.BucketCount-len(buckets))
 	for i := range replica.BucketCount {
 		if !slices.Contains(buckets, i) {
@@ -334,16 +339,16 @@
 	return others
 }
 
-// cover notes that some buckets have all that a whole copy has. Once all of them do, this
-// copy is whole as well.
-func (s *Syncer) cover(buckets []int) {
+// markComplete records that some buckets have everything that a complete replica has. Once all of them do, this
+// replica is complete as well.
+func (s *Syncer) markComplete(buckets []int) {
 	s.mu.Lock()
 	for _, bucket := range buckets {
-		s.covered[bucket] = true
+		s.completeBuckets[bucket] = true
 	}
-	whole := !slices.Contains(s.covered[:], false)
+	isComplete := !slices.Contains(s.completeBuckets[:], false)
 	s.mu.Unlock()
-	if whole {
+	if isComplete {
 		s.options.OnComplete()
 	}
 }
@@ -356,7 +361,7 @@
 	began := time.Now()
 	response, err := s.options.Client.CallOn(ctx, lane, address, request)
 	if err != nil && lane == peer.LaneBulk {
-		// The next call opens a new connection. Comparisons do so by themselves.
+		// The next call opens a new connection. Comparisons do so themselves.
 		s.options.Client.ResetLane(lane, address, began)
 	}
 	return response, err
--- a/antientropy/transfer.go
+++ b/antientropy/transfer.go
@@ -9,21 +9,21 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// transfer is one version of a long object that this node fetches from others, chunk by chunk.
-// Its fields are protected by the lock of transfers, but for those that never change.
+// transfer is one version of a chunked object that this node fetches from others, chunk by chunk. The lock of
+// transfers protects all its fields that may change.
 type transfer struct {
 	// record is the version, without its content.
 	record   replica.Record
 	manifest chunk.Manifest
 	began    time.Time
 
-	// have holds the chunks that are here already.
+	// have holds the chunks that this node already has.
 	have map[chunk.ID][]byte
-	// missing holds the others in an order of chance, so that nodes which fetch at the same
-	// time have different ones to give to each other.
+	// missing holds the others in random order, so that nodes which fetch at the same time get different ones
+	// and can exchange them.
 	missing []chunk.Reference
 	sources []*source
-	// progressedAt is when the last chunk came.
+	// progressedAt is when the last chunk arrived.
 	progressedAt time.Time
 	// running is set while chunks are fetched.
 	running bool
@@ -34,11 +34,11 @@
 // source is a node that has some chunks of a transfer, or all of them.
 type source struct {
 	address string
-	// notBefore is when it is asked again after it had nothing to give.
+	// notBefore is when it is asked again after it had no chunks to send.
 	notBefore time.Time
 }
 
-// newTransfer returns a transfer of all chunks that find does not find here.
+// newTransfer returns a transfer of all chunks that find does not return.
 func newTransfer(record replica.Record, manifest chunk.Manifest, find func(chunk.ID) ([]byte, bool)) *transfer {
 	now := time.Now()
 	t := &transfer{record: record, manifest: manifest, began: now, progressedAt: now, have: map[chunk.ID][]byte{}}
@@ -57,7 +57,7 @@
 	return t
 }
 
-// addSource notes another node that has chunks.
+// addSource adds another node that has chunks.
 func (t *transfer) addSource(address string) {
 	known := func(s *source) bool { return s.address == address }
 	if address != "" && !slices.ContainsFunc(t.sources, known) {
@@ -65,13 +65,13 @@
 	}
 }
 
-// removeSource forgets a node that does not answer.
+// removeSource removes a node that does not answer.
 func (t *transfer) removeSource(address string) {
 	t.sources = slices.DeleteFunc(t.sources, func(s *source) bool { return s.address == address })
 }
 
-// restSource leaves a node alone until a moment.
-func (t *transfer) restSource(address string, until time.Time) {
+// pauseSource suspends requests to a node until the given time.
+func (t *transfer) pauseSource(address string, until time.Time) {
 	for _, known := range t.sources {
 		if known.address == address {
 			known.notBefore = until
@@ -79,16 +79,16 @@
 	}
 }
 
-// fields returns what a transfer is logged by.
-func (t *transfer) fields() []any {
+// logFields returns the log attributes of a transfer.
+func (t *transfer) logFields() []any {
 	return []any{
 		"kind", string(t.record.Object.Kind), "name", t.record.Object.Name, "revision", t.record.Object.Version,
 		"age_ms", time.Since(t.began).Milliseconds(), "chunks", len(t.manifest), "missing", len(t.missing), "sources", len(t.sources),
 	}
 }
 
-// pick returns a node that may be asked now, by chance, or when one may be; found is false
-// where no node is known any more.
+// pick returns a random node that may be asked now, or else the time until one may be; found is false if there
+// is no source left.
 func (t *transfer) pick(now time.Time) (picked *source, wait time.Duration, found bool) {
 	if len(t.sources) == 0 {
 		return nil, 0, false
@@ -109,7 +109,7 @@
 	return askable[rand.IntN(len(askable))], 0, true
 }
 
-// batch returns the chunks to ask for next, at least one and as many as one message holds.
+// batch returns the chunks to request next, at least one and as many as fit into one message.
 func (t *transfer) batch() []chunk.Reference {
 	size := 0
 	for i, reference := range t.missing {
@@ -121,8 +121,8 @@
 	return slices.Clone(t.missing)
 }
 
-// take puts chunks in. What was not asked for is passed over. It returns how many were missing.
-func (t *transfer) take(contents map[chunk.ID][]byte) int {
+// addChunks adds received chunks and ignores those that were not requested. It returns how many of them had been missing.
+func (t *transfer) addChunks(contents map[chunk.ID][]byte) int {
 	before := len(t.missing)
 	t.missing = slices.DeleteFunc(t.missing, func(reference chunk.Reference) bool {
 		content, came := contents[reference.ID]
@@ -135,8 +135,8 @@
 	return before - len(t.missing)
 }
 
-// turn moves the first missing chunks to the end, because the node that was asked lacks them.
-func (t *transfer) turn(count int) {
+// rotate moves the first missing chunks to the end, because the node that was asked lacks them.
+func (t *transfer) rotate(count int) {
 	count = min(count, len(t.missing))
 	t.missing = append(t.missing[count:], t.missing[:count]...)
 }
--- a/antientropy/transfers.go
+++ b/antientropy/transfers.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// chunksTimeout bounds one call for chunks. They take 26 ms of the narrowest link of the
-	// sites' sheets, and so 0.8 s where it is shared by thirty.
+	// chunksTimeout bounds one call for chunks. They take 26 ms on the slowest link that is supported, and so
+	// 0.8 s where thirty calls share it.
 	chunksTimeout = time.Second
-	// sourceRest is how long a node is left alone that had no chunks to give: about the time in
-	// which one more chunk reaches it.
-	sourceRest = 40 * time.Millisecond
-	// behindAfter is how long a node may take for a version before it says that it is behind.
-	// Sheets want a configuration in force 2 to 4 s after its acknowledgement.
+	// sourceRetryDelay is how long a node that had no chunks to send is not asked again: about the time in
+	// which it receives one more chunk.
+	sourceRetryDelay = 40 * time.Millisecond
+	// behindAfter is how long fetching a version may take before the node logs that it is behind. A
+	// configuration has to be in force 2 to 4 s after its acknowledgement.
 	behindAfter = 2 * time.Second
-	// stuckAfter is how long no chunk may come before the store is asked for the object.
+	// stuckAfter is how long no chunk may arrive before the object is read from the store.
 	stuckAfter = 2 * time.Second
-	// maxObjectBytes bounds an object that is fetched. The users' store takes 4 MiB.
+	// maxObjectBytes bounds an object that is fetched. The platform's store accepts 4 MiB.
 	maxObjectBytes = 16 << 20
 )
 
-// transfers fetches long objects from other nodes. It is safe for concurrent use.
+// transfers fetches chunked objects from other nodes. It is safe for concurrent use.
 type transfers struct {
 	syncer *Syncer
 	index  *chunkIndex
@@ -41,13 +41,13 @@
 	return &transfers{syncer: syncer, index: newChunkIndex(), byKey: map[replica.Key]*transfer{}}
 }
 
-// offer notes that another node has a version of an object, or a part of it, and fetches it
-// unless this node has it.
+// offer records that another node has a version of an object, or a part of it, and fetches it unless this node
+// has it.
 func (ts *transfers) offer(record replica.Record, manifest chunk.Manifest, address string) {
 	if ts.has(record) {
 		return
 	}
-	ts.indexOwn(record.Key())
+	ts.indexLocal(record.Key())
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
 	current := ts.byKey[record.Key()]
@@ -68,22 +68,21 @@
 
 // has reports whether this node has a version of an object, or a newer one.
 func (ts *transfers) has(record replica.Record) bool {
-	own := ts.syncer.options.Replica.Records([]replica.Key{record.Key()})
-	return len(own) > 0 && own[0].Object.Version >= record.Object.Version
+	local := ts.syncer.options.Replica.Records([]replica.Key{record.Key()})
+	return len(local) > 0 && local[0].Object.Version >= record.Object.Version
 }
 
-// indexOwn has the chunks of the version that this node has found, so that what it has in common
-// with another one is not fetched.
-func (ts *transfers) indexOwn(key replica.Key) {
-	for _, own := range ts.syncer.options.Replica.Records([]replica.Key{key}) {
-		if len(own.Object.Spec) >= chunkedFrom {
-			ts.index.manifest(own)
+// indexLocal indexes the chunks of this node's version of an object, so that chunks which it shares with
+// another version are not fetched.
+func (ts *transfers) indexLocal(key replica.Key) {
+	for _, local := range ts.syncer.options.Replica.Records([]replica.Key{key}) {
+		if len(local.Object.Spec) >= minChunkedBytes {
+			ts.index.manifest(local)
 		}
 	}
 }
 
-// findWith returns a chunk that this node has or that another transfer has fetched; the lock is
-// held.
+// findWith returns a chunk that this node has or that another transfer has fetched; the caller holds the lock.
 func (ts *transfers) findWith(other *transfer, id chunk.ID) ([]byte, bool) {
 	if other != nil {
 		if content, found := other.have[id]; found {
@@ -93,7 +92,7 @@
 	return ts.index.find(id)
 }
 
-// find returns a chunk that this node can give to others.
+// find returns a chunk that this node can send to others.
 func (ts *transfers) find(id chunk.ID) ([]byte, bool) {
 	if content, found := ts.index.find(id); found {
 		return content, true
@@ -108,15 +107,15 @@
 	return nil, false
 }
 
-// run fetches until the object is whole, a newer version replaces it, or no node is left that
-// has it; then the next offer goes on with it.
+// run fetches until the object is complete, a newer version replaces it, or no source is left; in that case the
+// next offer resumes it.
 func (ts *transfers) run(ctx context.Context, t *transfer) {
 	ts.announce(t)
 	for ctx.Err() == nil {
 		next := ts.next(t)
 		switch {
 		case ts.has(t.record):
-			// The store has delivered it meanwhile, or a newer version.
+			// It has arrived from the store meanwhile, or a newer version has.
 			ts.forget(t)
 			return
 		case next.complete:
@@ -125,7 +124,7 @@
 		case next.stop:
 			return
 		case next.wait > 0:
-			_ = periodic.Pause(ctx, next.wait) // The loop looks at the context.
+			_ = periodic.Pause(ctx, next.wait) // The loop checks the context.
 		default:
 			ts.fetch(ctx, t, next.source, next.batch)
 		}
@@ -133,10 +132,10 @@
 	}
 }
 
-// step is what a transfer does next.
+// step is the next action of a transfer.
 type step struct {
 	complete bool
-	// stop is set where the transfer is replaced, or no node is known that has its chunks.
+	// stop is set where the transfer is replaced, or has no source left.
 	stop   bool
 	wait   time.Duration
 	source string
@@ -163,7 +162,7 @@
 	return step{source: picked.address, batch: t.batch()}
 }
 
-// fetch asks a node for some chunks.
+// fetch requests some chunks from a node.
 func (ts *transfers) fetch(ctx context.Context, t *transfer, address string, batch []chunk.Reference) {
 	request := &peerpb.FetchChunks{}
 	for _, reference := range batch {
@@ -171,21 +170,21 @@
 	}
 	response, err := ts.syncer.call(ctx, peer.LaneBulk, address, chunksTimeout, &peerpb.Request{Body: &peerpb.Request_FetchChunks{FetchChunks: request}})
 	if err != nil {
-		ts.syncer.bulkFailed(ctx, "chunks not fetched", address, err)
+		ts.syncer.logBulkFailure(ctx, "chunks not fetched", address, err)
 		ts.removeSource(t, address)
 		return
 	}
 	contents := contentsOf(response.GetChunkContents())
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
-	if t.take(contents) > 0 {
+	if t.addChunks(contents) > 0 {
 		t.progressedAt = time.Now()
 		return
 	}
 	if !response.GetChunkContents().GetBusy() {
-		t.turn(len(batch))
+		t.rotate(len(batch))
 	}
-	t.restSource(address, time.Now().Add(sourceRest))
+	t.pauseSource(address, time.Now().Add(sourceRetryDelay))
 }
 
 func (ts *transfers) removeSource(t *transfer, address string) {
@@ -194,11 +193,11 @@
 	t.removeSource(address)
 }
 
-// finish applies the whole object.
+// finish applies the complete object.
 func (ts *transfers) finish(t *transfer) {
 	content, err := t.manifest.Join(t.have)
 	if err != nil {
-		ts.syncer.options.Logger.Error("object not joined", "kind", string(t.record.Object.Kind), "name", t.record.Object.Name, "error", err.Error())
+		ts.syncer.options.Logger.Error("cannot assemble object from its chunks", "kind", string(t.record.Object.Kind), "name", t.record.Object.Name, "error", err.Error())
 		ts.forget(t)
 		return
 	}
@@ -209,7 +208,7 @@
 	ts.syncer.apply(record)
 }
 
-// forget ends a transfer.
+// forget removes a transfer.
 func (ts *transfers) forget(t *transfer) {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
@@ -217,22 +216,22 @@
 		delete(ts.byKey, t.record.Key())
 	}
 	if t.reportedBehind {
-		ts.syncer.options.Logger.Info("caught up", t.fields()...)
+		ts.syncer.options.Logger.Info("caught up", t.logFields()...)
 	}
 }
 
-// watchProgress says so where this node is behind, and asks the store where no chunk comes any
+// watchProgress logs when this node is behind, and reads the object from the store when no chunks arrive any
 // more.
 func (ts *transfers) watchProgress(t *transfer) {
 	ts.mu.Lock()
 	now := time.Now()
 	if !t.reportedBehind && now.Sub(t.began) > behindAfter {
 		t.reportedBehind = true
-		ts.syncer.options.Logger.Warn("behind", t.fields()...)
+		ts.syncer.options.Logger.Warn("behind", t.logFields()...)
 	}
 	stuck := now.Sub(t.progressedAt) > stuckAfter
 	if stuck {
-		// The store has as long again.
+		// The store gets the same time again.
 		t.progressedAt = now
 	}
 	ts.mu.Unlock()
@@ -241,8 +240,8 @@
 	}
 }
 
-// announce notifies a few nodes that this one will soon have chunks of an object, so that they
-// begin to fetch before this node has all of it.
+// announce notifies a few nodes that this one will soon have chunks of an object, so that they start fetching
+// before this node has all of it.
 func (ts *transfers) announce(t *transfer) {
 	announced := &peerpb.ExchangeObjects{
 		Objects: []*peerpb.StoredObject{manifestObject(t.record, t.manifest)}, Address: ts.syncer.options.Address,
@@ -250,11 +249,11 @@
 	if announced.GetAddress() == "" {
 		return
 	}
-	for _, address := range ts.syncer.newsOrBridged() {
+	for _, address := range ts.syncer.syncTargets() {
 		ts.syncer.inBackground(func(ctx context.Context) {
 			request := &peerpb.Request{Body: &peerpb.Request_ExchangeObjects{ExchangeObjects: announced}}
 			if _, err := ts.syncer.call(ctx, peer.LaneBulk, address, chunksTimeout, request); err != nil {
-				ts.syncer.bulkFailed(ctx, "chunks not announced", address, err)
+				ts.syncer.logBulkFailure(ctx, "chunks not announced", address, err)
 			}
 		})
 	}
--- a/antientropy/wire.go
+++ b/antientropy/wire.go
@@ -44,29 +44,29 @@
 }
 
 const (
-	// maxExchangedBytes bounds the content of one message as it is sent. What does not
-	// fit comes with the next comparison.
+	// maxExchangedBytes bounds the content of one message as it is sent. Objects that do not fit are sent after
+	// the next comparison.
 	maxExchangedBytes = 128 << 10
-	// maxCompressedContent bounds the content that is compressed together for one message.
+	// maxCompressedContent bounds the uncompressed content that is compressed together for one message.
 	maxCompressedContent = 4 * maxExchangedBytes
-	// compressedFrom is the content, in bytes, from which compression is tried. Back ends
-	// and nodes have some hundred bytes each.
-	compressedFrom = 4 << 10
-	// compressedTogetherFrom is the same for several objects, whose fields have the same names.
-	compressedTogetherFrom = 512
-	// chunkedFrom is the content, in bytes, from which an object is fetched by chunks. A
-	// configuration of 1,400 routes has 280 KB.
-	chunkedFrom = chunk.MaxBytes
+	// minCompressedBytes is the size of a content from which it is compressed. The objects of backends and
+	// nodes have a few hundred bytes each.
+	minCompressedBytes = 4 << 10
+	// minBatchCompressedBytes is the same for several objects, which share their field names.
+	minBatchCompressedBytes = 512
+	// minChunkedBytes is the size of a content from which an object is fetched in chunks. A configuration of
+	// 1,400 routes has 280 KB.
+	minChunkedBytes = chunk.MaxBytes
 )
 
-// storedObjects returns as many of the records as fit into so many bytes, at least one, and
-// whether some are left out.
-func (s *Syncer) storedObjects(records []replica.Record, most int) (stored []*peerpb.StoredObject, truncated bool) {
+// storedObjects encodes as many of the records as fit into maxBytes, at least one, and reports whether some are
+// left out.
+func (s *Syncer) storedObjects(records []replica.Record, maxBytes int) (stored []*peerpb.StoredObject, truncated bool) {
 	size := 0
 	for _, record := range records {
 		object := s.encodeRecord(record)
 		size += proto.Size(object)
-		if size > most && len(stored) > 0 {
+		if size > maxBytes && len(stored) > 0 {
 			return stored, true
 		}
 		stored = append(stored, object)
@@ -74,11 +74,11 @@
 	return stored, false
 }
 
-// encodeNewer encodes the records of an answer, compressed together where the receiver reads that:
-// the entries of back ends have the same fields, and one alone is too short to be compressed.
+// encodeNewer encodes the records of a response, compressed together where the receiver supports that: the
+// objects of backends share their field names, and a single one is too short to be worth compressing.
 func (s *Syncer) encodeNewer(records []replica.Record, readsCompressed bool) *peerpb.StoredObjects {
 	if readsCompressed {
-		if answer, fits := s.encodeTogether(records); fits {
+		if answer, fits := s.encodeCompressed(records); fits {
 			return answer
 		}
 	}
@@ -86,9 +86,9 @@
 	return &peerpb.StoredObjects{Objects: stored, Truncated: truncated}
 }
 
-// encodeTogether encodes as many records as may be compressed together. It reports whether that is
-// worth it and the result fits into one message.
-func (s *Syncer) encodeTogether(records []replica.Record) (answer *peerpb.StoredObjects, fits bool) {
+// encodeCompressed encodes as many records as may be compressed together. It reports whether this makes them
+// shorter and the result fits into one message.
+func (s *Syncer) encodeCompressed(records []replica.Record) (answer *peerpb.StoredObjects, fits bool) {
 	stored, truncated := s.storedObjects(records, maxCompressedContent)
 	compressed, shorter := compressObjects(stored)
 	if !shorter || len(compressed) > maxExchangedBytes {
@@ -97,7 +97,7 @@
 	return &peerpb.StoredObjects{Compressed: compressed, Truncated: truncated}, true
 }
 
-// objectsOf returns the objects of a message, which has them either plain or compressed together.
+// objectsOf returns the objects of a message, which carries them either plain or compressed together.
 func objectsOf(plain []*peerpb.StoredObject, compressed []byte) ([]*peerpb.StoredObject, error) {
 	if len(compressed) == 0 {
 		return plain, nil
@@ -113,15 +113,15 @@
 	return objects.GetObjects(), nil
 }
 
-// encodeRecord encodes one record: a long content by the names of its chunks, others whole.
+// encodeRecord encodes one record: a long content as a list of chunk IDs, others in full.
 func (s *Syncer) encodeRecord(record replica.Record) *peerpb.StoredObject {
-	if len(record.Object.Spec) >= chunkedFrom {
+	if len(record.Object.Spec) >= minChunkedBytes {
 		return manifestObject(record, s.transfers.index.manifest(record))
 	}
 	return storedObject(record)
 }
 
-// manifestObject encodes a record by the names of its chunks.
+// manifestObject encodes a record as a list of chunk IDs.
 func manifestObject(record replica.Record, manifest chunk.Manifest) *peerpb.StoredObject {
 	object := &peerpb.StoredObject{Version: objectVersion(record)}
 	for _, reference := range manifest {
@@ -130,7 +130,7 @@
 	return object
 }
 
-// storedObject encodes one record with its content, compressed where that is worth it.
+// storedObject encodes one record with its content, compressed if that makes it shorter.
 func storedObject(record replica.Record) *peerpb.StoredObject {
 	content := record.Object.Spec
 	object := &peerpb.StoredObject{Version: objectVersion(record)}
@@ -142,28 +142,28 @@
 	return object
 }
 
-// compress returns the content compressed, if that makes it shorter.
+// compress returns the compressed content, if that is shorter.
 func compress(content []byte) (compressed []byte, shorter bool) {
-	return compressFrom(content, compressedFrom)
+	return compressAbove(content, minCompressedBytes)
 }
 
-// compressFrom is compress for contents of so many bytes or more.
-func compressFrom(content []byte, least int) (compressed []byte, shorter bool) {
-	if len(content) < least {
+// compressAbove is compress for contents of at least minBytes.
+func compressAbove(content []byte, minBytes int) (compressed []byte, shorter bool) {
+	if len(content) < minBytes {
 		return nil, false
 	}
 	compressed = s2.EncodeBetter(nil, content)
 	return compressed, len(compressed) < len(content)
 }
 
-// decompress returns a content of at most so many bytes.
-func decompress(compressed []byte, most int) ([]byte, error) {
+// decompress returns a content of at most maxBytes.
+func decompress(compressed []byte, maxBytes int) ([]byte, error) {
 	size, err := s2.DecodedLen(compressed)
 	if err != nil {
 		return nil, errors.Wrap(err, "read length of compressed content")
 	}
-	if size > most {
-		return nil, errors.Newf("compressed content of %d bytes, at most %d are allowed", size, most)
+	if size > maxBytes {
+		return nil, errors.Newf("compressed content of %d bytes, at most %d are allowed", size, maxBytes)
 	}
 	content, err := s2.Decode(nil, compressed)
 	return content, errors.Wrap(err, "decompress")
@@ -177,9 +177,8 @@
 	return &peerpb.ChunkContent{Content: content}
 }
 
-// contentsOf decodes chunks by their names, which follow from their contents: a chunk that was
-// damaged has another name, and nobody misses that one. Those that cannot be decoded are left
-// out, and asked for again.
+// contentsOf decodes chunks and indexes them by ID. The ID is the digest of the content, so a damaged chunk has
+// an ID that was not requested and is ignored. Chunks that cannot be decoded are left out, and requested again.
 func contentsOf(received *peerpb.ChunkContents) map[chunk.ID][]byte {
 	contents := make(map[chunk.ID][]byte, len(received.GetContents()))
 	for _, encoded := range received.GetContents() {
@@ -196,24 +195,25 @@
 	return contents
 }
 
-// idOf returns the name of a chunk; one of another length names none.
-func idOf(digest []byte) (id chunk.ID) {
+// chunkIDOf returns the chunk ID of a digest; a digest of the wrong length yields the zero ID, which matches no
+// chunk.
+func chunkIDOf(digest []byte) (id chunk.ID) {
 	if len(digest) == len(id) {
 		copy(id[:], digest)
 	}
 	return id
 }
 
-// manifestOf decodes the names of an object's chunks.
+// manifestOf decodes the chunk IDs of an object.
 func manifestOf(chunks []*peerpb.Chunk) (chunk.Manifest, error) {
 	manifest := make(chunk.Manifest, len(chunks))
 	total := 0
 	for i, encoded := range chunks {
 		length := int(encoded.GetLength())
 		if len(encoded.GetDigest()) != len(chunk.ID{}) || length == 0 || length > chunk.MaxBytes {
-			return nil, errors.Newf("chunk %d of %d bytes, with a name of %d", i, length, len(encoded.GetDigest()))
+			return nil, errors.Newf("chunk %d: invalid length of %d bytes, or digest of %d bytes", i, length, len(encoded.GetDigest()))
 		}
-		manifest[i] = chunk.Reference{ID: idOf(encoded.GetDigest()), Length: length}
+		manifest[i] = chunk.Reference{ID: chunkIDOf(encoded.GetDigest()), Length: length}
 		total += length
 	}
 	if total > maxObjectBytes {
@@ -222,7 +222,7 @@
 	return manifest, nil
 }
 
-// contentOf returns the content of an object that another node sent.
+// contentOf returns the content of an object received from another node.
 func contentOf(object *peerpb.StoredObject) ([]byte, error) {
 	if compressed := object.GetCompressedSpec(); len(compressed) > 0 {
 		return decompress(compressed, peer.MaxMessageBytes)
@@ -243,38 +243,38 @@
 	return records
 }
 
-// longObject is an object that another node has named the chunks of.
-type longObject struct {
+// chunkedObject is an object of which another node has sent the chunk IDs.
+type chunkedObject struct {
 	// record has no content yet.
 	record   replica.Record
 	manifest chunk.Manifest
 }
 
-// recordsOfObjects decodes the objects of another node. Those that cannot be decoded are
-// left out; the error says why.
-func recordsOfObjects(objects []*peerpb.StoredObject) (records []replica.Record, longObjects []longObject, failed error) {
+// recordsOfObjects decodes the objects of another node. Those that cannot be decoded are left out; the error
+// tells why.
+func recordsOfObjects(objects []*peerpb.StoredObject) (records []replica.Record, chunkedObjects []chunkedObject, failed error) {
 	for _, object := range objects {
 		record := recordOf(object.GetVersion())
 		if len(object.GetChunks()) > 0 {
 			manifest, err := manifestOf(object.GetChunks())
 			if err != nil {
-				failed = errors.CombineErrors(failed, refusedObject(record, err))
+				failed = errors.CombineErrors(failed, rejectedObject(record, err))
 				continue
 			}
-			longObjects = append(longObjects, longObject{record: record, manifest: manifest})
+			chunkedObjects = append(chunkedObjects, chunkedObject{record: record, manifest: manifest})
 			continue
 		}
 		content, err := contentOf(object)
 		if err != nil {
-			failed = errors.CombineErrors(failed, refusedObject(record, err))
+			failed = errors.CombineErrors(failed, rejectedObject(record, err))
 			continue
 		}
 		record.Object.Spec = content
 		records = append(records, record)
 	}
-	return records, longObjects, failed
+	return records, chunkedObjects, failed
 }
 
-func refusedObject(record replica.Record, err error) error {
+func rejectedObject(record replica.Record, err error) error {
 	return errors.Wrapf(err, "%s %s", record.Object.Kind, record.Object.Name)
 }
