--- a/admission/client.go
+++ b/admission/client.go
@@ -25,11 +25,11 @@
 	node         *Node
 	controller   *Controller
 	peers        *peer.Client
-	coordinators coordinator.Choice
+	coordinators coordinator.Locator
 }
 
 // NewClient returns a client that asks the local controller where this node coordinates itself.
-func NewClient(node *Node, controller *Controller, peers *peer.Client, coordinators coordinator.Choice) *Client {
+func NewClient(node *Node, controller *Controller, peers *peer.Client, coordinators coordinator.Locator) *Client {
 	return &Client{node: node, controller: controller, peers: peers, coordinators: coordinators}
 }
 
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -46,9 +46,9 @@
 	Silent(address string, err error)
 }
 
-// Choice knows which node coordinates what, for those that keep something for all nodes. Client
+// Locator knows which node coordinates what, for those that keep something for all nodes. Client
 // implements it.
-type Choice interface {
+type Locator interface {
 	// Coordinator returns the address of the node that coordinates a scope, if there is one.
 	Coordinator(scope string) (address string, found bool)
 	// Own returns the address of this node.
@@ -58,7 +58,7 @@
 	Missed(address string, err error)
 }
 
-var _ Choice = (*Client)(nil)
+var _ Locator = (*Client)(nil)
 
 // Node is one start of a node.
 type Node struct {
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -46,19 +46,19 @@
 // ownerChoice chooses who coordinates something for all nodes: the owner of its name.
 type ownerChoice struct{ core *Core }
 
-var _ coordinator.Choice = ownerChoice{}
+var _ coordinator.Locator = ownerChoice{}
 
-// Coordinator implements coordinator.Choice.
+// Coordinator implements coordinator.Locator.
 func (o ownerChoice) Coordinator(scope string) (address string, found bool) {
 	owner, err := o.core.Cluster.Owner("", scope)
 	return owner.Address, err == nil
 }
 
-// Own implements coordinator.Choice.
+// Own implements coordinator.Locator.
 func (o ownerChoice) Own() string { return o.core.options.PeerAddress }
 
-// Answered implements coordinator.Choice. Heartbeats tell who lives.
+// Answered implements coordinator.Locator. Heartbeats tell who lives.
 func (o ownerChoice) Answered(string) {}
 
-// Missed implements coordinator.Choice. Heartbeats tell who is gone.
+// Missed implements coordinator.Locator. Heartbeats tell who is gone.
 func (o ownerChoice) Missed(string, error) {}
--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -31,7 +31,7 @@
 
 // ClientOptions are the parts of a Client.
 type ClientOptions struct {
-	Coordinators coordinator.Choice
+	Coordinators coordinator.Locator
 	Peers        *peer.Client
 	// Local is the keeper where this node is chosen for it.
 	Local *Keeper
--- a/quota/client.go
+++ b/quota/client.go
@@ -31,7 +31,7 @@
 
 // ClientOptions are the parts of a Client.
 type ClientOptions struct {
-	Coordinators coordinator.Choice
+	Coordinators coordinator.Locator
 	Peers        *peer.Client
 	// Local decides where this node is the coordinator.
 	Local *Coordinator
