--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -42,8 +42,8 @@
 	Own() string
 	// Services returns the services of engines.
 	Services() []string
-	// Silent notes that a node did not answer.
-	Silent(address string, err error)
+	// Unresponsive notes that a node did not answer.
+	Unresponsive(address string, err error)
 }
 
 // Locator knows which node coordinates what, for those that keep something for all nodes. Client
@@ -134,7 +134,7 @@
 // Missed takes note of a coordinator that gave no answer to such a call. That has had so much more
 // time than the first answer to a request that the node is verified at once: in a large fleet a
 // node asks for engines once in some seconds, and would find out by three missed calls.
-func (c *Client) Missed(address string, err error) { c.fleet.Silent(address, err) }
+func (c *Client) Missed(address string, err error) { c.fleet.Unresponsive(address, err) }
 
 // missed takes note of a coordinator that gave no answer, and reports whether it
 // may only be slow. Another one would know none of the runs of all other nodes, so
@@ -145,7 +145,7 @@
 	slow := errors.Is(err, context.DeadlineExceeded) && c.misses[address] < missLimit
 	c.mu.Unlock()
 	if !slow {
-		c.fleet.Silent(address, err)
+		c.fleet.Unresponsive(address, err)
 	}
 	return slow
 }
--- a/router/engines.go
+++ b/router/engines.go
@@ -61,8 +61,8 @@
 // Own implements coordinator.Fleet.
 func (r *Router) Own() string { return r.options.Settings.PeerAddress }
 
-// Silent implements coordinator.Fleet.
-func (r *Router) Silent(address string, err error) { r.syncer.Silent(address, err) }
+// Unresponsive implements coordinator.Fleet.
+func (r *Router) Unresponsive(address string, err error) { r.syncer.Silent(address, err) }
 
 // shortlistSize is how many engines of each role are drawn for a request before all are looked at: so many
 // of the whole service, and so many in the zone of the request's node.
