--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -14,8 +14,8 @@
 type Engines struct {
 	Decode  []ledger.Engine
 	Prefill []string
-	// AreAll is set where these are all engines of the service.
-	AreAll bool
+	// Complete is set where these are all engines of the service.
+	Complete bool
 	// ZoneOf returns the zone of one of them, empty where that is not known. Without it they are alike.
 	ZoneOf func(engine string) string
 }
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -77,7 +77,7 @@
 	options := Options{
 		Engines: func(string) Engines {
 			replayed.looks++
-			return Engines{Decode: slices.Clone(alive().Decode), Prefill: slices.Clone(alive().Prefill), AreAll: true}
+			return Engines{Decode: slices.Clone(alive().Decode), Prefill: slices.Clone(alive().Prefill), Complete: true}
 		},
 		Nodes: func() int { return 1 },
 		Now:   func() time.Duration { return time.Since(began) },
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -82,10 +82,10 @@
 	if r.all == nil && options.Shortlist != nil {
 		few := r.soundOf(options.Shortlist(r.service, options.ZoneOf(queued.request.Run.Holder)))
 		assignment, ok := r.assignAmong(few, queued)
-		if few.AreAll {
+		if few.Complete {
 			r.all = &few
 		}
-		if ok || few.AreAll {
+		if ok || few.Complete {
 			return assignment, ok
 		}
 	}
@@ -136,10 +136,10 @@
 		return all
 	}
 	return Engines{
-		Decode:  slices.DeleteFunc(all.Decode, func(engine ledger.Engine) bool { return !health.sound(now, engine.ID) }),
-		Prefill: slices.DeleteFunc(all.Prefill, func(id string) bool { return !health.sound(now, id) }),
-		AreAll:  all.AreAll,
-		ZoneOf:  all.ZoneOf,
+		Decode:   slices.DeleteFunc(all.Decode, func(engine ledger.Engine) bool { return !health.sound(now, engine.ID) }),
+		Prefill:  slices.DeleteFunc(all.Prefill, func(id string) bool { return !health.sound(now, id) }),
+		Complete: all.Complete,
+		ZoneOf:   all.ZoneOf,
 	}
 }
 
--- a/coordinator/shortlist_test.go
+++ b/coordinator/shortlist_test.go
@@ -28,13 +28,13 @@
 	for i := range prefill {
 		many.all.Prefill = append(many.all.Prefill, fmt.Sprintf("p%05d", i))
 	}
-	many.all.AreAll = true
+	many.all.Complete = true
 	return many
 }
 
 func (m *manyEngines) engines(string) Engines {
 	m.looks++
-	return Engines{Decode: slices.Clone(m.all.Decode), Prefill: slices.Clone(m.all.Prefill), AreAll: true}
+	return Engines{Decode: slices.Clone(m.all.Decode), Prefill: slices.Clone(m.all.Prefill), Complete: true}
 }
 
 // shortlist draws some engines, some of them perhaps twice, as a registry does.
--- a/router/engines.go
+++ b/router/engines.go
@@ -115,7 +115,7 @@
 			engines.Prefill = append(engines.Prefill, entry.ID())
 		}
 	}
-	engines.AreAll = allDecode && allPrefill
+	engines.Complete = allDecode && allPrefill
 	return engines
 }
 
