--- a/coordinator/benchmark_test.go
+++ b/coordinator/benchmark_test.go
@@ -69,7 +69,7 @@
 				if assigning.Assign(b.Context(), requestOf(id, 0)).Decode == "" {
 					b.Fatal("none")
 				}
-				assigning.End(Ended{Service: "s", ID: id})
+				assigning.End(RunResult{Service: "s", ID: id})
 			}
 		})
 	}
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -107,7 +107,7 @@
 			return assignment, nil
 		}
 		// It may have been assigned all the same.
-		c.notifyEnd(node.Address, Ended{Service: request.Service, ID: request.Run.ID})
+		c.notifyEnd(node.Address, RunResult{Service: request.Service, ID: request.Run.ID})
 		if ctx.Err() != nil {
 			return Assignment{}, ctx.Err()
 		}
@@ -318,7 +318,7 @@
 }
 
 // End notifies the coordinator that a run is over. It does not wait for the answer.
-func (c *Client) End(ended Ended) {
+func (c *Client) End(ended RunResult) {
 	c.mu.Lock()
 	delete(c.runs[ended.Service], ended.ID)
 	c.mu.Unlock()
@@ -327,7 +327,7 @@
 	}
 }
 
-func (c *Client) notifyEnd(address string, ended Ended) {
+func (c *Client) notifyEnd(address string, ended RunResult) {
 	if address == c.fleet.Own() {
 		c.local.End(ended)
 		return
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -221,7 +221,7 @@
 }
 
 // End takes a run out of the ledger and serves those that wait.
-func (c *Coordinator) End(ended Ended) {
+func (c *Coordinator) End(ended RunResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.state(ended.Service)
@@ -239,7 +239,7 @@
 }
 
 // observe notes what the end of a run says of its decode engine.
-func (c *Coordinator) observe(current *serviceState, engine string, ended Ended) {
+func (c *Coordinator) observe(current *serviceState, engine string, ended RunResult) {
 	switch {
 	case ended.Refusal == RefusalFailed:
 		current.health.failed(c.options.Now(), engine)
--- a/coordinator/health_test.go
+++ b/coordinator/health_test.go
@@ -90,7 +90,7 @@
 	})
 	for range 2 {
 		g.Expect(shared.Assign(t.Context(), requestOf("run", 0)).Decode).To(Equal("a"))
-		shared.End(Ended{Service: "s", ID: "run", Refusal: RefusalFailed})
+		shared.End(RunResult{Service: "s", ID: "run", Refusal: RefusalFailed})
 	}
 	g.Expect(shared.Assign(t.Context(), requestOf("run", 0)).Decode).To(Equal("b"))
 }
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -55,8 +55,8 @@
 	Short string
 }
 
-// Ended reports a run that is over.
-type Ended struct {
+// RunResult reports a run that is over.
+type RunResult struct {
 	Service string
 	ID      string
 	// Duration is how long the answer took, if it was whole; otherwise zero.
--- a/coordinator/overflow_test.go
+++ b/coordinator/overflow_test.go
@@ -82,9 +82,9 @@
 		returning.Late = true
 		measured.Assign(t.Context(), request)
 		measured.PromptRead("s", id, "")
-		measured.End(Ended{Service: "s", ID: id})
+		measured.End(RunResult{Service: "s", ID: id})
 		measured.Assign(t.Context(), returning)
-		measured.End(Ended{Service: "s", ID: id + "-again"})
+		measured.End(RunResult{Service: "s", ID: id + "-again"})
 	}
 	demand, known := measured.Demand("s")
 	g.Expect(known).To(BeTrue())
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -175,7 +175,7 @@
 	r.coordinator.PromptRead("s", run.ID, given.Prefill)
 	time.Sleep(time.Duration(run.Output) * 5 * time.Millisecond)
 	first := given.PromptReady + 50*time.Millisecond
-	r.coordinator.End(Ended{
+	r.coordinator.End(RunResult{
 		Service: "s", ID: run.ID, Duration: time.Since(began), Output: run.Output, First: first, Rest: run.Output - 1,
 	})
 }
--- a/coordinator/shortlist_test.go
+++ b/coordinator/shortlist_test.go
@@ -72,7 +72,7 @@
 			number++
 			g.Expect(assigning.Assign(t.Context(), requestOf(id, 0)).Decode).NotTo(BeEmpty())
 			assigning.PromptRead("s", id, "")
-			assigning.End(Ended{Service: "s", ID: id})
+			assigning.End(RunResult{Service: "s", ID: id})
 			g.Expect(many.looks).To(BeZero())
 		})
 	}
@@ -107,7 +107,7 @@
 		}
 		for len(running) > underWay {
 			at := random.IntN(len(running))
-			filling.End(Ended{Service: "s", ID: running[at]})
+			filling.End(RunResult{Service: "s", ID: running[at]})
 			running = slices.Delete(running, at, at+1)
 		}
 	}
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func encodeEnded(ended Ended) *peerpb.EndRun {
+func encodeEnded(ended RunResult) *peerpb.EndRun {
 	return &peerpb.EndRun{
 		Service: ended.Service, Id: ended.ID, DurationMs: ended.Duration.Milliseconds(),
 		Refusal: int32(ended.Refusal), OutputTokens: int64(ended.Output),
@@ -75,8 +75,8 @@
 	}
 }
 
-func decodeEnded(encoded *peerpb.EndRun) Ended {
-	return Ended{
+func decodeEnded(encoded *peerpb.EndRun) RunResult {
+	return RunResult{
 		Service: encoded.GetService(), ID: encoded.GetId(), Duration: peer.Millis(encoded.GetDurationMs()),
 		Refusal: Refusal(encoded.GetRefusal()), Output: int(encoded.GetOutputTokens()),
 		First: peer.Millis(encoded.GetFirstMs()), Rest: int(encoded.GetRestTokens()),
--- a/coordinator/wire_test.go
+++ b/coordinator/wire_test.go
@@ -14,7 +14,7 @@
 // on the way is one that the coordinator never learns from other nodes.
 func TestAnEndKeepsAllItSaysOnTheWire(t *testing.T) {
 	g := NewWithT(t)
-	ended := Ended{Service: "s", ID: "run", Duration: 3500 * time.Millisecond, Output: 640, First: 210 * time.Millisecond, Rest: 631, Refusal: RefusalFull}
+	ended := RunResult{Service: "s", ID: "run", Duration: 3500 * time.Millisecond, Output: 640, First: 210 * time.Millisecond, Rest: 631, Refusal: RefusalFull}
 	g.Expect(decodeEnded(encodeEnded(ended))).To(Equal(ended))
 }
 
@@ -38,7 +38,7 @@
 	for range runs {
 		g.Expect(learning.Assign(t.Context(), requestOf("run", 0)).Decode).To(Equal("d"))
 		now += taken
-		_, err := learning.Handle(t.Context(), &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeEnded(Ended{
+		_, err := learning.Handle(t.Context(), &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeEnded(RunResult{
 			Service: "s", ID: "run", Duration: taken, Output: int(pace * taken.Seconds()),
 			First: taken / 10, Rest: int(pace * taken.Seconds() * 9 / 10),
 		})}})
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -63,7 +63,7 @@
 	// no run.
 	EngineFailed(failure coordinator.Failure)
 	// End reports a run that is over.
-	End(ended coordinator.Ended)
+	End(ended coordinator.RunResult)
 }
 
 // Quotas keeps the limits of tenants over all nodes.
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -19,7 +19,7 @@
 type givingCoordinator struct {
 	assigned func()
 	given    string
-	ended    []coordinator.Ended
+	ended    []coordinator.RunResult
 }
 
 func (c *givingCoordinator) Assign(_ context.Context, request coordinator.Request) (coordinator.Assignment, error) {
@@ -32,7 +32,7 @@
 
 func (c *givingCoordinator) EngineFailed(coordinator.Failure) {}
 
-func (c *givingCoordinator) End(ended coordinator.Ended) { c.ended = append(c.ended, ended) }
+func (c *givingCoordinator) End(ended coordinator.RunResult) { c.ended = append(c.ended, ended) }
 
 // leavingAtReservation has the caller leave while memory is reserved.
 type leavingAtReservation struct {
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -11,7 +11,7 @@
 )
 
 // keepingCoordinator keeps what it is told of runs that are over.
-type keepingCoordinator struct{ ended []coordinator.Ended }
+type keepingCoordinator struct{ ended []coordinator.RunResult }
 
 func (*keepingCoordinator) Assign(context.Context, coordinator.Request) (coordinator.Assignment, error) {
 	return coordinator.Assignment{}, nil
@@ -21,7 +21,7 @@
 
 func (*keepingCoordinator) EngineFailed(coordinator.Failure) {}
 
-func (c *keepingCoordinator) End(ended coordinator.Ended) { c.ended = append(c.ended, ended) }
+func (c *keepingCoordinator) End(ended coordinator.RunResult) { c.ended = append(c.ended, ended) }
 
 // TestTheRestOfAStreamTeachesItsOwnPace ends a run of which another engine had made the first
 // part: only the events of the engine itself say how fast it is.
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -63,7 +63,7 @@
 	if s.run == "" {
 		return
 	}
-	ended := coordinator.Ended{Service: s.exchange.service, ID: s.run, Refusal: s.refusal}
+	ended := coordinator.RunResult{Service: s.exchange.service, ID: s.run, Refusal: s.refusal}
 	if whole && events > 0 {
 		ended.Duration, ended.Output = time.Since(s.taken), events*eventTokens
 		ended.First, ended.Rest = s.first, (s.events-1)*eventTokens
@@ -169,7 +169,7 @@
 
 // endUnused notifies the coordinator that no run uses what it assigned.
 func (x *exchange) endUnused(run string, refusal coordinator.Refusal) {
-	x.handler.options.Coordinator.End(coordinator.Ended{Service: x.service, ID: run, Refusal: refusal})
+	x.handler.options.Coordinator.End(coordinator.RunResult{Service: x.service, ID: run, Refusal: refusal})
 }
 
 // noRoom is the refusal of a request for which no capacity is free.
--- a/gateway/runname_test.go
+++ b/gateway/runname_test.go
@@ -36,7 +36,7 @@
 
 func (c *fullCoordinator) EngineFailed(coordinator.Failure) {}
 
-func (c *fullCoordinator) End(coordinator.Ended) {}
+func (c *fullCoordinator) End(coordinator.RunResult) {}
 
 // parser reads the id of a request alone.
 type parser struct{ gateway.Dialect }
