--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -353,7 +353,7 @@
 
 // EngineFailed notifies the coordinator of an engine that did not do what it was asked, where
 // that ended no run. It does not wait for the answer.
-func (c *Client) EngineFailed(failure Failure) {
+func (c *Client) EngineFailed(failure EngineFailure) {
 	node, found := c.coordinator(failure.Service)
 	switch {
 	case !found:
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -250,7 +250,7 @@
 
 // EngineFailed notes a failure that ended no run. A silent engine that has read other
 // prompts lately is only busy.
-func (c *Coordinator) EngineFailed(failure Failure) {
+func (c *Coordinator) EngineFailed(failure EngineFailure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.state(failure.Service)
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -71,8 +71,8 @@
 	Refusal Refusal
 }
 
-// Failure reports an engine that did not do what it was asked.
-type Failure struct {
+// EngineFailure reports an engine that did not do what it was asked.
+type EngineFailure struct {
 	Service string
 	Engine  string
 	// ID names the run whose prompt it has not read.
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -27,7 +27,7 @@
 		c.PromptRead(body.PromptRead.GetService(), body.PromptRead.GetId(), body.PromptRead.GetEngine())
 		return &peerpb.Response{Body: &peerpb.Response_Done{Done: &peerpb.Done{}}}, nil
 	case *peerpb.Request_EngineFailed:
-		c.EngineFailed(Failure{
+		c.EngineFailed(EngineFailure{
 			Service: body.EngineFailed.GetService(), Engine: body.EngineFailed.GetEngine(),
 			ID: body.EngineFailed.GetId(), Silent: body.EngineFailed.GetSilent(),
 		})
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -61,7 +61,7 @@
 	PromptRead(service, id, engine string)
 	// EngineFailed reports an engine that did not do what it was asked, where that ended
 	// no run.
-	EngineFailed(failure coordinator.Failure)
+	EngineFailed(failure coordinator.EngineFailure)
 	// End reports a run that is over.
 	End(ended coordinator.RunResult)
 }
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -30,7 +30,7 @@
 
 func (c *givingCoordinator) PromptRead(string, string, string) {}
 
-func (c *givingCoordinator) EngineFailed(coordinator.Failure) {}
+func (c *givingCoordinator) EngineFailed(coordinator.EngineFailure) {}
 
 func (c *givingCoordinator) End(ended coordinator.RunResult) { c.ended = append(c.ended, ended) }
 
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -19,7 +19,7 @@
 
 func (*keepingCoordinator) PromptRead(string, string, string) {}
 
-func (*keepingCoordinator) EngineFailed(coordinator.Failure) {}
+func (*keepingCoordinator) EngineFailed(coordinator.EngineFailure) {}
 
 func (c *keepingCoordinator) End(ended coordinator.RunResult) { c.ended = append(c.ended, ended) }
 
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -81,7 +81,7 @@
 // prefillFailed notifies the coordinator of an engine that has not read the prompt.
 func (s *reservedEngine) prefillFailed(engine string, silent bool) {
 	if s.run != "" {
-		s.exchange.handler.options.Coordinator.EngineFailed(coordinator.Failure{
+		s.exchange.handler.options.Coordinator.EngineFailed(coordinator.EngineFailure{
 			Service: s.exchange.service, Engine: engine, ID: s.run, Silent: silent,
 		})
 	}
--- a/gateway/runname_test.go
+++ b/gateway/runname_test.go
@@ -34,7 +34,7 @@
 
 func (c *fullCoordinator) PromptRead(string, string, string) {}
 
-func (c *fullCoordinator) EngineFailed(coordinator.Failure) {}
+func (c *fullCoordinator) EngineFailed(coordinator.EngineFailure) {}
 
 func (c *fullCoordinator) End(coordinator.RunResult) {}
 
