--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -77,7 +77,7 @@
 func (c *Coordinator) assignOverflow(
 	now time.Duration, current *serviceState, engines Engines, queued *waiter, run ledger.Run, avoid map[string]bool,
 ) (Assignment, bool) {
-	left := queued.request.Within - (now - queued.since) - c.options.FirstToken
+	left := queued.request.Objective - (now - queued.since) - c.options.FirstToken
 	expected := time.Duration(0)
 	for _, engine := range engines.Decode {
 		current.selfReading.forget(now, engine.ID)
@@ -109,7 +109,7 @@
 // from being in time. Where an engine could not be in time even if it had nothing else to read,
 // a late answer is better than none, as long as no other prompt waits for it.
 func (c *Coordinator) isTimely(now time.Duration, current *serviceState, queued *waiter, reader string, ready time.Duration) bool {
-	within := queued.request.Within - c.options.FirstToken
+	within := queued.request.Objective - c.options.FirstToken
 	idle := current.prefill.backlog(now, reader) == 0
 	if queued.request.Late {
 		return idle || ready <= within/2
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -154,7 +154,7 @@
 		return request.Wait
 	}
 	reading := current.prefill.model.Duration("", request.Run.Prompt)
-	return min(request.Wait, max(0, request.Within-reading-c.options.FirstToken))
+	return min(request.Wait, max(0, request.Objective-reading-c.options.FirstToken))
 }
 
 // enqueue tries a request, and lets it wait if it does not fit. How long it may wait is zero
--- a/coordinator/fill_test.go
+++ b/coordinator/fill_test.go
@@ -26,7 +26,7 @@
 	given := 0
 	for i := range 40 {
 		run := ledger.Run{ID: fmt.Sprint("run", i), Prompt: 3000, Output: 1, Most: 1, Holder: "node"}
-		if keeper.Assign(t.Context(), &Request{Service: "s", Within: 10 * time.Second, Run: run}).Decode != "" {
+		if keeper.Assign(t.Context(), &Request{Service: "s", Objective: 10 * time.Second, Run: run}).Decode != "" {
 			given++
 		}
 		now += 10 * time.Millisecond
--- a/coordinator/health_test.go
+++ b/coordinator/health_test.go
@@ -57,7 +57,7 @@
 	})
 	assign := func(id string) Assignment {
 		request := requestOf(id, 0)
-		request.Within = 10 * time.Second
+		request.Objective = 10 * time.Second
 		return shared.Assign(t.Context(), request)
 	}
 	first, second := assign("one"), assign("two")
--- a/coordinator/learned_test.go
+++ b/coordinator/learned_test.go
@@ -30,7 +30,7 @@
 	for i := range 60 {
 		id := strconv.Itoa(i)
 		request := requestOf(id, 0)
-		request.Within = time.Minute
+		request.Objective = time.Minute
 		given := taught.Assign(t.Context(), request)
 		g.Expect(given.Decode).To(Equal("d"))
 		now += time.Second
@@ -42,7 +42,7 @@
 	ask := func(asked *Coordinator) Assignment {
 		request := requestOf("first", 0)
 		request.Run.Most = 4000
-		request.Within = time.Minute
+		request.Objective = time.Minute
 		return asked.Assign(t.Context(), request)
 	}
 	before, after, without := ask(taught), ask(next), ask(untaught)
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -20,9 +20,9 @@
 	// Wait is how long the request may wait for engines. A first attempt waits no longer than it
 	// can be in time.
 	Wait time.Duration
-	// Within is the time in which the first token is to come. A prompt that would
+	// Objective is the time in which the first token is to come. A prompt that would
 	// wait too long for it is not accepted.
-	Within time.Duration
+	Objective time.Duration
 	// Probe is set where the sender asks again if no capacity is free now: it does not wait, and
 	// Wait is how long it will when it asks again. Again is set then.
 	Probe, Again bool
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -125,7 +125,7 @@
 // ask is one try of a caller.
 func (r *overloadReplay) ask(ctx *testing.T, run ledger.Run, late, hot bool) {
 	request := &Request{
-		Service: "s", Run: run, Wait: replayObjective, Within: replayObjective, Late: late, AboveUsual: hot && r.marked,
+		Service: "s", Run: run, Wait: replayObjective, Objective: replayObjective, Late: late, AboveUsual: hot && r.marked,
 	}
 	if late {
 		request.Wait = replayPatience
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -47,7 +47,7 @@
 func encodeRequest(request *Request, now time.Duration) *peerpb.AssignEngines {
 	encoded := &peerpb.AssignEngines{
 		Service: request.Service, Run: encodeRun(request.Run, now), WaitMs: request.Wait.Milliseconds(),
-		Avoid: request.Avoid, Returning: request.Late, WithinMs: request.Within.Milliseconds(), Probe: request.Probe,
+		Avoid: request.Avoid, Returning: request.Late, WithinMs: request.Objective.Milliseconds(), Probe: request.Probe,
 		Priority: int32(request.Priority), Again: request.Again,
 		TenantPriority: int32(request.TenantPriority), AboveUsual: request.AboveUsual,
 	}
@@ -61,7 +61,7 @@
 func decodeRequest(encoded *peerpb.AssignEngines, now time.Duration) *Request {
 	return &Request{
 		Service: encoded.GetService(), Run: decodeRun(encoded.GetRun(), now), Wait: peer.Millis(encoded.GetWaitMs() + encoded.GetLaterWaitMs()),
-		Avoid: encoded.GetAvoid(), Late: encoded.GetReturning(), Within: peer.Millis(encoded.GetWithinMs()), Probe: encoded.GetProbe(),
+		Avoid: encoded.GetAvoid(), Late: encoded.GetReturning(), Objective: peer.Millis(encoded.GetWithinMs()), Probe: encoded.GetProbe(),
 		Priority: int(encoded.GetPriority()), Again: encoded.GetAgain(),
 		TenantPriority: int(encoded.GetTenantPriority()), AboveUsual: encoded.GetAboveUsual(),
 	}
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -111,11 +111,11 @@
 // result is nil if that engine has no capacity all the same; the coordinator is notified.
 func (x *exchange) reserveAssigned(ctx context.Context, profile *routing.EngineProfile, avoid map[string]bool) (*reservedEngine, error) {
 	request := coordinator.Request{
-		Service:  x.service,
-		Wait:     x.coordinatedWait(),
-		Within:   x.within(),
-		Late:     x.isLate(),
-		Priority: x.route.Priority, AboveUsual: x.quota.AboveUsual,
+		Service:   x.service,
+		Wait:      x.coordinatedWait(),
+		Objective: x.within(),
+		Late:      x.isLate(),
+		Priority:  x.route.Priority, AboveUsual: x.quota.AboveUsual,
 		Run: ledger.Run{
 			ID:     x.handler.runNames.next(),
 			Prompt: x.request.Generation.PromptTokens,
