--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -92,7 +92,7 @@
 		return Assignment{}, false
 	}
 	current.selfReading.add(now, decoder, run)
-	return Assignment{Decode: decoder, ReadsItself: true, PromptReady: expected, Output: run.Output}, true
+	return Assignment{Decode: decoder, LocalPrefill: true, PromptReady: expected, Output: run.Output}, true
 }
 
 // selfReadingTime returns how long a decode engine is expected to take for a prompt that it
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -202,7 +202,7 @@
 		Decode: answer.GetDecodeEngine(), Prefill: answer.GetPrefillEngine(),
 		RetryAfter: peer.Millis(answer.GetRetryAfterMs()), Short: answer.GetShort(),
 		Output: int(answer.GetOutputTokens()), PromptReady: peer.Millis(answer.GetPromptReadyMs()),
-		ReadsItself: answer.GetReadsItself(),
+		LocalPrefill: answer.GetReadsItself(),
 	}, nil
 }
 
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -43,8 +43,8 @@
 	// Decode and Prefill name engines; they are empty where no capacity is free.
 	Decode  string
 	Prefill string
-	// ReadsItself is set where the decode engine reads the prompt; Prefill is empty then.
-	ReadsItself bool
+	// LocalPrefill is set where the decode engine reads the prompt; Prefill is empty then.
+	LocalPrefill bool
 	// RetryAfter is when capacity is expected, where there is none.
 	RetryAfter time.Duration
 	// PromptReady is how long it is expected to take until the prompt has been read.
--- a/coordinator/overflow_test.go
+++ b/coordinator/overflow_test.go
@@ -31,7 +31,7 @@
 	now := time.Duration(0)
 	alone := newOverflowing(&now)
 	first, second := alone.Assign(t.Context(), requestOf("first", 0)), alone.Assign(t.Context(), requestOf("second", 0))
-	g.Expect(first.ReadsItself).To(BeTrue())
+	g.Expect(first.LocalPrefill).To(BeTrue())
 	g.Expect(first.Prefill).To(BeEmpty())
 	g.Expect([]string{first.Decode, second.Decode}).To(ConsistOf("a", "b"))
 	g.Expect(alone.Assign(t.Context(), requestOf("third", 0)).Decode).To(BeEmpty())
@@ -50,7 +50,7 @@
 	for i := range 40 {
 		id := strconv.Itoa(i)
 		given := behind.Assign(t.Context(), requestOf(id, 0))
-		if !given.ReadsItself {
+		if !given.LocalPrefill {
 			continue
 		}
 		byThemselves++
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -18,7 +18,7 @@
 			DecodeEngine: assignment.Decode, PrefillEngine: assignment.Prefill,
 			RetryAfterMs: assignment.RetryAfter.Milliseconds(), Short: assignment.Short,
 			OutputTokens: int64(assignment.Output), PromptReadyMs: assignment.PromptReady.Milliseconds(),
-			ReadsItself: assignment.ReadsItself,
+			ReadsItself: assignment.LocalPrefill,
 		}}}, nil
 	case *peerpb.Request_EndRun:
 		c.End(decodeEnded(body.EndRun))
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -162,7 +162,7 @@
 	}
 	return &reservedEngine{
 		exchange: x, entry: entry, reservation: *reservation,
-		prefillEngine: assigned.Prefill, readsItself: assigned.ReadsItself, promptReady: assigned.PromptReady,
+		prefillEngine: assigned.Prefill, readsItself: assigned.LocalPrefill, promptReady: assigned.PromptReady,
 		run: request.Run.ID, taken: time.Now(), end: entry.Begin(),
 	}, nil
 }
