--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -200,7 +200,7 @@
 	answer := response.GetAssignment()
 	return Assignment{
 		Decode: answer.GetDecodeEngine(), Prefill: answer.GetPrefillEngine(),
-		RetryAfter: peer.Millis(answer.GetRetryAfterMs()), Short: answer.GetShort(),
+		RetryAfter: peer.Millis(answer.GetRetryAfterMs()), ShortRole: answer.GetShort(),
 		Output: int(answer.GetOutputTokens()), PromptReady: peer.Millis(answer.GetPromptReadyMs()),
 		LocalPrefill: answer.GetReadsItself(),
 	}, nil
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -203,11 +203,11 @@
 		}
 	}
 	if left.request.Probe && !left.hopeless {
-		return Assignment{Short: string(current.short)}
+		return Assignment{ShortRole: string(current.short)}
 	}
 	now := c.options.Now()
 	c.countDemand(now, current, left.request)
-	return Assignment{RetryAfter: c.retryAfter(now, current, left.request), Short: string(current.short)}
+	return Assignment{RetryAfter: c.retryAfter(now, current, left.request), ShortRole: string(current.short)}
 }
 
 // retryAfter returns when a refused caller is to come back.
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -51,8 +51,8 @@
 	PromptReady time.Duration
 	// Output is how many tokens the run is expected to make.
 	Output int
-	// Short is the role of which there were too few engines, where no capacity is free.
-	Short string
+	// ShortRole is the role of which there were too few engines, where no capacity is free.
+	ShortRole string
 }
 
 // RunResult reports a run that is over.
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -16,7 +16,7 @@
 		assignment := c.Assign(ctx, decodeRequest(body.AssignEngines, c.options.Now()))
 		return &peerpb.Response{Body: &peerpb.Response_Assignment{Assignment: &peerpb.Assignment{
 			DecodeEngine: assignment.Decode, PrefillEngine: assignment.Prefill,
-			RetryAfterMs: assignment.RetryAfter.Milliseconds(), Short: assignment.Short,
+			RetryAfterMs: assignment.RetryAfter.Milliseconds(), Short: assignment.ShortRole,
 			OutputTokens: int64(assignment.Output), PromptReadyMs: assignment.PromptReady.Milliseconds(),
 			ReadsItself: assignment.LocalPrefill,
 		}}}, nil
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -142,7 +142,7 @@
 		return nil, err
 	}
 	if assigned.Decode == "" {
-		x.short = assigned.Short
+		x.short = assigned.ShortRole
 		return nil, x.noRoom(assigned.RetryAfter)
 	}
 	entry := x.handler.options.Backends.Lookup(assigned.Decode)
