--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -90,9 +90,9 @@
 	RefusalNone Refusal = iota
 	// RefusalFull is that of an engine without capacity.
 	RefusalFull
-	// RefusalClosed is that of an engine that had capacity and took the run all the same
+	// RefusalUnavailable is that of an engine that had capacity and took the run all the same
 	// not: it is changing its role, say, which nobody who lives knows of.
-	RefusalClosed
+	RefusalUnavailable
 	// RefusalFailed is that of an engine that gave no answer, or broke it off.
 	RefusalFailed
 )
@@ -102,7 +102,7 @@
 	switch r {
 	case RefusalFull:
 		return pauseFull
-	case RefusalClosed:
+	case RefusalUnavailable:
 		return pauseClosed
 	default:
 		return 0
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -151,7 +151,7 @@
 	if answer.NotRun || answer.Misdirected {
 		_ = answer.Body.Close()
 		if taken.entry.BackoffLeft() == 0 {
-			taken.refusal = coordinator.RefusalClosed
+			taken.refusal = coordinator.RefusalUnavailable
 		}
 		x.keepPrompt(ctx, prompt, wasteDecodeRefused)
 		return nil, &tryError{failure: notRun(ReasonBackendRefused, retryShed, nil), arrived: true}
