--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -361,7 +361,7 @@
 		c.local.EngineFailed(failure)
 	default:
 		c.notify(node.Address, &peerpb.Request{Body: &peerpb.Request_EngineFailed{EngineFailed: &peerpb.EngineFailed{
-			Service: failure.Service, Engine: failure.Engine, Id: failure.ID, Silent: failure.Silent,
+			Service: failure.Service, Engine: failure.Engine, Id: failure.ID, Silent: failure.TimedOut,
 		}}})
 	}
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -255,10 +255,10 @@
 	defer c.mu.Unlock()
 	current := c.state(failure.Service)
 	now := c.options.Now()
-	if failure.Silent {
+	if failure.TimedOut {
 		current.prefill.overrun(now, failure.ID, failure.Engine)
 	}
-	if failure.Silent && current.prefill.readLately(now, failure.Engine, busyEvidence) {
+	if failure.TimedOut && current.prefill.readLately(now, failure.Engine, busyEvidence) {
 		return
 	}
 	current.health.failed(now, failure.Engine)
--- a/coordinator/health_test.go
+++ b/coordinator/health_test.go
@@ -69,8 +69,8 @@
 	now += 200 * time.Millisecond
 	shared.PromptRead("s", readByBusy, "busy")
 	for range 5 {
-		shared.EngineFailed(EngineFailure{Service: "s", Engine: "busy", Silent: true})
-		shared.EngineFailed(EngineFailure{Service: "s", Engine: "dark", Silent: true})
+		shared.EngineFailed(EngineFailure{Service: "s", Engine: "busy", TimedOut: true})
+		shared.EngineFailed(EngineFailure{Service: "s", Engine: "dark", TimedOut: true})
 	}
 	for _, id := range []string{"three", "four", "five"} {
 		g.Expect(assign(id).Prefill).To(Equal("busy"))
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -77,8 +77,8 @@
 	Engine  string
 	// ID names the run whose prompt it has not read.
 	ID string
-	// Silent is set where it said nothing in time, and may only be busy.
-	Silent bool
+	// TimedOut is set where it said nothing in time, and may only be busy.
+	TimedOut bool
 }
 
 // Refusal is how an engine did not take a run, or left it.
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -29,7 +29,7 @@
 	case *peerpb.Request_EngineFailed:
 		c.EngineFailed(EngineFailure{
 			Service: body.EngineFailed.GetService(), Engine: body.EngineFailed.GetEngine(),
-			ID: body.EngineFailed.GetId(), Silent: body.EngineFailed.GetSilent(),
+			ID: body.EngineFailed.GetId(), TimedOut: body.EngineFailed.GetSilent(),
 		})
 		return &peerpb.Response{Body: &peerpb.Response_Done{Done: &peerpb.Done{}}}, nil
 	case *peerpb.Request_SyncRuns:
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -82,7 +82,7 @@
 func (s *reservedEngine) prefillFailed(engine string, silent bool) {
 	if s.run != "" {
 		s.exchange.handler.options.Coordinator.EngineFailed(coordinator.EngineFailure{
-			Service: s.exchange.service, Engine: engine, ID: s.run, Silent: silent,
+			Service: s.exchange.service, Engine: engine, ID: s.run, TimedOut: silent,
 		})
 	}
 }
