--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -271,8 +271,8 @@
 	c.state(service).decode.Sync(c.options.Now(), holder, runs)
 }
 
-// Reported takes note of the memory that a decode engine says it uses.
-func (c *Coordinator) Reported(service, engine string, used int) {
+// ReportMemoryUse takes note of the memory that a decode engine says it uses.
+func (c *Coordinator) ReportMemoryUse(service, engine string, used int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state(service).decode.Reported(c.options.Now(), engine, used)
--- a/router/reports.go
+++ b/router/reports.go
@@ -76,7 +76,7 @@
 				r.metrics.Add("report_errors", 1)
 				return
 			}
-			r.coordinator.Reported(service, entry.Backend().ID, report.UsedTokens)
+			r.coordinator.ReportMemoryUse(service, entry.Backend().ID, report.UsedTokens)
 		})
 	}
 	asked.Wait()
