--- a/coordinator/demand.go
+++ b/coordinator/demand.go
@@ -16,9 +16,9 @@
 // Demand is how many engines of each role the requests of late keep busy.
 type Demand struct {
 	Prefill, Decode float64
-	// DecodeFill is how busy decode engines were on average when no run fitted any more; zero
+	// DecodeUtilization is how busy decode engines were on average when no run fitted any more; zero
 	// where that was not seen.
-	DecodeFill float64
+	DecodeUtilization float64
 }
 
 const (
@@ -86,7 +86,7 @@
 	defer c.mu.Unlock()
 	current := c.state(service)
 	demand := current.demand.current(c.options.Now())
-	demand.DecodeFill = current.fill.share
+	demand.DecodeUtilization = current.fill.share
 	return demand, current.demand.requests >= leastDemandRequests
 }
 
--- a/coordinator/fill_test.go
+++ b/coordinator/fill_test.go
@@ -22,7 +22,7 @@
 		Nodes: func() int { return 1 }, Now: func() time.Duration { return now },
 	})
 	demand, _ := keeper.Demand("s")
-	g.Expect(demand.DecodeFill).To(BeZero(), "not seen yet")
+	g.Expect(demand.DecodeUtilization).To(BeZero(), "not seen yet")
 	given := 0
 	for i := range 40 {
 		run := ledger.Run{ID: fmt.Sprint("run", i), Prompt: 3000, Output: 1, Most: 1, Holder: "node"}
@@ -33,5 +33,5 @@
 	}
 	g.Expect(given).To(Equal(3))
 	demand, _ = keeper.Demand("s")
-	g.Expect(demand.DecodeFill).To(BeNumerically("~", 0.9, 0.01))
+	g.Expect(demand.DecodeUtilization).To(BeNumerically("~", 0.9, 0.01))
 }
