--- a/roles/plan.go
+++ b/roles/plan.go
@@ -30,9 +30,9 @@
 // Demand is a number of busy engines for each role.
 type Demand struct {
 	Prefill, Decode float64
-	// DecodeFill is how busy decode engines were on average when no run fitted any more; zero
+	// DecodeUtilization is how busy decode engines were on average when no run fitted any more; zero
 	// where that was not seen.
-	DecodeFill float64
+	DecodeUtilization float64
 }
 
 // Change is one engine that is to take another role.
@@ -182,10 +182,10 @@
 
 // decodeTarget returns how busy decode engines may be on average.
 func (d Demand) decodeTarget() float64 {
-	if d.DecodeFill == 0 {
+	if d.DecodeUtilization == 0 {
 		return decodeTarget
 	}
-	return min(decodeTarget, max(leastDecodeFill, d.DecodeFill))
+	return min(decodeTarget, max(leastDecodeFill, d.DecodeUtilization))
 }
 
 // prefillCapacity returns how many of so many prefill engines may be busy on average.
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -150,7 +150,7 @@
 func TestDecodeEnginesThatCannotBeFilledAreMore(t *testing.T) {
 	g := NewWithT(t)
 	divided := func(fill float64) roles.Division {
-		division := roles.Division{Demand: &roles.Demand{Prefill: 5.2, Decode: 19.5, DecodeFill: fill}}
+		division := roles.Division{Demand: &roles.Demand{Prefill: 5.2, Decode: 19.5, DecodeUtilization: fill}}
 		for i := range 38 {
 			if i < 10 {
 				division.Prefill = append(division.Prefill, strconv.Itoa(i))
--- a/router/rolechange.go
+++ b/router/rolechange.go
@@ -49,7 +49,7 @@
 	if !known {
 		return nil, runs
 	}
-	return &roles.Demand{Prefill: measured.Prefill, Decode: measured.Decode, DecodeFill: measured.DecodeUtilization}, runs
+	return &roles.Demand{Prefill: measured.Prefill, Decode: measured.Decode, DecodeUtilization: measured.DecodeUtilization}, runs
 }
 
 // kindRoleChange is the kind of the records by which nodes tell each other of
