--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -15,7 +15,7 @@
 	}
 	run := request.Run
 	run.Expected = run.Output
-	run.Output = current.output.Mean(run.Expected, run.Most)
+	run.Output = current.output.Mean(run.Expected, run.MaxOutput)
 	reader, ready := current.prefill.shortest(now, engines.Prefill, run, avoid)
 	if reader == "" || !c.isTimely(now, current, queued, reader, ready) {
 		current.short = backend.RolePrefill
--- a/coordinator/demand.go
+++ b/coordinator/demand.go
@@ -75,7 +75,7 @@
 		return
 	}
 	run := request.Run
-	run.Output = current.output.Mean(run.Output, run.Most)
+	run.Output = current.output.Mean(run.Output, run.MaxOutput)
 	reading := current.prefill.model.Duration("", run.Prompt)
 	current.demand.add(now, reading, current.decode.Occupancy(run))
 }
--- a/coordinator/fill_test.go
+++ b/coordinator/fill_test.go
@@ -25,7 +25,7 @@
 	g.Expect(demand.DecodeUtilization).To(BeZero(), "not seen yet")
 	given := 0
 	for i := range 40 {
-		run := ledger.Run{ID: fmt.Sprint("run", i), Prompt: 3000, Output: 1, Most: 1, Holder: "node"}
+		run := ledger.Run{ID: fmt.Sprint("run", i), Prompt: 3000, Output: 1, MaxOutput: 1, Holder: "node"}
 		if keeper.Assign(t.Context(), &Request{Service: "s", Objective: 10 * time.Second, Run: run}).Decode != "" {
 			given++
 		}
--- a/coordinator/learned_test.go
+++ b/coordinator/learned_test.go
@@ -41,7 +41,7 @@
 	next.Adopt("s", decodeLearned(encodeLearned(taught.Learned("s"))))
 	ask := func(asked *Coordinator) Assignment {
 		request := requestOf("first", 0)
-		request.Run.Most = 4000
+		request.Run.MaxOutput = 4000
 		request.Objective = time.Minute
 		return asked.Assign(t.Context(), request)
 	}
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -113,7 +113,7 @@
 		}
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		run := ledger.Run{
-			ID: strconv.Itoa(i), Prompt: 1500 + random.IntN(3000), Output: 200 + random.IntN(800), Most: 4000, Holder: "node",
+			ID: strconv.Itoa(i), Prompt: 1500 + random.IntN(3000), Output: 200 + random.IntN(800), MaxOutput: 4000, Holder: "node",
 		}
 		hot := r.hotFrom > 0 && random.Float64()*rate > r.hotFrom
 		callers.Go(func() { r.ask(ctx, run, false, hot) })
--- a/coordinator/waiting_test.go
+++ b/coordinator/waiting_test.go
@@ -30,7 +30,7 @@
 func requestOf(id string, wait time.Duration) *Request {
 	return &Request{
 		Service: "s", Wait: wait, Objective: time.Second,
-		Run: ledger.Run{ID: id, Prompt: 8000, Output: 500, Most: 1000, Holder: "node"},
+		Run: ledger.Run{ID: id, Prompt: 8000, Output: 500, MaxOutput: 1000, Holder: "node"},
 	}
 }
 
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -102,13 +102,13 @@
 func encodeRun(run ledger.Run, now time.Duration) *peerpb.Run {
 	return &peerpb.Run{
 		Id: run.ID, PromptTokens: int64(run.Prompt), OutputTokens: int64(run.Output),
-		MostTokens: int64(run.Most), Engine: run.Engine, Holder: run.Holder, AgeMs: (now - run.Started).Milliseconds(),
+		MostTokens: int64(run.MaxOutput), Engine: run.Engine, Holder: run.Holder, AgeMs: (now - run.Started).Milliseconds(),
 	}
 }
 
 func decodeRun(encoded *peerpb.Run, now time.Duration) ledger.Run {
 	return ledger.Run{
-		ID: encoded.GetId(), Prompt: int(encoded.GetPromptTokens()), Output: int(encoded.GetOutputTokens()), Most: int(encoded.GetMostTokens()),
+		ID: encoded.GetId(), Prompt: int(encoded.GetPromptTokens()), Output: int(encoded.GetOutputTokens()), MaxOutput: int(encoded.GetMostTokens()),
 		Engine: encoded.GetEngine(), Holder: encoded.GetHolder(), Started: now - peer.Millis(encoded.GetAgeMs()),
 	}
 }
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -117,10 +117,10 @@
 		Late:      x.isLate(),
 		Priority:  x.route.Priority, AboveUsual: x.quota.AboveUsual,
 		Run: ledger.Run{
-			ID:     x.handler.runNames.next(),
-			Prompt: x.request.Generation.PromptTokens,
-			Output: expectedOutput(x.request.Generation),
-			Most:   x.request.Generation.MaxOutputTokens,
+			ID:        x.handler.runNames.next(),
+			Prompt:    x.request.Generation.PromptTokens,
+			Output:    expectedOutput(x.request.Generation),
+			MaxOutput: x.request.Generation.MaxOutputTokens,
 		},
 	}
 	if x.tenant != nil {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -14,8 +14,8 @@
 	Output int
 	// Expected is what its caller expected; zero where that is not known.
 	Expected int
-	// Most bounds it; zero where that is not known.
-	Most int
+	// MaxOutput bounds it; zero where that is not known.
+	MaxOutput int
 	// Engine is the decode engine that it was given.
 	Engine string
 	// Started is when it was given.
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -83,7 +83,7 @@
 	most := int(s.sheet.Events.Most) * s.sheet.EventTokens
 	expected := min(asked.hint, most)
 	return ledger.Run{
-		ID: p.names[asked], Prompt: asked.prompt, Expected: expected, Most: most,
+		ID: p.names[asked], Prompt: asked.prompt, Expected: expected, MaxOutput: most,
 		Output: p.output.Mean(expected, most), Holder: "node",
 	}
 }
