--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -215,7 +215,7 @@
 	load := current.load(now, &waiter{request: request, since: now})
 	wait := load.expectedWait(true)
 	if !load.known {
-		wait = current.decode.CapacityAfter(now, request.Run)
+		wait = current.decode.TimeUntilCapacity(now, request.Run)
 	}
 	return current.retries.next(now, wait, load.ends)
 }
--- a/ledger/benchmark_test.go
+++ b/ledger/benchmark_test.go
@@ -27,6 +27,6 @@
 		book.Assign(0, ledger.Run{ID: strconv.Itoa(i), Prompt: 5000, Output: 2000}, nil)
 	}
 	for range b.N {
-		book.CapacityAfter(time.Millisecond, ledger.Run{ID: "next", Prompt: 50_000, Output: 9000})
+		book.TimeUntilCapacity(time.Millisecond, ledger.Run{ID: "next", Prompt: 50_000, Output: 9000})
 	}
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -252,9 +252,9 @@
 	}
 }
 
-// CapacityAfter returns how long it will take until a run fits somewhere, if every
+// TimeUntilCapacity returns how long it will take until a run fits somewhere, if every
 // run ends as expected and no other comes.
-func (l *Ledger) CapacityAfter(now time.Duration, run Run) time.Duration {
+func (l *Ledger) TimeUntilCapacity(now time.Duration, run Run) time.Duration {
 	soonest := time.Duration(0)
 	for _, engine := range l.engines {
 		after, found := l.roomAt(now, engine, run, l.byEngine[engine.ID])
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -125,7 +125,7 @@
 	run := ledger.Run{ID: "next", Prompt: 9000, Output: 2000}
 	_, ok := book.Assign(0, run, nil)
 	g.Expect(ok).To(BeFalse())
-	after := book.CapacityAfter(0, run)
+	after := book.TimeUntilCapacity(0, run)
 	g.Expect(after).To(And(BeNumerically(">", time.Second), BeNumerically("<", 4*time.Second)))
 }
 
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -123,7 +123,7 @@
 }
 
 func (p *coordinated) returnAfter(s *simulation, refused *request) time.Duration {
-	return max(shortestReturn, p.book.CapacityAfter(s.Now(), p.runOf(s, refused)))
+	return max(shortestReturn, p.book.TimeUntilCapacity(s.Now(), p.runOf(s, refused)))
 }
 
 // reserving asks the engines for the memory that the caller expects to need.
