--- a/ledger/margin_test.go
+++ b/ledger/margin_test.go
@@ -16,7 +16,7 @@
 // fitting returns how many runs of one size an engine is given at once.
 func fitting(spread float64, prompt, output int) int {
 	book := newLedger(1)
-	book.SetSpread(spread)
+	book.SetOutputDeviation(spread)
 	for i := 0; ; i++ {
 		if _, given := book.Assign(0, ledger.Run{ID: strconv.Itoa(i), Prompt: prompt, Output: output}, nil); !given {
 			return i
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -51,9 +51,9 @@
 	l.pace = pace
 }
 
-// SetSpread states the standard deviation of the lengths of answers, as a share of what is
+// SetOutputDeviation states the standard deviation of the lengths of answers, as a share of what is
 // expected of each.
-func (l *Ledger) SetSpread(share float64) { l.spread = share }
+func (l *Ledger) SetOutputDeviation(share float64) { l.spread = share }
 
 // Pace returns how many tokens a run is expected to make in a second.
 func (l *Ledger) Pace() float64 { return l.pace }
