--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -42,7 +42,7 @@
 	}
 	now := c.options.Now()
 	current.decode.SetCoverage(c.coverage(now, current))
-	current.decode.SetOutputDeviation(current.output.Spread())
+	current.decode.SetOutputDeviation(current.output.RelativeDeviation())
 	slices.SortStableFunc(current.waiting, byRank)
 	var still []*waiter
 	var failed []ledger.Run
--- a/estimate/learned_test.go
+++ b/estimate/learned_test.go
@@ -22,7 +22,7 @@
 	}
 	next.Adopt(output.Learned())
 	g.Expect(next.Mean(150, 0)).To(Equal(output.Mean(150, 0)))
-	g.Expect(next.Spread()).To(Equal(output.Spread()))
+	g.Expect(next.RelativeDeviation()).To(Equal(output.RelativeDeviation()))
 	nextReading.Adopt(reading.Learned())
 	g.Expect(nextReading.Duration("new", 1500)).To(Equal(reading.Duration("new", 1500)))
 
--- a/estimate/output.go
+++ b/estimate/output.go
@@ -56,9 +56,9 @@
 // firstSpread is the first guess of Spread: callers' estimates are often far off.
 const firstSpread = 0.5
 
-// Spread returns the standard deviation of the length of an answer, as a share of what is
+// RelativeDeviation returns the standard deviation of the length of an answer, as a share of what is
 // expected of it.
-func (o *Output) Spread() float64 {
+func (o *Output) RelativeDeviation() float64 {
 	if o.samples < leastSamples {
 		return firstSpread
 	}
--- a/estimate/output_test.go
+++ b/estimate/output_test.go
@@ -55,13 +55,13 @@
 	g := NewWithT(t)
 	var exact, varying estimate.Output
 	chance := rand.New(rand.NewPCG(3, 4))
-	g.Expect(exact.Spread()).To(Equal(0.5), "the first guess")
+	g.Expect(exact.RelativeDeviation()).To(Equal(0.5), "the first guess")
 	for range 400 {
 		expected := 100 + chance.IntN(900)
 		exact.Observe(expected, expected)
 		varying.Observe(expected, max(1, int(float64(expected)*math.Exp(0.4*chance.NormFloat64()))))
 	}
-	g.Expect(exact.Spread()).To(BeNumerically("<", 0.01))
+	g.Expect(exact.RelativeDeviation()).To(BeNumerically("<", 0.01))
 	// That of a logarithmic normal distribution of 0.4.
-	g.Expect(varying.Spread()).To(BeNumerically("~", 0.416, 0.06))
+	g.Expect(varying.RelativeDeviation()).To(BeNumerically("~", 0.416, 0.06))
 }
