--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -94,7 +94,7 @@
 	health  engineHealth
 	waiting []*waiter
 	// output learns how long answers become.
-	output estimate.Output
+	output estimate.OutputLength
 	// retries spreads the callers that come back.
 	retries retrySchedule
 	// ends counts runs that end, and arrivals first tries.
--- a/estimate/learned.go
+++ b/estimate/learned.go
@@ -34,12 +34,12 @@
 }
 
 // Learned returns what the estimate has learned.
-func (o *Output) Learned() LearnedOutput {
+func (o *OutputLength) Learned() LearnedOutput {
 	return LearnedOutput{Samples: o.samples, Sums: o.sums.sums(), Squares: o.sumYY}
 }
 
 // Adopt takes over what another estimate has learned, if this one has learned nothing.
-func (o *Output) Adopt(learned LearnedOutput) {
+func (o *OutputLength) Adopt(learned LearnedOutput) {
 	if o.samples > 0 || learned.Samples <= 0 || !learned.Sums.valid() || !(learned.Squares >= 0) {
 		return
 	}
--- a/estimate/learned_test.go
+++ b/estimate/learned_test.go
@@ -14,7 +14,7 @@
 // something itself keeps that, and sums that no fit can have are passed over.
 func TestAdoptedModelsGiveTheSameEstimates(t *testing.T) {
 	g := NewWithT(t)
-	var output, next estimate.Output
+	var output, next estimate.OutputLength
 	var reading, nextReading estimate.Reading
 	for i := range 100 {
 		output.Observe(100+i, 300+2*i)
@@ -28,7 +28,7 @@
 
 	next.Adopt(estimate.LearnedOutput{Samples: 1000, Sums: estimate.Sums{Weight: 1, X: 1, Y: 9, XX: 1, XY: 9}})
 	g.Expect(next.Mean(150, 0)).To(Equal(output.Mean(150, 0)))
-	var untaught estimate.Output
+	var untaught estimate.OutputLength
 	untaught.Adopt(estimate.LearnedOutput{Samples: 100, Sums: estimate.Sums{Weight: 1, X: math.NaN()}})
 	g.Expect(untaught.Mean(150, 0)).To(Equal(150))
 }
--- a/estimate/output.go
+++ b/estimate/output.go
@@ -15,10 +15,10 @@
 	greatestSlope = 1.2
 )
 
-// Output relates the logarithms of real and expected lengths by a line, with older
+// OutputLength relates the logarithms of real and expected lengths by a line, with older
 // answers counting less. The zero value knows nothing. It is not safe for
 // concurrent use.
-type Output struct {
+type OutputLength struct {
 	samples                    int
 	sums                       line
 	sumYY                      float64
@@ -26,7 +26,7 @@
 }
 
 // Observe takes note of one whole answer, in tokens.
-func (o *Output) Observe(expected, actual int) {
+func (o *OutputLength) Observe(expected, actual int) {
 	if expected <= 0 || actual <= 0 {
 		return
 	}
@@ -38,7 +38,7 @@
 }
 
 // fit computes the line from the sums.
-func (o *Output) fit() {
+func (o *OutputLength) fit() {
 	sums := o.sums
 	meanX, meanY := sums.sumX/sums.weight, sums.sumY/sums.weight
 	spreadX := sums.sumXX/sums.weight - meanX*meanX
@@ -58,7 +58,7 @@
 
 // RelativeDeviation returns the standard deviation of the length of an answer, as a share of what is
 // expected of it.
-func (o *Output) RelativeDeviation() float64 {
+func (o *OutputLength) RelativeDeviation() float64 {
 	if o.samples < leastSamples {
 		return firstSpread
 	}
@@ -68,7 +68,7 @@
 
 // Mean returns the length to be expected of an answer, given what its caller
 // expects and the most that it may become.
-func (o *Output) Mean(expected, most int) int {
+func (o *OutputLength) Mean(expected, most int) int {
 	if o.samples < leastSamples || expected <= 0 {
 		return expected
 	}
--- a/estimate/output_test.go
+++ b/estimate/output_test.go
@@ -15,7 +15,7 @@
 func TestEstimateBeatsTheExpectation(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 1))
-	var output estimate.Output
+	var output estimate.OutputLength
 	var plain, learned, bias float64
 	const draws = 4000
 	for i := range draws {
@@ -35,7 +35,7 @@
 
 func TestFewAnswersChangeNothing(t *testing.T) {
 	g := NewWithT(t)
-	var output estimate.Output
+	var output estimate.OutputLength
 	for range 10 {
 		output.Observe(100, 1000)
 	}
@@ -53,7 +53,7 @@
 // TestSpreadIsLearned draws lengths around what is expected.
 func TestSpreadIsLearned(t *testing.T) {
 	g := NewWithT(t)
-	var exact, varying estimate.Output
+	var exact, varying estimate.OutputLength
 	chance := rand.New(rand.NewPCG(3, 4))
 	g.Expect(exact.RelativeDeviation()).To(Equal(0.5), "the first guess")
 	for range 400 {
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -61,7 +61,7 @@
 // coordinated is the router's own policy: the ledger that its coordinators keep.
 type coordinated struct {
 	book    *ledger.Ledger
-	output  estimate.Output
+	output  estimate.OutputLength
 	names   map[*request]string
 	started bool
 	next    int
