--- a/coordinator/prefill.go
+++ b/coordinator/prefill.go
@@ -26,7 +26,7 @@
 	// reading names the engine of each prompt that is not read yet.
 	reading map[string]string
 	// model learns how long engines take.
-	model estimate.Reading
+	model estimate.PrefillTime
 }
 
 // prefillEngine is one engine; it reads its prompts in the order in which it was
--- a/estimate/learned.go
+++ b/estimate/learned.go
@@ -48,10 +48,10 @@
 }
 
 // Learned returns what has been learned of all engines together.
-func (r *Reading) Learned() Sums { return r.pool.sums() }
+func (r *PrefillTime) Learned() Sums { return r.pool.sums() }
 
 // Adopt takes over what another model has learned of all engines, if this one has learned nothing.
-func (r *Reading) Adopt(learned Sums) {
+func (r *PrefillTime) Adopt(learned Sums) {
 	if r.pool.weight == 0 && learned.valid() {
 		r.pool = lineOf(learned)
 	}
--- a/estimate/learned_test.go
+++ b/estimate/learned_test.go
@@ -15,7 +15,7 @@
 func TestAdoptedModelsGiveTheSameEstimates(t *testing.T) {
 	g := NewWithT(t)
 	var output, next estimate.OutputLength
-	var reading, nextReading estimate.Reading
+	var reading, nextReading estimate.PrefillTime
 	for i := range 100 {
 		output.Observe(100+i, 300+2*i)
 		reading.Observe("e", 1000+10*i, time.Duration(50+i)*time.Millisecond)
--- a/estimate/reading.go
+++ b/estimate/reading.go
@@ -22,17 +22,17 @@
 	overrunFactor = 2
 )
 
-// Reading learns how long prefill engines take to read prompts: a part that each prompt
+// PrefillTime learns how long prefill engines take to read prompts: a part that each prompt
 // costs, and a part for each token. It knows each engine by what it has read itself, and
 // others by all. The zero value goes by a first guess. Sizes are in tokens and above zero. It is not safe for concurrent use.
-type Reading struct {
+type PrefillTime struct {
 	pool    line
 	engines map[string]*line
 }
 
 // Observe takes note of one prompt that an engine has read, and of the time that it took
 // for that alone.
-func (r *Reading) Observe(engine string, tokens int, took time.Duration) {
+func (r *PrefillTime) Observe(engine string, tokens int, took time.Duration) {
 	if r.engines == nil {
 		r.engines = map[string]*line{}
 	}
@@ -46,11 +46,11 @@
 }
 
 // Knows reports whether a prompt has been observed.
-func (r *Reading) Knows() bool { return r.pool.weight > 0 }
+func (r *PrefillTime) Knows() bool { return r.pool.weight > 0 }
 
 // ObserveAtLeast takes note of a prompt that was given up after some time. The engine takes
 // longer than that; how much is not known, and learned from the next ones.
-func (r *Reading) ObserveAtLeast(engine string, tokens int, waited time.Duration) {
+func (r *PrefillTime) ObserveAtLeast(engine string, tokens int, waited time.Duration) {
 	guess := overrunFactor * waited
 	if tokens <= 0 || waited <= 0 || r.Duration(engine, tokens) >= guess {
 		return
@@ -60,7 +60,7 @@
 }
 
 // Duration returns how long an engine is expected to take for a prompt.
-func (r *Reading) Duration(engine string, tokens int) time.Duration {
+func (r *PrefillTime) Duration(engine string, tokens int) time.Duration {
 	known := r.engines[engine]
 	if known == nil {
 		known = &r.pool
@@ -73,7 +73,7 @@
 }
 
 // engine returns what is known of one engine.
-func (r *Reading) engine(id string) *line {
+func (r *PrefillTime) engine(id string) *line {
 	known := r.engines[id]
 	if known != nil {
 		return known
@@ -87,7 +87,7 @@
 
 // prior returns what is known of an engine that has read nothing yet: what all need, around
 // the usual size of a prompt. It loses its weight as the engine reads.
-func (r *Reading) prior() *line {
+func (r *PrefillTime) prior() *line {
 	known := &line{}
 	if r.pool.weight == 0 {
 		return known
--- a/estimate/reading_test.go
+++ b/estimate/reading_test.go
@@ -22,7 +22,7 @@
 		truth := func(tokens int) time.Duration {
 			return time.Duration((fixed + float64(tokens)/pace) * float64(time.Second))
 		}
-		var reading estimate.Reading
+		var reading estimate.PrefillTime
 		sizes := rapid.SliceOfN(rapid.IntRange(500, 12_000), 20, 20).Draw(t, "prompts")
 		for i, tokens := range sizes {
 			engine := []string{"a", "a", "b"}[i%3]
@@ -40,7 +40,7 @@
 func TestASlowEngineIsKnownAndForgiven(t *testing.T) {
 	g := NewWithT(t)
 	const usual = 100 * time.Millisecond
-	var reading estimate.Reading
+	var reading estimate.PrefillTime
 	read := func(engine string, took time.Duration, times int) {
 		for range times {
 			reading.Observe(engine, 3000, took)
