--- a/roles/controller.go
+++ b/roles/controller.go
@@ -38,8 +38,8 @@
 // ErrOrderRefused means that the engine will not carry an order out.
 var ErrOrderRefused = errors.New("roles: order refused")
 
-// Dialect is how engines take orders.
-type Dialect interface {
+// EngineClient is how engines take orders.
+type EngineClient interface {
 	// Report asks an engine what it says of its orders.
 	Report(ctx context.Context, target backend.Backend) (EngineReport, error)
 	// ChangeRole gives an order. ErrOrderRefused means that it is not carried out;
@@ -49,7 +49,7 @@
 
 // Options are the parts of a Controller.
 type Options struct {
-	Dialect  Dialect
+	Dialect  EngineClient
 	Backends *backend.Registry
 	Lease    *lease.Lease
 	// Holder names this node in orders.
--- a/roles/controller_test.go
+++ b/roles/controller_test.go
@@ -49,14 +49,14 @@
 	return backend.Backend{ID: id, Service: "s", State: backend.StateReady, Role: role, Slots: 24}
 }
 
-// Report implements roles.Dialect.
+// Report implements roles.EngineClient.
 func (f *fleet) Report(_ context.Context, target backend.Backend) (roles.EngineReport, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return roles.EngineReport{Role: target.Role, Changing: f.changing[target.ID]}, nil
 }
 
-// ChangeRole implements roles.Dialect.
+// ChangeRole implements roles.EngineClient.
 func (f *fleet) ChangeRole(_ context.Context, target backend.Backend, order roles.Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/router/router.go
+++ b/router/router.go
@@ -48,7 +48,7 @@
 // Dialect is how callers, back ends and engines are spoken to.
 type Dialect interface {
 	gateway.Dialect
-	roles.Dialect
+	roles.EngineClient
 	// Observe has a function called with what back ends say of themselves in any of their answers.
 	// It is called once, before all other calls.
 	Observe(observer backend.Observer)
