--- a/roles/controller.go
+++ b/roles/controller.go
@@ -65,9 +65,9 @@
 	Logger *slog.Logger
 	// Interval is the time between two looks. Default 1s.
 	Interval time.Duration
-	// FirstSettle is how long a change must be wanted before the first order of this
+	// FirstStabilization is how long a change must be wanted before the first order of this
 	// node. Default 2s.
-	FirstSettle time.Duration
+	FirstStabilization time.Duration
 	// Settle is the same for later orders. It outlasts the restart of an engine.
 	// Default 6s.
 	Settle time.Duration
@@ -130,8 +130,8 @@
 	if options.Interval == 0 {
 		options.Interval = defaultInterval
 	}
-	if options.FirstSettle == 0 {
-		options.FirstSettle = defaultFirstSettle
+	if options.FirstStabilization == 0 {
+		options.FirstStabilization = defaultFirstSettle
 	}
 	if options.Notice == 0 {
 		options.Notice = defaultNotice
@@ -257,7 +257,7 @@
 	case planned.Urgent:
 		return c.options.UrgentSettle
 	case !c.ordered:
-		return c.options.FirstSettle
+		return c.options.FirstStabilization
 	default:
 		return c.options.Settle
 	}
