--- a/roles/controller.go
+++ b/roles/controller.go
@@ -68,9 +68,9 @@
 	// FirstStabilization is how long a change must be wanted before the first order of this
 	// node. Default 2s.
 	FirstStabilization time.Duration
-	// Settle is the same for later orders. It outlasts the restart of an engine.
+	// Stabilization is the same for later orders. It outlasts the restart of an engine.
 	// Default 6s.
-	Settle time.Duration
+	Stabilization time.Duration
 	// UrgentSettle is the same where one role has far too few engines. Default 1s.
 	UrgentSettle time.Duration
 	// Announce tells all nodes of an order that is about to be given.
@@ -136,8 +136,8 @@
 	if options.Notice == 0 {
 		options.Notice = defaultNotice
 	}
-	if options.Settle == 0 {
-		options.Settle = defaultSettle
+	if options.Stabilization == 0 {
+		options.Stabilization = defaultSettle
 	}
 	if options.UrgentSettle == 0 {
 		options.UrgentSettle = defaultUrgentSettle
@@ -259,7 +259,7 @@
 	case !c.ordered:
 		return c.options.FirstStabilization
 	default:
-		return c.options.Settle
+		return c.options.Stabilization
 	}
 }
 
