--- a/roles/controller.go
+++ b/roles/controller.go
@@ -71,8 +71,8 @@
 	// Stabilization is the same for later orders. It outlasts the restart of an engine.
 	// Default 6s.
 	Stabilization time.Duration
-	// UrgentSettle is the same where one role has far too few engines. Default 1s.
-	UrgentSettle time.Duration
+	// UrgentStabilization is the same where one role has far too few engines. Default 1s.
+	UrgentStabilization time.Duration
 	// Announce tells all nodes of an order that is about to be given.
 	Announce func(change Change, fence uint64)
 	// Withdraw tells them that the order is not given after all.
@@ -139,8 +139,8 @@
 	if options.Stabilization == 0 {
 		options.Stabilization = defaultSettle
 	}
-	if options.UrgentSettle == 0 {
-		options.UrgentSettle = defaultUrgentSettle
+	if options.UrgentStabilization == 0 {
+		options.UrgentStabilization = defaultUrgentSettle
 	}
 	if options.Demand == nil {
 		options.Demand = func(string) (*Demand, map[string]int) { return nil, nil }
@@ -255,7 +255,7 @@
 func (c *Controller) settle(planned Change) time.Duration {
 	switch {
 	case planned.Urgent:
-		return c.options.UrgentSettle
+		return c.options.UrgentStabilization
 	case !c.ordered:
 		return c.options.FirstStabilization
 	default:
