--- a/roles/controller.go
+++ b/roles/controller.go
@@ -77,9 +77,9 @@
 	Announce func(change Change, fence uint64)
 	// Withdraw tells them that the order is not given after all.
 	Withdraw func(change Change, fence uint64)
-	// Notice is the time between the announcement and the order, in which answers
+	// NoticePeriod is the time between the announcement and the order, in which answers
 	// whose prompts are being read reach the engine. Default 700ms.
-	Notice time.Duration
+	NoticePeriod time.Duration
 	// LatestOrder is how late an order may be carried out that got no answer. A new
 	// holder waits for so long. Default 13s.
 	LatestOrder time.Duration
@@ -133,8 +133,8 @@
 	if options.FirstStabilization == 0 {
 		options.FirstStabilization = defaultFirstSettle
 	}
-	if options.Notice == 0 {
-		options.Notice = defaultNotice
+	if options.NoticePeriod == 0 {
+		options.NoticePeriod = defaultNotice
 	}
 	if options.Stabilization == 0 {
 		options.Stabilization = defaultSettle
--- a/roles/order.go
+++ b/roles/order.go
@@ -22,7 +22,7 @@
 // order has engines change their roles, if this node holds the lease. All are announced, and
 // after one notice all are ordered.
 func (c *Controller) order(ctx context.Context, planned []Change) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout+c.options.Notice)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout+c.options.NoticePeriod)
 	defer cancel()
 	fence, err := c.options.Lease.Acquire(ctx)
 	if err != nil {
@@ -41,7 +41,7 @@
 	for _, change := range ready {
 		c.options.Announce(change.change, fence)
 	}
-	notice := time.NewTimer(c.options.Notice)
+	notice := time.NewTimer(c.options.NoticePeriod)
 	defer notice.Stop()
 	select {
 	case <-ctx.Done():
