--- a/roles/controller.go
+++ b/roles/controller.go
@@ -80,9 +80,9 @@
 	// NoticePeriod is the time between the announcement and the order, in which answers
 	// whose prompts are being read reach the engine. Default 700ms.
 	NoticePeriod time.Duration
-	// LatestOrder is how late an order may be carried out that got no answer. A new
+	// MaxOrderDelay is how late an order may be carried out that got no answer. A new
 	// holder waits for so long. Default 13s.
-	LatestOrder time.Duration
+	MaxOrderDelay time.Duration
 	// ChangeTimeout is how long an engine may take for a change. Default 20s.
 	ChangeTimeout time.Duration
 }
@@ -145,8 +145,8 @@
 	if options.Demand == nil {
 		options.Demand = func(string) (*Demand, map[string]int) { return nil, nil }
 	}
-	if options.LatestOrder == 0 {
-		options.LatestOrder = defaultLatestOrder
+	if options.MaxOrderDelay == 0 {
+		options.MaxOrderDelay = defaultLatestOrder
 	}
 	if options.ChangeTimeout == 0 {
 		options.ChangeTimeout = defaultChangeTimeout
