--- a/roles/controller.go
+++ b/roles/controller.go
@@ -270,8 +270,8 @@
 	delete(c.changing, id)
 }
 
-// Note takes an engine as changing, by an order of this node or of another one.
-func (c *Controller) Note(planned Change) {
+// MarkChanging takes an engine as changing, by an order of this node or of another one.
+func (c *Controller) MarkChanging(planned Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.changing[planned.Engine] = change{planned.Role, c.options.Now().Add(c.options.ChangeTimeout)}
--- a/roles/order.go
+++ b/roles/order.go
@@ -94,7 +94,7 @@
 	}
 	// An order without an answer may be carried out all the same: the engine counts as changing
 	// from before it is sent.
-	c.Note(change)
+	c.MarkChanging(change)
 	if report.Changing || report.Role == change.Role {
 		return nil, nil //nolint:nilnil // nothing is to be ordered
 	}
--- a/router/rolechange.go
+++ b/router/rolechange.go
@@ -105,6 +105,6 @@
 		r.options.Logger.Error("role change refused", "error", err.Error())
 		return
 	}
-	r.roles.Note(roles.Change{Engine: spec.Engine, Role: spec.Role})
+	r.roles.MarkChanging(roles.Change{Engine: spec.Engine, Role: spec.Role})
 	r.options.Logger.Info("role change announced", "engine", spec.Engine, "role", string(spec.Role), "source", string(change.Source))
 }
