--- a/roles/controller.go
+++ b/roles/controller.go
@@ -263,8 +263,8 @@
 	}
 }
 
-// Forget takes an engine as not changing: its order was not given.
-func (c *Controller) Forget(id string) {
+// ClearChanging takes an engine as not changing: its order was not given.
+func (c *Controller) ClearChanging(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.changing, id)
--- a/roles/order.go
+++ b/roles/order.go
@@ -149,7 +149,7 @@
 // withdraw takes back announced changes whose orders were not sent.
 func (c *Controller) withdraw(ready []prepared, fence uint64) {
 	for _, one := range ready {
-		c.Forget(one.change.Engine)
+		c.ClearChanging(one.change.Engine)
 		c.options.Withdraw(one.change, fence)
 	}
 }
--- a/router/rolechange.go
+++ b/router/rolechange.go
@@ -96,7 +96,7 @@
 func (r *Router) roleAnnounced(change replica.Change) {
 	if change.Record.Deleted {
 		engine, _, _ := strings.Cut(change.Record.Object.Name, "/")
-		r.roles.Forget(engine)
+		r.roles.ClearChanging(engine)
 		r.options.Logger.Info("role change withdrawn", "engine", engine, "source", string(change.Source))
 		return
 	}
