--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -336,14 +336,14 @@
 	c.notify(address, &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeEnded(ended)}})
 }
 
-// PromptRead notifies the coordinator that an engine has read a run's prompt. It does not
+// PrefillDone notifies the coordinator that an engine has read a run's prompt. It does not
 // wait for the answer.
-func (c *Client) PromptRead(service, id, engine string) {
+func (c *Client) PrefillDone(service, id, engine string) {
 	node, found := c.coordinator(service)
 	switch {
 	case !found:
 	case node.Address == c.fleet.Own():
-		c.local.PromptRead(service, id, engine)
+		c.local.PrefillDone(service, id, engine)
 	default:
 		c.notify(node.Address, &peerpb.Request{Body: &peerpb.Request_PromptRead{PromptRead: &peerpb.PromptRead{
 			Service: service, Id: id, Engine: engine,
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -278,8 +278,8 @@
 	c.state(service).decode.Reported(c.options.Now(), engine, used)
 }
 
-// PromptRead notes that an engine has read a run's prompt, and serves those that wait.
-func (c *Coordinator) PromptRead(service, id, engine string) {
+// PrefillDone notes that an engine has read a run's prompt, and serves those that wait.
+func (c *Coordinator) PrefillDone(service, id, engine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.state(service)
--- a/coordinator/health_test.go
+++ b/coordinator/health_test.go
@@ -67,7 +67,7 @@
 		readByBusy = "two"
 	}
 	now += 200 * time.Millisecond
-	shared.PromptRead("s", readByBusy, "busy")
+	shared.PrefillDone("s", readByBusy, "busy")
 	for range 5 {
 		shared.EngineFailed(EngineFailure{Service: "s", Engine: "busy", TimedOut: true})
 		shared.EngineFailed(EngineFailure{Service: "s", Engine: "dark", TimedOut: true})
--- a/coordinator/learned_test.go
+++ b/coordinator/learned_test.go
@@ -34,7 +34,7 @@
 		given := taught.Assign(t.Context(), request)
 		g.Expect(given.Decode).To(Equal("d"))
 		now += time.Second
-		taught.PromptRead("s", id, given.Prefill)
+		taught.PrefillDone("s", id, given.Prefill)
 		now += 2 * time.Second
 		taught.End(RunResult{Service: "s", ID: id, Duration: 3 * time.Second, Output: 1000, First: time.Second, Rest: 900})
 	}
--- a/coordinator/overflow_test.go
+++ b/coordinator/overflow_test.go
@@ -36,7 +36,7 @@
 	g.Expect([]string{first.Decode, second.Decode}).To(ConsistOf("a", "b"))
 	g.Expect(alone.Assign(t.Context(), requestOf("third", 0)).Decode).To(BeEmpty())
 	now += 300 * time.Millisecond
-	alone.PromptRead("s", "first", first.Decode)
+	alone.PrefillDone("s", "first", first.Decode)
 	g.Expect(alone.Assign(t.Context(), requestOf("third", 0)).Decode).To(Equal(first.Decode))
 }
 
@@ -55,7 +55,7 @@
 		}
 		byThemselves++
 		g.Expect(behind.state("s").decode.MemoryShare(now)).To(BeNumerically("<", overflowMemoryShare+0.1))
-		behind.PromptRead("s", id, given.Decode)
+		behind.PrefillDone("s", id, given.Decode)
 	}
 	g.Expect(byThemselves).To(BeNumerically(">", 0))
 	g.Expect(behind.state("s").decode.MemoryShare(now)).To(BeNumerically("<", overflowMemoryShare+0.1))
@@ -81,7 +81,7 @@
 		returning := requestOf(id+"-again", 0)
 		returning.Late = true
 		measured.Assign(t.Context(), request)
-		measured.PromptRead("s", id, "")
+		measured.PrefillDone("s", id, "")
 		measured.End(RunResult{Service: "s", ID: id})
 		measured.Assign(t.Context(), returning)
 		measured.End(RunResult{Service: "s", ID: id + "-again"})
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -172,7 +172,7 @@
 func (r *overloadReplay) serve(run ledger.Run, given Assignment) {
 	began := time.Now()
 	time.Sleep(given.PromptReady)
-	r.coordinator.PromptRead("s", run.ID, given.Prefill)
+	r.coordinator.PrefillDone("s", run.ID, given.Prefill)
 	time.Sleep(time.Duration(run.Output) * 5 * time.Millisecond)
 	first := given.PromptReady + 50*time.Millisecond
 	r.coordinator.End(RunResult{
--- a/coordinator/shortlist_test.go
+++ b/coordinator/shortlist_test.go
@@ -71,7 +71,7 @@
 			id := strconv.Itoa(number)
 			number++
 			g.Expect(assigning.Assign(t.Context(), requestOf(id, 0)).Decode).NotTo(BeEmpty())
-			assigning.PromptRead("s", id, "")
+			assigning.PrefillDone("s", id, "")
 			assigning.End(RunResult{Service: "s", ID: id})
 			g.Expect(many.looks).To(BeZero())
 		})
@@ -103,7 +103,7 @@
 			refused++
 		} else {
 			running = append(running, id)
-			filling.PromptRead("s", id, "")
+			filling.PrefillDone("s", id, "")
 		}
 		for len(running) > underWay {
 			at := random.IntN(len(running))
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -24,7 +24,7 @@
 		c.End(decodeEnded(body.EndRun))
 		return &peerpb.Response{Body: &peerpb.Response_Done{Done: &peerpb.Done{}}}, nil
 	case *peerpb.Request_PromptRead:
-		c.PromptRead(body.PromptRead.GetService(), body.PromptRead.GetId(), body.PromptRead.GetEngine())
+		c.PrefillDone(body.PromptRead.GetService(), body.PromptRead.GetId(), body.PromptRead.GetEngine())
 		return &peerpb.Response{Body: &peerpb.Response_Done{Done: &peerpb.Done{}}}, nil
 	case *peerpb.Request_EngineFailed:
 		c.EngineFailed(EngineFailure{
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -57,8 +57,8 @@
 type Coordinator interface {
 	// Assign asks for engines. An error means that no coordinator answers.
 	Assign(ctx context.Context, request coordinator.Request) (coordinator.Assignment, error)
-	// PromptRead reports that an engine has read the prompt of a run.
-	PromptRead(service, id, engine string)
+	// PrefillDone reports that an engine has read the prompt of a run.
+	PrefillDone(service, id, engine string)
 	// EngineFailed reports an engine that did not do what it was asked, where that ended
 	// no run.
 	EngineFailed(failure coordinator.EngineFailure)
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -28,7 +28,7 @@
 	return coordinator.Assignment{Decode: "engine"}, nil
 }
 
-func (c *givingCoordinator) PromptRead(string, string, string) {}
+func (c *givingCoordinator) PrefillDone(string, string, string) {}
 
 func (c *givingCoordinator) EngineFailed(coordinator.EngineFailure) {}
 
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -17,7 +17,7 @@
 	return coordinator.Assignment{}, nil
 }
 
-func (*keepingCoordinator) PromptRead(string, string, string) {}
+func (*keepingCoordinator) PrefillDone(string, string, string) {}
 
 func (*keepingCoordinator) EngineFailed(coordinator.EngineFailure) {}
 
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -74,7 +74,7 @@
 // promptRead notifies the coordinator which engine has read the prompt.
 func (s *reservedEngine) promptRead(engine string) {
 	if s.run != "" {
-		s.exchange.handler.options.Coordinator.PromptRead(s.exchange.service, s.run, engine)
+		s.exchange.handler.options.Coordinator.PrefillDone(s.exchange.service, s.run, engine)
 	}
 }
 
--- a/gateway/runname_test.go
+++ b/gateway/runname_test.go
@@ -32,7 +32,7 @@
 	return coordinator.Assignment{RetryAfter: time.Second}, nil
 }
 
-func (c *fullCoordinator) PromptRead(string, string, string) {}
+func (c *fullCoordinator) PrefillDone(string, string, string) {}
 
 func (c *fullCoordinator) EngineFailed(coordinator.EngineFailure) {}
 
