--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -63,10 +63,10 @@
 	Duration time.Duration
 	// Output is how many tokens a whole answer had.
 	Output int
-	// First is how long it took until the first event of a whole answer, and Rest how many
+	// FirstEvent is how long it took until the first event of a whole answer, and Rest how many
 	// tokens came after that.
-	First time.Duration
-	Rest  int
+	FirstEvent time.Duration
+	Rest       int
 	// Refusal is set where the engine did not take it.
 	Refusal Refusal
 }
