--- a/coordinator/learned_test.go
+++ b/coordinator/learned_test.go
@@ -36,7 +36,7 @@
 		now += time.Second
 		taught.PrefillDone("s", id, given.Prefill)
 		now += 2 * time.Second
-		taught.End(RunResult{Service: "s", ID: id, Duration: 3 * time.Second, Output: 1000, FirstEvent: time.Second, Rest: 900})
+		taught.End(RunResult{Service: "s", ID: id, Duration: 3 * time.Second, Output: 1000, FirstEvent: time.Second, RestTokens: 900})
 	}
 	next.Adopt("s", decodeLearned(encodeLearned(taught.Learned("s"))))
 	ask := func(asked *Coordinator) Assignment {
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -66,7 +66,7 @@
 	// FirstEvent is how long it took until the first event of a whole answer, and Rest how many
 	// tokens came after that.
 	FirstEvent time.Duration
-	Rest       int
+	RestTokens int
 	// Refusal is set where the engine did not take it.
 	Refusal Refusal
 }
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -176,7 +176,7 @@
 	time.Sleep(time.Duration(run.Output) * 5 * time.Millisecond)
 	first := given.PromptReady + 50*time.Millisecond
 	r.coordinator.End(RunResult{
-		Service: "s", ID: run.ID, Duration: time.Since(began), Output: run.Output, FirstEvent: first, Rest: run.Output - 1,
+		Service: "s", ID: run.ID, Duration: time.Since(began), Output: run.Output, FirstEvent: first, RestTokens: run.Output - 1,
 	})
 }
 
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -71,7 +71,7 @@
 	return &peerpb.EndRun{
 		Service: ended.Service, Id: ended.ID, DurationMs: ended.Duration.Milliseconds(),
 		Refusal: int32(ended.Refusal), OutputTokens: int64(ended.Output),
-		FirstMs: ended.FirstEvent.Milliseconds(), RestTokens: int64(ended.Rest),
+		FirstMs: ended.FirstEvent.Milliseconds(), RestTokens: int64(ended.RestTokens),
 	}
 }
 
@@ -79,7 +79,7 @@
 	return RunResult{
 		Service: encoded.GetService(), ID: encoded.GetId(), Duration: peer.Millis(encoded.GetDurationMs()),
 		Refusal: Refusal(encoded.GetRefusal()), Output: int(encoded.GetOutputTokens()),
-		FirstEvent: peer.Millis(encoded.GetFirstMs()), Rest: int(encoded.GetRestTokens()),
+		FirstEvent: peer.Millis(encoded.GetFirstMs()), RestTokens: int(encoded.GetRestTokens()),
 	}
 }
 
--- a/coordinator/wire_test.go
+++ b/coordinator/wire_test.go
@@ -14,7 +14,7 @@
 // on the way is one that the coordinator never learns from other nodes.
 func TestAnEndKeepsAllItSaysOnTheWire(t *testing.T) {
 	g := NewWithT(t)
-	ended := RunResult{Service: "s", ID: "run", Duration: 3500 * time.Millisecond, Output: 640, FirstEvent: 210 * time.Millisecond, Rest: 631, Refusal: RefusalFull}
+	ended := RunResult{Service: "s", ID: "run", Duration: 3500 * time.Millisecond, Output: 640, FirstEvent: 210 * time.Millisecond, RestTokens: 631, Refusal: RefusalFull}
 	g.Expect(decodeEnded(encodeEnded(ended))).To(Equal(ended))
 }
 
@@ -40,7 +40,7 @@
 		now += taken
 		_, err := learning.Handle(t.Context(), &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeEnded(RunResult{
 			Service: "s", ID: "run", Duration: taken, Output: int(pace * taken.Seconds()),
-			FirstEvent: taken / 10, Rest: int(pace * taken.Seconds() * 9 / 10),
+			FirstEvent: taken / 10, RestTokens: int(pace * taken.Seconds() * 9 / 10),
 		})}})
 		g.Expect(err).NotTo(HaveOccurred())
 	}
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -39,5 +39,5 @@
 	rest.close(true, whole, eventTokens)
 	g.Expect(told.ended).To(HaveLen(1))
 	g.Expect(told.ended[0].Output).To(Equal(whole * eventTokens))
-	g.Expect(told.ended[0].Rest).To(Equal((own - 1) * eventTokens))
+	g.Expect(told.ended[0].RestTokens).To(Equal((own - 1) * eventTokens))
 }
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -66,7 +66,7 @@
 	ended := coordinator.RunResult{Service: s.exchange.service, ID: s.run, Refusal: s.refusal}
 	if whole && events > 0 {
 		ended.Duration, ended.Output = time.Since(s.taken), events*eventTokens
-		ended.FirstEvent, ended.Rest = s.first, (s.events-1)*eventTokens
+		ended.FirstEvent, ended.RestTokens = s.first, (s.events-1)*eventTokens
 	}
 	s.exchange.handler.options.Coordinator.End(ended)
 }
