--- a/coordinator/learned_test.go
+++ b/coordinator/learned_test.go
@@ -48,7 +48,7 @@
 	before, after, without := ask(taught), ask(next), ask(untaught)
 	g.Expect(after.Output).To(BeNumerically("~", before.Output, before.Output/10))
 	g.Expect(after.PromptReady).To(BeNumerically("~", before.PromptReady, before.PromptReady/10))
-	g.Expect(next.State("s").Pace).To(BeNumerically("~", taught.State("s").Pace, 1))
+	g.Expect(next.State("s").DecodeRate).To(BeNumerically("~", taught.State("s").DecodeRate, 1))
 	g.Expect(without.Output).To(BeNumerically("<", before.Output*6/10))
 	g.Expect(without.PromptReady).To(BeNumerically("<", before.PromptReady/5))
 }
--- a/coordinator/state.go
+++ b/coordinator/state.go
@@ -17,8 +17,8 @@
 	Backlog time.Duration
 	// Demand is how many engines of each role the requests of late keep busy.
 	Demand Demand
-	// Pace is how many tokens a run makes in a second.
-	Pace float64
+	// DecodeRate is how many tokens a run makes in a second.
+	DecodeRate float64
 }
 
 // State returns what is known of a service now.
@@ -31,7 +31,7 @@
 	sound := soundOf(now, &current.health, all)
 	state := State{
 		Prefill: len(sound.Prefill), Decode: len(sound.Decode), Failing: total - len(sound.Prefill) - len(sound.Decode),
-		Runs: current.decode.Len(), Waiting: len(current.waiting), Pace: current.decode.Pace(),
+		Runs: current.decode.Len(), Waiting: len(current.waiting), DecodeRate: current.decode.Pace(),
 		Demand: current.demand.current(now),
 	}
 	current.decode.SetEngines(sound.Decode)
--- a/router/summary.go
+++ b/router/summary.go
@@ -38,7 +38,7 @@
 	state := r.coordinator.State(service)
 	r.options.Logger.Info("engines", "service", service, "prefill", state.Prefill, "decode", state.Decode,
 		"failing", state.Failing, "runs", state.Runs, "memory_percent", int(100*state.MemoryShare), //nolint:mnd // percent
-		"waiting", state.Waiting, "backlog_ms", state.Backlog.Milliseconds(), "pace", int(state.Pace),
+		"waiting", state.Waiting, "backlog_ms", state.Backlog.Milliseconds(), "pace", int(state.DecodeRate),
 		"prefill_demand", state.Demand.Prefill, "decode_demand", state.Demand.Decode)
 }
 
