--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -35,8 +35,8 @@
 
 // Options are the assumptions of a Ledger.
 type Options struct {
-	// Fill is the share of an engine's memory that is given. Default 1.
-	Fill float64
+	// UsableShare is the share of an engine's memory that is given. Default 1.
+	UsableShare float64
 	// Deviations is how many standard deviations of what the runs of an engine will make
 	// together are kept free. Default 1 (docs/KYKLOS.md has the figures).
 	Deviations float64
@@ -104,8 +104,8 @@
 
 // New returns an empty ledger.
 func New(options Options) *Ledger {
-	if options.Fill == 0 {
-		options.Fill = defaultFill
+	if options.UsableShare == 0 {
+		options.UsableShare = defaultFill
 	}
 	if options.Deviations == 0 {
 		options.Deviations = defaultDeviations
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -78,7 +78,7 @@
 func (l *Ledger) Occupancy(run Run) float64 {
 	memory := 0.0
 	for _, engine := range l.engines {
-		memory = max(memory, float64(engine.Memory)*l.options.Fill)
+		memory = max(memory, float64(engine.Memory)*l.options.UsableShare)
 	}
 	if memory == 0 {
 		return 0
--- a/ledger/projection.go
+++ b/ledger/projection.go
@@ -38,7 +38,7 @@
 	}
 	foreign := l.foreignTokens(now, engine.ID)
 	needed := l.peak(runs) + l.margin(run, active)
-	peak := (needed/l.coverage + foreign) / (float64(engine.Memory) * l.options.Fill)
+	peak := (needed/l.coverage + foreign) / (float64(engine.Memory) * l.options.UsableShare)
 	// A run that no engine could ever hold is let in where nothing else is.
 	return peak, peak <= 1 || len(runs) == 1 && foreign == 0
 }
