--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -43,9 +43,9 @@
 	// Overrun is how much more, as a share of its expected output, a run is taken to
 	// make once it has made that. Default 0.25.
 	Overrun float64
-	// Pace is the first guess of how many tokens a run makes in a second. Default
+	// DecodeRate is the first guess of how many tokens a run makes in a second. Default
 	// 1000.
-	Pace float64
+	DecodeRate float64
 	// Start is the first guess of the time from an assignment to the first token, while the
 	// prompt is read. Default 150ms.
 	Start time.Duration
@@ -113,14 +113,14 @@
 	if options.Overrun == 0 {
 		options.Overrun = defaultOverrun
 	}
-	if options.Pace == 0 {
-		options.Pace = defaultPace
+	if options.DecodeRate == 0 {
+		options.DecodeRate = defaultPace
 	}
 	if options.Start == 0 {
 		options.Start = defaultStart
 	}
 	return &Ledger{
-		options: options, pace: options.Pace, start: options.Start, runs: map[string]Run{},
+		options: options, pace: options.DecodeRate, start: options.Start, runs: map[string]Run{},
 		byEngine: map[string]map[string]Run{}, byHolder: map[string]map[string]bool{}, refusedUntil: map[string]time.Duration{}, heard: map[string]time.Duration{}, foreign: map[string]foreignUse{}, coverage: 1,
 	}
 }
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -15,7 +15,7 @@
 const memory = 90_000
 
 func newLedger(engines int) *ledger.Ledger {
-	book := ledger.New(ledger.Options{UsableShare: 1, Pace: 1000})
+	book := ledger.New(ledger.Options{UsableShare: 1, DecodeRate: 1000})
 	var listed []ledger.Engine
 	for i := range engines {
 		listed = append(listed, ledger.Engine{ID: fmt.Sprintf("e%d", i), Memory: memory, Slots: 64})
