--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -46,9 +46,9 @@
 	// DecodeRate is the first guess of how many tokens a run makes in a second. Default
 	// 1000.
 	DecodeRate float64
-	// Start is the first guess of the time from an assignment to the first token, while the
+	// FirstTokenDelay is the first guess of the time from an assignment to the first token, while the
 	// prompt is read. Default 150ms.
-	Start time.Duration
+	FirstTokenDelay time.Duration
 }
 
 const (
@@ -116,11 +116,11 @@
 	if options.DecodeRate == 0 {
 		options.DecodeRate = defaultPace
 	}
-	if options.Start == 0 {
-		options.Start = defaultStart
+	if options.FirstTokenDelay == 0 {
+		options.FirstTokenDelay = defaultStart
 	}
 	return &Ledger{
-		options: options, pace: options.DecodeRate, start: options.Start, runs: map[string]Run{},
+		options: options, pace: options.DecodeRate, start: options.FirstTokenDelay, runs: map[string]Run{},
 		byEngine: map[string]map[string]Run{}, byHolder: map[string]map[string]bool{}, refusedUntil: map[string]time.Duration{}, heard: map[string]time.Duration{}, foreign: map[string]foreignUse{}, coverage: 1,
 	}
 }
