--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -14,8 +14,8 @@
 		avoid[id] = true
 	}
 	run := request.Run
-	run.Expected = run.Output
-	run.Output = current.output.Mean(run.Expected, run.MaxOutput)
+	run.CallerEstimate = run.Output
+	run.Output = current.output.Mean(run.CallerEstimate, run.MaxOutput)
 	reader, ready := current.prefill.shortest(now, engines.Prefill, run, avoid)
 	if reader == "" || !c.isTimely(now, current, queued, reader, ready) {
 		current.short = backend.RolePrefill
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -12,8 +12,8 @@
 	Prompt int
 	// Output is how many tokens are expected to come out.
 	Output int
-	// Expected is what its caller expected; zero where that is not known.
-	Expected int
+	// CallerEstimate is what its caller expected; zero where that is not known.
+	CallerEstimate int
 	// MaxOutput bounds it; zero where that is not known.
 	MaxOutput int
 	// Engine is the decode engine that it was given.
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -83,7 +83,7 @@
 	most := int(s.sheet.Events.Most) * s.sheet.EventTokens
 	expected := min(asked.hint, most)
 	return ledger.Run{
-		ID: p.names[asked], Prompt: asked.prompt, Expected: expected, MaxOutput: most,
+		ID: p.names[asked], Prompt: asked.prompt, CallerEstimate: expected, MaxOutput: most,
 		Output: p.output.Mean(expected, most), Holder: "node",
 	}
 }
@@ -118,7 +118,7 @@
 	// The emulator's runs begin with their first event at the guessed start.
 	answer := ledger.Answer{First: assumedStart, Duration: took, Rest: over.output}
 	if run, known := p.book.End(p.names[over], answer); known {
-		p.output.Observe(run.Expected, over.output)
+		p.output.Observe(run.CallerEstimate, over.output)
 	}
 }
 
