--- a/roles/controller.go
+++ b/roles/controller.go
@@ -195,8 +195,8 @@
 }
 
 // division returns the engines of each role, and how many are changing.
-func (c *Controller) division(service string) Division {
-	var division Division
+func (c *Controller) division(service string) Allocation {
+	var division Allocation
 	division.Demand, division.Runs = c.options.Demand(service)
 	division.Prefill = c.settled(service, backend.RolePrefill)
 	division.Decode = c.settled(service, backend.RoleDecode)
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -8,8 +8,8 @@
 	"github.com/reelrun/reelrun/backend"
 )
 
-// Division is how the engines of a service are divided, and what is asked of them.
-type Division struct {
+// Allocation is how the engines of a service are divided, and what is asked of them.
+type Allocation struct {
 	Prefill []string
 	Decode  []string
 	// ArrivingPrefill and ArrivingDecode count the engines that are changing to a role; they are
@@ -23,7 +23,7 @@
 }
 
 // total returns the number of all engines.
-func (d Division) total() int {
+func (d Allocation) total() int {
 	return len(d.Prefill) + len(d.Decode) + d.ArrivingPrefill + d.ArrivingDecode
 }
 
@@ -100,7 +100,7 @@
 // All that the giving role has too many of may go as soon as the demand is certain: the best
 // division has fewer of them anyway. The demand is an estimate, so that at most a part of a role
 // changes at once, and the next changes follow what is measured then.
-func (p Policy) Plan(division Division) []Change {
+func (p Policy) Plan(division Allocation) []Change {
 	total := division.total()
 	if total < leastEngines {
 		return nil
@@ -129,7 +129,7 @@
 }
 
 // wanted returns how many prefill engines there should be, and whether that is urgent.
-func (p Policy) wanted(division Division, total int) (prefill int, urgent bool) {
+func (p Policy) wanted(division Allocation, total int) (prefill int, urgent bool) {
 	current := len(division.Prefill) + division.ArrivingPrefill
 	if division.Demand == nil {
 		share := cmp.Or(p.PrefillShare, defaultPrefillShare) * float64(total)
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -22,7 +22,7 @@
 		}
 		moved := map[string]bool{}
 		for {
-			var division roles.Division
+			var division roles.Allocation
 			for id, current := range role {
 				if current == backend.RolePrefill {
 					division.Prefill = append(division.Prefill, id)
@@ -51,9 +51,9 @@
 
 func TestNineEnginesKeepThreeForPrompts(t *testing.T) {
 	g := NewWithT(t)
-	division := roles.Division{Prefill: []string{"a", "b", "c", "d"}, Decode: []string{"e", "f", "g", "h", "i"}}
+	division := roles.Allocation{Prefill: []string{"a", "b", "c", "d"}, Decode: []string{"e", "f", "g", "h", "i"}}
 	g.Expect(roles.Policy{}.Plan(division)).To(Equal([]roles.Change{{Engine: "d", Role: backend.RoleDecode}}))
-	division = roles.Division{Prefill: []string{"a", "b", "c"}, Decode: []string{"d", "e", "f", "g", "h", "i"}}
+	division = roles.Allocation{Prefill: []string{"a", "b", "c"}, Decode: []string{"d", "e", "f", "g", "h", "i"}}
 	g.Expect(roles.Policy{}.Plan(division)).To(BeEmpty())
 }
 
@@ -73,7 +73,7 @@
 		"nothing asked of decode": {&roles.Demand{Prefill: 2}, []roles.Change{{Engine: "i", Role: backend.RolePrefill, Urgent: true}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			division := roles.Division{Prefill: three, Decode: six, Demand: test.demand}
+			division := roles.Allocation{Prefill: three, Decode: six, Demand: test.demand}
 			NewWithT(t).Expect(roles.Policy{}.Plan(division)).To(Equal(test.want))
 		})
 	}
@@ -82,7 +82,7 @@
 // TestTheIdlestEngineChanges wants the engine that is free first.
 func TestTheIdlestEngineChanges(t *testing.T) {
 	g := NewWithT(t)
-	division := roles.Division{
+	division := roles.Allocation{
 		Prefill: []string{"a"}, Decode: []string{"b", "c", "d", "e", "f"},
 		Demand: &roles.Demand{Prefill: 2, Decode: 2}, Runs: map[string]int{"b": 4, "c": 1, "d": 7, "e": 2, "f": 3},
 	}
@@ -97,7 +97,7 @@
 		reading := rapid.IntRange(0, engines).Draw(t, "of them prefill")
 		first := reading
 		for steps := 0; ; steps++ {
-			division := roles.Division{Demand: demand}
+			division := roles.Allocation{Demand: demand}
 			for i := range engines {
 				if i < reading {
 					division.Prefill = append(division.Prefill, strconv.Itoa(i))
@@ -128,9 +128,9 @@
 // should read prompts. Nine engines are left as they are.
 func TestLargeFleetsDivideMoreFinely(t *testing.T) {
 	g := NewWithT(t)
-	divided := func(engines int) roles.Division {
+	divided := func(engines int) roles.Allocation {
 		scale := float64(engines) / 90
-		division := roles.Division{Demand: &roles.Demand{Prefill: 14 * scale, Decode: 48 * scale}}
+		division := roles.Allocation{Demand: &roles.Demand{Prefill: 14 * scale, Decode: 48 * scale}}
 		for i := range engines {
 			if i < engines/3 {
 				division.Prefill = append(division.Prefill, strconv.Itoa(i))
@@ -149,8 +149,8 @@
 // quarter of the memory unused.
 func TestDecodeEnginesThatCannotBeFilledAreMore(t *testing.T) {
 	g := NewWithT(t)
-	divided := func(fill float64) roles.Division {
-		division := roles.Division{Demand: &roles.Demand{Prefill: 5.2, Decode: 19.5, DecodeUtilization: fill}}
+	divided := func(fill float64) roles.Allocation {
+		division := roles.Allocation{Demand: &roles.Demand{Prefill: 5.2, Decode: 19.5, DecodeUtilization: fill}}
 		for i := range 38 {
 			if i < 10 {
 				division.Prefill = append(division.Prefill, strconv.Itoa(i))
@@ -167,8 +167,8 @@
 }
 
 // manyEngines is a division of so many engines, of which a part reads prompts.
-func manyEngines(prefill, decode int, demand *roles.Demand) roles.Division {
-	division := roles.Division{Demand: demand}
+func manyEngines(prefill, decode int, demand *roles.Demand) roles.Allocation {
+	division := roles.Allocation{Demand: demand}
 	for i := range prefill {
 		division.Prefill = append(division.Prefill, "p"+strconv.Itoa(i))
 	}
