--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -230,7 +230,7 @@
 	}
 	current.prefill.drop(ended.ID)
 	current.selfReading.drop(ended.ID)
-	if run, known := current.decode.End(ended.ID, ledger.Answer{First: ended.FirstEvent, Duration: ended.Duration, Rest: ended.RestTokens}); known {
+	if run, known := current.decode.End(ended.ID, ledger.AnswerTiming{First: ended.FirstEvent, Duration: ended.Duration, Rest: ended.RestTokens}); known {
 		current.output.Observe(run.CallerEstimate, ended.Output)
 		c.observe(current, run.Engine, ended)
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -150,7 +150,7 @@
 }
 
 // End forgets a run and returns it.
-func (l *Ledger) End(id string, answer Answer) (Run, bool) {
+func (l *Ledger) End(id string, answer AnswerTiming) (Run, bool) {
 	run, known := l.runs[id]
 	if !known {
 		return Run{}, false
--- a/ledger/names_test.go
+++ b/ledger/names_test.go
@@ -19,7 +19,7 @@
 		_, fits := book.Assign(0, large, nil)
 		g.Expect(fits).To(BeTrue())
 	}
-	book.End("same", ledger.Answer{})
+	book.End("same", ledger.AnswerTiming{})
 	g.Expect(book.Len()).To(BeZero())
 	for _, id := range []string{"first", "second"} {
 		_, fits := book.Assign(time.Second, ledger.Run{ID: id, Prompt: 80_000, Output: 1000}, nil)
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Answer is a whole answer, as far as it teaches the pace. The zero value teaches nothing.
-type Answer struct {
+// AnswerTiming is a whole answer, as far as it teaches the pace. The zero value teaches nothing.
+type AnswerTiming struct {
 	// First is how long it took from the assignment to the first event, and Duration to the
 	// last one.
 	First, Duration time.Duration
@@ -17,7 +17,7 @@
 // learn takes over the pace and the start of an answer. The pace is that of all tokens in all
 // the time, newer answers counting more: an answer whose events were held up on the way comes
 // at once, and its own pace says nothing.
-func (l *Ledger) learn(answer Answer) {
+func (l *Ledger) learn(answer AnswerTiming) {
 	l.answers++
 	l.tokens = (1-paceWeight)*l.tokens + float64(answer.Rest)
 	l.seconds = (1-paceWeight)*l.seconds + (answer.Duration - answer.First).Seconds()
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -57,7 +57,7 @@
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			for id, run := range runs {
 				if run.ends() <= now {
-					book.End(id, ledger.Answer{})
+					book.End(id, ledger.AnswerTiming{})
 					delete(runs, id)
 				}
 			}
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -112,11 +112,11 @@
 
 func (p *coordinated) ended(_ *simulation, _ *decodeEngine, over *request, took time.Duration, whole bool) {
 	if !whole {
-		p.book.End(p.names[over], ledger.Answer{})
+		p.book.End(p.names[over], ledger.AnswerTiming{})
 		return
 	}
 	// The emulator's runs begin with their first event at the guessed start.
-	answer := ledger.Answer{First: assumedStart, Duration: took, Rest: over.output}
+	answer := ledger.AnswerTiming{First: assumedStart, Duration: took, Rest: over.output}
 	if run, known := p.book.End(p.names[over], answer); known {
 		p.output.Observe(run.CallerEstimate, over.output)
 	}
