--- a/coordinator/learned.go
+++ b/coordinator/learned.go
@@ -15,7 +15,7 @@
 type Learned struct {
 	Output  estimate.LearnedOutput
 	Reading estimate.Sums
-	Pace    ledger.LearnedPace
+	Pace    ledger.LearnedRate
 }
 
 // Learned returns what has been learned of a service.
@@ -52,7 +52,7 @@
 			Samples: int(encoded.GetOutputSamples()), Sums: decodeSums(encoded.GetOutput()), Squares: encoded.GetOutputSquares(),
 		},
 		Reading: decodeSums(encoded.GetReading()),
-		Pace: ledger.LearnedPace{
+		Pace: ledger.LearnedRate{
 			Answers: int(encoded.GetAnswers()), Tokens: encoded.GetTokens(), Seconds: encoded.GetSeconds(),
 			Start: time.Duration(encoded.GetStartUs()) * time.Microsecond,
 		},
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -27,8 +27,8 @@
 	l.start += time.Duration(weight * float64(answer.First-l.start))
 }
 
-// LearnedPace is what a ledger has learned of how fast answers come.
-type LearnedPace struct {
+// LearnedRate is what a ledger has learned of how fast answers come.
+type LearnedRate struct {
 	// Answers is how many have taught it, Tokens and Seconds are what these took together.
 	Answers         int
 	Tokens, Seconds float64
@@ -37,12 +37,12 @@
 }
 
 // Learned returns what the ledger has learned.
-func (l *Ledger) Learned() LearnedPace {
-	return LearnedPace{Answers: l.answers, Tokens: l.tokens, Seconds: l.seconds, Start: l.start}
+func (l *Ledger) Learned() LearnedRate {
+	return LearnedRate{Answers: l.answers, Tokens: l.tokens, Seconds: l.seconds, Start: l.start}
 }
 
 // Adopt takes over what another ledger has learned, if this one has learned nothing.
-func (l *Ledger) Adopt(learned LearnedPace) {
+func (l *Ledger) Adopt(learned LearnedRate) {
 	pace := learned.Tokens / learned.Seconds
 	if l.answers > 0 || learned.Answers <= 0 || !(pace > 0) || math.IsInf(pace, 0) || learned.Start < 0 {
 		return
