--- a/coordinator/state.go
+++ b/coordinator/state.go
@@ -31,7 +31,7 @@
 	sound := soundOf(now, &current.health, all)
 	state := State{
 		Prefill: len(sound.Prefill), Decode: len(sound.Decode), Failing: total - len(sound.Prefill) - len(sound.Decode),
-		Runs: current.decode.Len(), Waiting: len(current.waiting), DecodeRate: current.decode.Pace(),
+		Runs: current.decode.Len(), Waiting: len(current.waiting), DecodeRate: current.decode.DecodeRate(),
 		Demand: current.demand.current(now),
 	}
 	current.decode.SetEngines(sound.Decode)
--- a/coordinator/wire_test.go
+++ b/coordinator/wire_test.go
@@ -44,5 +44,5 @@
 		})}})
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	g.Expect(learning.state("s").decode.Pace()).To(BeNumerically("~", pace, pace/10))
+	g.Expect(learning.state("s").decode.DecodeRate()).To(BeNumerically("~", pace, pace/10))
 }
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -55,8 +55,8 @@
 // expected of each.
 func (l *Ledger) SetOutputDeviation(share float64) { l.spread = share }
 
-// Pace returns how many tokens a run is expected to make in a second.
-func (l *Ledger) Pace() float64 { return l.pace }
+// DecodeRate returns how many tokens a run is expected to make in a second.
+func (l *Ledger) DecodeRate() float64 { return l.pace }
 
 // MemoryShare returns the share of the memory of all engines that runs use now.
 func (l *Ledger) MemoryShare(now time.Duration) float64 {
--- a/ledger/pace_test.go
+++ b/ledger/pace_test.go
@@ -27,7 +27,7 @@
 			lasting := time.Duration(float64(rest) / pace * float64(time.Second))
 			book.End(id, ledger.AnswerTiming{First: first, Duration: first + lasting, Rest: rest})
 		}
-		NewWithT(t).Expect(book.Pace()).To(BeNumerically("~", pace, pace/10))
+		NewWithT(t).Expect(book.DecodeRate()).To(BeNumerically("~", pace, pace/10))
 	})
 }
 
@@ -45,6 +45,6 @@
 			answer.Duration = answer.First + time.Duration(i)*time.Millisecond
 		}
 		book.End(id, answer)
-		g.Expect(book.Pace()).To(BeNumerically("~", pace, pace/2), "after %d answers", i+1)
+		g.Expect(book.DecodeRate()).To(BeNumerically("~", pace, pace/2), "after %d answers", i+1)
 	}
 }
