--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -24,7 +24,7 @@
 		}
 		return c.assignOverflow(now, current, engines, queued, run, avoid)
 	}
-	decoder, ok := current.decode.AssignNear(now, run, avoid, c.nearTo(run.Holder, engines))
+	decoder, ok := current.decode.AssignPreferring(now, run, avoid, c.nearTo(run.Holder, engines))
 	if !ok {
 		current.short = backend.RoleDecode
 		if current.fill.due(now) {
@@ -87,7 +87,7 @@
 		}
 		expected = max(expected, ready)
 	}
-	decoder, ok := current.decode.AssignNear(now, run, avoid, c.nearTo(run.Holder, engines))
+	decoder, ok := current.decode.AssignPreferring(now, run, avoid, c.nearTo(run.Holder, engines))
 	if !ok {
 		return Assignment{}, false
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -173,15 +173,15 @@
 // Assign gives a run to the engine that will be the least full, and reports false
 // where none has room.
 func (l *Ledger) Assign(now time.Duration, run Run, avoid map[string]bool) (string, bool) {
-	return l.AssignNear(now, run, avoid, func(string) bool { return false })
+	return l.AssignPreferring(now, run, avoid, func(string) bool { return false })
 }
 
 // nearAllowance is how much fuller, as a share of its memory, an engine in the zone of the run's
 // node may be than the least full one. A whole answer crosses the border otherwise.
 const nearAllowance = 0.1
 
-// AssignNear is Assign, but prefers engines for which isNear holds where they are not much fuller.
-func (l *Ledger) AssignNear(now time.Duration, run Run, avoid map[string]bool, isNear func(id string) bool) (string, bool) {
+// AssignPreferring is Assign, but prefers engines for which isNear holds where they are not much fuller.
+func (l *Ledger) AssignPreferring(now time.Duration, run Run, avoid map[string]bool, isNear func(id string) bool) (string, bool) {
 	l.heard[run.Holder] = now
 	l.forget(now)
 	var best, near choice
--- a/ledger/near_test.go
+++ b/ledger/near_test.go
@@ -14,7 +14,7 @@
 	books.SetEngines([]Engine{{ID: "far", Memory: 10_000, Slots: 32}, {ID: "near", Memory: 10_000, Slots: 32}})
 	isNear := func(id string) bool { return id == "near" }
 	given := func(id string) string {
-		engine, ok := books.AssignNear(time.Second, Run{ID: id, Prompt: 500, Output: 1, Holder: "n"}, nil, isNear)
+		engine, ok := books.AssignPreferring(time.Second, Run{ID: id, Prompt: 500, Output: 1, Holder: "n"}, nil, isNear)
 		g.Expect(ok).To(BeTrue())
 		return engine
 	}
