--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -299,7 +299,7 @@
 	if nodes == 0 {
 		return 1
 	}
-	heard := current.decode.Holders(now, coverageTime)
+	heard := current.decode.RecentHolders(now, coverageTime)
 	return min(1, max(leastCoverage, float64(heard)/float64(nodes)))
 }
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -285,8 +285,8 @@
 // Each engine is taken to need as much more as that.
 func (l *Ledger) SetCoverage(share float64) { l.coverage = share }
 
-// Holders returns how many holders the ledger has heard of lately.
-func (l *Ledger) Holders(now, lately time.Duration) int {
+// RecentHolders returns how many holders the ledger has heard of lately.
+func (l *Ledger) RecentHolders(now, lately time.Duration) int {
 	count := 0
 	for _, at := range l.heard {
 		if now-at <= lately {
