--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -98,7 +98,7 @@
 // selfReadingTime returns how long a decode engine is expected to take for a prompt that it
 // reads itself.
 func (c *Coordinator) selfReadingTime(current *serviceState, engine string, tokens int) time.Duration {
-	if current.selfReading.model.Knows() {
+	if current.selfReading.model.HasSamples() {
 		return current.selfReading.model.Duration(engine, tokens)
 	}
 	return firstSelfReadingFactor * current.prefill.model.Duration(engine, tokens)
--- a/estimate/reading.go
+++ b/estimate/reading.go
@@ -45,8 +45,8 @@
 	r.pool.observe(float64(tokens), took.Seconds(), poolMemory)
 }
 
-// Knows reports whether a prompt has been observed.
-func (r *PrefillTime) Knows() bool { return r.pool.weight > 0 }
+// HasSamples reports whether a prompt has been observed.
+func (r *PrefillTime) HasSamples() bool { return r.pool.weight > 0 }
 
 // ObserveAtLeast takes note of a prompt that was given up after some time. The engine takes
 // longer than that; how much is not known, and learned from the next ones.
