--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -83,13 +83,13 @@
 	// lastSync is the last sync with the coordinator of each service.
 	lastSync map[string]synced
 	// learned is what the coordinator of each service had learned at that time.
-	learned map[string]Learned
+	learned map[string]LearnedModel
 }
 
 // NewClient returns a client that asks the local coordinator where this node
 // coordinates itself.
 func NewClient(fleet Fleet, peers *peer.Client, local *Coordinator, now func() time.Duration) *Client {
-	return &Client{fleet: fleet, peers: peers, local: local, now: now, runs: map[string]map[string]ledger.Run{}, lastSync: map[string]synced{}, misses: map[string]int{}, learned: map[string]Learned{}}
+	return &Client{fleet: fleet, peers: peers, local: local, now: now, runs: map[string]map[string]ledger.Run{}, lastSync: map[string]synced{}, misses: map[string]int{}, learned: map[string]LearnedModel{}}
 }
 
 // Assign asks for engines.
@@ -241,7 +241,7 @@
 type report struct {
 	runs []ledger.Run
 	// learned is set for a new coordinator: what the one before had learned.
-	learned *Learned
+	learned *LearnedModel
 }
 
 // due returns what the coordinator of a service is told, if a sync is due.
@@ -309,10 +309,10 @@
 const wellTaught = 50
 
 // keep keeps what the coordinator of a service has learned, for the next one.
-func (c *Client) keep(service string, learned Learned) {
+func (c *Client) keep(service string, learned LearnedModel) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if learned.Pace.Answers >= min(wellTaught, c.learned[service].Pace.Answers+1) {
+	if learned.Rate.Answers >= min(wellTaught, c.learned[service].Rate.Answers+1) {
 		c.learned[service] = learned
 	}
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -275,7 +275,7 @@
 func (c *Coordinator) ReportMemoryUse(service, engine string, used int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state(service).decode.Reported(c.options.Now(), engine, used)
+	c.state(service).decode.ReportMemoryUse(c.options.Now(), engine, used)
 }
 
 // PrefillDone notes that an engine has read a run's prompt, and serves those that wait.
--- a/coordinator/learned.go
+++ b/coordinator/learned.go
@@ -8,51 +8,51 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// Learned is what a coordinator has learned of a service. All nodes keep it, and the first that
+// LearnedModel is what a coordinator has learned of a service. All nodes keep it, and the first that
 // reports to a new coordinator hands it on: without it, the new one assigns by first guesses until
 // dozens of answers have ended, which takes seconds in which the memory of engines is filled too
 // much or too little.
-type Learned struct {
+type LearnedModel struct {
 	Output  estimate.LearnedOutput
-	Reading estimate.Sums
-	Pace    ledger.LearnedRate
+	Prefill estimate.Sums
+	Rate    ledger.LearnedRate
 }
 
 // Learned returns what has been learned of a service.
-func (c *Coordinator) Learned(service string) Learned {
+func (c *Coordinator) Learned(service string) LearnedModel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.state(service)
-	return Learned{
-		Output: current.output.Learned(), Reading: current.prefill.model.Learned(), Pace: current.decode.Learned(),
+	return LearnedModel{
+		Output: current.output.Learned(), Prefill: current.prefill.model.Learned(), Rate: current.decode.Learned(),
 	}
 }
 
 // Adopt takes over what the coordinator before has learned, as far as this one has learned nothing.
-func (c *Coordinator) Adopt(service string, learned Learned) {
+func (c *Coordinator) Adopt(service string, learned LearnedModel) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.state(service)
 	current.output.Adopt(learned.Output)
-	current.prefill.model.Adopt(learned.Reading)
-	current.decode.Adopt(learned.Pace)
+	current.prefill.model.Adopt(learned.Prefill)
+	current.decode.Adopt(learned.Rate)
 }
 
-func encodeLearned(learned Learned) *peerpb.LearnedModel {
+func encodeLearned(learned LearnedModel) *peerpb.LearnedModel {
 	return &peerpb.LearnedModel{
 		OutputSamples: int64(learned.Output.Samples), Output: encodeSums(learned.Output.Sums), OutputSquares: learned.Output.Squares,
-		Reading: encodeSums(learned.Reading), Answers: int64(learned.Pace.Answers),
-		Tokens: learned.Pace.Tokens, Seconds: learned.Pace.Seconds, StartUs: learned.Pace.Start.Microseconds(),
+		Reading: encodeSums(learned.Prefill), Answers: int64(learned.Rate.Answers),
+		Tokens: learned.Rate.Tokens, Seconds: learned.Rate.Seconds, StartUs: learned.Rate.Start.Microseconds(),
 	}
 }
 
-func decodeLearned(encoded *peerpb.LearnedModel) Learned {
-	return Learned{
+func decodeLearned(encoded *peerpb.LearnedModel) LearnedModel {
+	return LearnedModel{
 		Output: estimate.LearnedOutput{
 			Samples: int(encoded.GetOutputSamples()), Sums: decodeSums(encoded.GetOutput()), Squares: encoded.GetOutputSquares(),
 		},
-		Reading: decodeSums(encoded.GetReading()),
-		Pace: ledger.LearnedRate{
+		Prefill: decodeSums(encoded.GetReading()),
+		Rate: ledger.LearnedRate{
 			Answers: int(encoded.GetAnswers()), Tokens: encoded.GetTokens(), Seconds: encoded.GetSeconds(),
 			Start: time.Duration(encoded.GetStartUs()) * time.Microsecond,
 		},
--- a/ledger/foreign.go
+++ b/ledger/foreign.go
@@ -17,9 +17,9 @@
 	foreignLifetime = 2500 * time.Millisecond
 )
 
-// Reported takes note of the memory that an engine says it uses. Runs of nodes that
+// ReportMemoryUse takes note of the memory that an engine says it uses. Runs of nodes that
 // were lost go on there until the engine finds out.
-func (l *Ledger) Reported(now time.Duration, id string, used int) {
+func (l *Ledger) ReportMemoryUse(now time.Duration, id string, used int) {
 	known := 0.0
 	for _, run := range l.byEngine[id] {
 		known += l.project(now, run).size
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -133,14 +133,14 @@
 func TestForeignRunsTakeRoom(t *testing.T) {
 	g := NewWithT(t)
 	book := newLedger(2)
-	book.Reported(0, "e0", 80_000)
+	book.ReportMemoryUse(0, "e0", 80_000)
 	for i := range 5 {
 		engine, ok := book.Assign(0, ledger.Run{ID: strconv.Itoa(i), Prompt: 10_000, Output: 1000}, nil)
 		g.Expect(ok).To(BeTrue())
 		g.Expect(engine).To(Equal("e1"))
 	}
 	// What the book knows explains itself, and old reports count for nothing.
-	book.Reported(time.Second, "e1", 55_000)
+	book.ReportMemoryUse(time.Second, "e1", 55_000)
 	_, ok := book.Assign(time.Second, ledger.Run{ID: "more", Prompt: 10_000, Output: 1000}, map[string]bool{"e0": true})
 	g.Expect(ok).To(BeTrue())
 	engine, ok := book.Assign(10*time.Second, ledger.Run{ID: "later", Prompt: 10_000, Output: 1000}, map[string]bool{"e1": true})
