--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -16,107 +16,107 @@
 	run := request.Run
 	run.CallerEstimate = run.Output
 	run.Output = current.output.Mean(run.CallerEstimate, run.MaxOutput)
-	reader, ready := current.prefill.shortest(now, engines.Prefill, run, avoid)
-	if reader == "" || !c.isTimely(now, current, queued, reader, ready) {
-		current.short = backend.RolePrefill
-		if reader != "" && current.decode.MemoryShare(now) > overflowMemoryShare {
+	prefill, ready := current.prefill.shortest(now, engines.Prefill, run, avoid)
+	if prefill == "" || !c.meetsObjective(now, current, queued, prefill, ready) {
+		current.shortRole = backend.RolePrefill
+		if prefill != "" && current.decode.MemoryShare(now) > localPrefillMemoryShare {
 			return Assignment{}, false
 		}
-		return c.assignOverflow(now, current, engines, queued, run, avoid)
+		return c.assignLocalPrefill(now, current, engines, queued, run, avoid)
 	}
-	decoder, ok := current.decode.AssignPreferring(now, run, avoid, c.nearTo(run.Holder, engines))
+	decode, ok := current.decode.AssignPreferring(now, run, avoid, c.inZoneOf(run.Holder, engines))
 	if !ok {
-		current.short = backend.RoleDecode
-		if current.fill.due(now) {
-			current.fill.observe(now, current.decode.MemoryShare(now))
+		current.shortRole = backend.RoleDecode
+		if current.utilization.due(now) {
+			current.utilization.observe(now, current.decode.MemoryShare(now))
 		}
 		return Assignment{}, false
 	}
-	reader, ready = c.preferSameZone(now, current, engines, queued, run, avoid, assignedPair{reader, decoder, ready})
-	current.prefill.add(now, reader, run)
-	return Assignment{Decode: decoder, Prefill: reader, PromptReady: ready, Output: run.Output}, true
+	prefill, ready = c.preferSameZone(now, current, engines, queued, run, avoid, enginePair{prefill, decode, ready})
+	current.prefill.add(now, prefill, run)
+	return Assignment{Decode: decode, Prefill: prefill, PromptReady: ready, Output: run.Output}, true
 }
 
-// nearTo returns which engines are in the zone of a node.
-func (c *Coordinator) nearTo(holder string, engines Engines) func(engine string) bool {
+// inZoneOf returns a predicate that holds for the engines in the zone of a node.
+func (c *Coordinator) inZoneOf(holder string, engines Engines) func(engine string) bool {
 	zone := c.options.ZoneOf(holder)
 	return func(engine string) bool { return zone != "" && engines.zoneOf(engine) == zone }
 }
 
-// assignedPair is the engines of a run, and after what time its prompt is read.
-type assignedPair struct {
-	reader, decoder string
-	ready           time.Duration
+// enginePair is the engines chosen for a run and the expected time until its prefill is done.
+type enginePair struct {
+	prefill, decode string
+	promptReady     time.Duration
 }
 
-// preferSameZone returns a prefill engine in the zone of the decode engine, if there is one that
-// reads the prompt in time and not much later than the first of all. The KV cache of a prompt of
-// 5,000 tokens has 100 MB; between zones it takes twice the time, and of the links' capacity.
+// preferSameZone returns a prefill engine in the zone of the decode engine, if one meets the
+// objective and is ready no more than sameZoneAllowance after the chosen one. The KV cache of a
+// prompt of 5,000 tokens has 100 MB; a transfer between zones takes twice the time and twice the
+// link capacity.
 func (c *Coordinator) preferSameZone(
-	now time.Duration, current *serviceState, engines Engines, queued *waiter, run ledger.Run, avoid map[string]bool, given assignedPair,
-) (reader string, ready time.Duration) {
-	zone := engines.zoneOf(given.decoder)
-	if zone == "" || engines.zoneOf(given.reader) == zone {
-		return given.reader, given.ready
+	now time.Duration, current *serviceState, engines Engines, queued *waiter, run ledger.Run, avoid map[string]bool, chosen enginePair,
+) (prefill string, ready time.Duration) {
+	zone := engines.zoneOf(chosen.decode)
+	if zone == "" || engines.zoneOf(chosen.prefill) == zone {
+		return chosen.prefill, chosen.promptReady
 	}
-	isNear := func(id string) bool { return engines.zoneOf(id) == zone }
-	near, nearReady := current.prefill.nearest(now, engines.Prefill, run, avoid, isNear, given.ready+sameZoneAllowance)
-	if near == "" || !c.isTimely(now, current, queued, near, nearReady) {
-		return given.reader, given.ready
+	inZone := func(id string) bool { return engines.zoneOf(id) == zone }
+	sameZone, sameZoneReady := current.prefill.shortestPreferred(now, engines.Prefill, run, avoid, inZone, chosen.promptReady+sameZoneAllowance)
+	if sameZone == "" || !c.meetsObjective(now, current, queued, sameZone, sameZoneReady) {
+		return chosen.prefill, chosen.promptReady
 	}
-	return near, nearReady
+	return sameZone, sameZoneReady
 }
 
-// sameZoneAllowance is how much later a prompt may be read for a transfer within its zone: a
-// small part of the objectives, of 0.9 s and more.
+// sameZoneAllowance is how much later a prompt may be ready to keep the KV transfer within its
+// zone: a small part of the objectives, which are 0.9 s and more.
 const sameZoneAllowance = 40 * time.Millisecond
 
-// assignOverflow gives a request for which no prefill engine has time to a decode engine that
-// reads the prompt itself. It reads more slowly, and its other runs are slow meanwhile, so that
-// each engine is given one such prompt at a time.
-func (c *Coordinator) assignOverflow(
+// assignLocalPrefill assigns a request that no prefill engine can serve in time to a decode engine
+// that runs the prefill itself. That is slower and slows down the engine's other runs, so each
+// decode engine gets one such prompt at a time.
+func (c *Coordinator) assignLocalPrefill(
 	now time.Duration, current *serviceState, engines Engines, queued *waiter, run ledger.Run, avoid map[string]bool,
 ) (Assignment, bool) {
-	left := queued.request.Objective - (now - queued.since) - c.options.FirstToken
+	remaining := queued.request.Objective - (now - queued.since) - c.options.FirstToken
 	expected := time.Duration(0)
 	for _, engine := range engines.Decode {
-		current.selfReading.forget(now, engine.ID)
-		ready := c.selfReadingTime(current, engine.ID, run.Prompt)
-		if current.selfReading.backlog(now, engine.ID) > 0 || ready > left {
+		current.localPrefill.expire(now, engine.ID)
+		ready := c.localPrefillTime(current, engine.ID, run.Prompt)
+		if current.localPrefill.backlog(now, engine.ID) > 0 || ready > remaining {
 			avoid[engine.ID] = true
 		}
 		expected = max(expected, ready)
 	}
-	decoder, ok := current.decode.AssignPreferring(now, run, avoid, c.nearTo(run.Holder, engines))
+	decode, ok := current.decode.AssignPreferring(now, run, avoid, c.inZoneOf(run.Holder, engines))
 	if !ok {
 		return Assignment{}, false
 	}
-	current.selfReading.add(now, decoder, run)
-	return Assignment{Decode: decoder, LocalPrefill: true, PromptReady: expected, Output: run.Output}, true
+	current.localPrefill.add(now, decode, run)
+	return Assignment{Decode: decode, LocalPrefill: true, PromptReady: expected, Output: run.Output}, true
 }
 
-// selfReadingTime returns how long a decode engine is expected to take for a prompt that it
-// reads itself.
-func (c *Coordinator) selfReadingTime(current *serviceState, engine string, tokens int) time.Duration {
-	if current.selfReading.model.HasSamples() {
-		return current.selfReading.model.Duration(engine, tokens)
+// localPrefillTime returns the expected time of a local prefill on a decode engine.
+func (c *Coordinator) localPrefillTime(current *serviceState, engine string, tokens int) time.Duration {
+	if current.localPrefill.model.HasSamples() {
+		return current.localPrefill.model.Duration(engine, tokens)
 	}
-	return firstSelfReadingFactor * current.prefill.model.Duration(engine, tokens)
+	return initialLocalPrefillFactor * current.prefill.model.Duration(engine, tokens)
 }
 
-// isTimely reports whether a prompt that an engine has read after the given time still gives
-// its first token in time. A request that is late whenever it is served must not keep others
-// from being in time. Where an engine could not be in time even if it had nothing else to read,
-// a late answer is better than none, as long as no other prompt waits for it.
-func (c *Coordinator) isTimely(now time.Duration, current *serviceState, queued *waiter, reader string, ready time.Duration) bool {
+// meetsObjective reports whether a prompt that is prefilled after the given time still gives its
+// first token in time. Requests that are late in any case must not make others late. Where the
+// engine could not meet the objective even without a backlog, a late answer is better than none, as
+// long as no other prompt is queued.
+func (c *Coordinator) meetsObjective(now time.Duration, current *serviceState, queued *waiter, engine string, ready time.Duration) bool {
 	within := queued.request.Objective - c.options.FirstToken
-	idle := current.prefill.backlog(now, reader) == 0
+	idle := current.prefill.backlog(now, engine) == 0
 	if queued.request.Late {
 		return idle || ready <= within/2
 	}
 	if ready <= within-(now-queued.since) {
 		return true
 	}
-	alone := current.prefill.model.Duration(reader, queued.request.Run.Prompt)
-	return idle && alone > within
+	unloaded := current.prefill.model.Duration(engine, queued.request.Run.Prompt)
+	return idle && unloaded > within
 }
--- a/coordinator/assign_test.go
+++ b/coordinator/assign_test.go
@@ -10,10 +10,11 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// TestSlowReadersStillServe has one prefill engine that needs twice the objective for a prompt. A
-// first attempt and a retry are given it while it is idle, and neither while it has a prompt.
-func TestSlowReadersStillServe(t *testing.T) {
-	for name, returning := range map[string]bool{"first attempt": false, "retry": true} {
+// TestSlowPrefillEngineServesWhileIdle has one prefill engine that needs twice the objective for a
+// prompt. A first attempt and a retry are assigned to it while it is idle, and neither while it has
+// a prompt.
+func TestSlowPrefillEngineServesWhileIdle(t *testing.T) {
+	for name, retry := range map[string]bool{"first attempt": false, "retry": true} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			now := time.Duration(0)
@@ -28,24 +29,25 @@
 				id := strconv.Itoa(i)
 				slow.state("s").prefill.add(now, "p", ledger.Run{ID: id, Prompt: 8000})
 				now += 2 * time.Second
-				slow.state("s").prefill.read(now, id, "p")
+				slow.state("s").prefill.complete(now, id, "p")
 			}
 			ask := func(id string) Assignment {
 				request := requestOf(id, 0)
-				request.Late = returning
+				request.Late = retry
 				return slow.Assign(t.Context(), request)
 			}
-			// The decode engine reads the first of what has no time; it takes one at a time.
-			slow.state("s").selfReading.add(now, "d", ledger.Run{ID: "read by d", Prompt: 8000})
+			// The decode engine takes the first prompt that cannot be served in time; it takes one
+			// at a time.
+			slow.state("s").localPrefill.add(now, "d", ledger.Run{ID: "prefilled by d", Prompt: 8000})
 			g.Expect(ask("idle").Prefill).To(Equal("p"))
 			g.Expect(ask("busy").Decode).To(BeEmpty())
 		})
 	}
 }
 
-// TestPromptsAreReadInTheZoneOfTheirAnswer has two prefill engines in each of two zones. The one
-// in the zone of the decode engine reads the prompt, unless it would do so much later.
-func TestPromptsAreReadInTheZoneOfTheirAnswer(t *testing.T) {
+// TestPrefillPrefersZoneOfDecodeEngine has two prefill engines in each of two zones. An engine in
+// the zone of the decode engine gets the prompt, unless it would be ready much later.
+func TestPrefillPrefersZoneOfDecodeEngine(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Second
 	zones := map[string]string{"d": "b", "a1": "a", "a2": "a", "b1": "b", "b2": "b"}
@@ -59,12 +61,12 @@
 		},
 		Nodes: func() int { return 1 }, Now: func() time.Duration { return now },
 	})
-	reader := func(id string) string {
+	prefillOf := func(id string) string {
 		return zoned.Assign(t.Context(), requestOf(id, 0)).Prefill
 	}
-	g.Expect([]string{reader("first"), reader("second")}).To(ConsistOf("b1", "b2"))
-	// Both still read 8,000 tokens, which takes 160 ms.
-	g.Expect(reader("third")).To(HavePrefix("a"))
+	g.Expect([]string{prefillOf("first"), prefillOf("second")}).To(ConsistOf("b1", "b2"))
+	// Both have 8,000 tokens to prefill, which takes 160 ms.
+	g.Expect(prefillOf("third")).To(HavePrefix("a"))
 	now += 130 * time.Millisecond
-	g.Expect(reader("fourth")).To(HavePrefix("b"), "30 ms are not much later")
+	g.Expect(prefillOf("fourth")).To(HavePrefix("b"), "30 ms are not much later")
 }
--- a/coordinator/benchmark_test.go
+++ b/coordinator/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// newBusy returns a coordinator whose engines are full, and requests of all sizes that wait.
+// newBusy returns a coordinator whose engines are full, with waiting requests of various sizes.
 func newBusy(engines, waiting int) *Coordinator {
 	now := time.Second
 	all := Engines{}
@@ -40,10 +40,11 @@
 	return busy
 }
 
-// BenchmarkServe tries those that wait once, as after the end of a run and once an interval.
+// BenchmarkServe serves the waiting requests once, with the bounds of an ended run and of an
+// interval.
 func BenchmarkServe(b *testing.B) {
 	for _, size := range []struct{ engines, waiting int }{{6, 20}, {60, 100}, {60, 300}} {
-		for name, tries := range map[string]int{"event": triesOfEvent, "interval": triesOfInterval, "unbounded": size.waiting} {
+		for name, tries := range map[string]int{"event": attemptsPerEvent, "interval": attemptsPerInterval, "unbounded": size.waiting} {
 			b.Run(fmt.Sprintf("engines=%d/waiting=%d/%s", size.engines, size.waiting, name), func(b *testing.B) {
 				busy := newBusy(size.engines, size.waiting)
 				current := busy.state("s")
@@ -55,7 +56,7 @@
 	}
 }
 
-// BenchmarkAssign gives engines to one request of a large service that is nearly idle.
+// BenchmarkAssign assigns engines to one request of a large service that is nearly idle.
 func BenchmarkAssign(b *testing.B) {
 	for _, engines := range []int{24, 600, 10_000, 20_000} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -15,59 +15,59 @@
 )
 
 const (
-	// firstAnswerTimeout is how long a coordinator may take for its first answer.
+	// firstAnswerTimeout bounds the time to a coordinator's first answer.
 	firstAnswerTimeout = 60 * time.Millisecond
-	// lookInterval is how often a node looks whether a service has another
-	// coordinator.
-	lookInterval = 100 * time.Millisecond
-	// syncInterval is how often a coordinator gets all runs of a node.
+	// coordinatorCheckInterval is how often a node checks whether the coordinator of a service has
+	// changed.
+	coordinatorCheckInterval = 100 * time.Millisecond
+	// syncInterval is how often a node sends all its runs to a coordinator.
 	syncInterval = time.Second
 	// endTimeout bounds the call that reports a run's end.
 	endTimeout = 300 * time.Millisecond
-	// missLimit is how many calls in a row a coordinator may miss.
+	// missLimit is how many consecutive calls a coordinator may leave unanswered.
 	missLimit = 3
 	// maxCoordinators bounds how many coordinators one request asks.
 	maxCoordinators = 2
 )
 
-// ErrNoCoordinator is returned where no coordinator answered in time.
-var ErrNoCoordinator = errors.New("coordinator: none answers")
+// ErrNoCoordinator is returned if no coordinator answered in time.
+var ErrNoCoordinator = errors.New("no coordinator answered in time")
 
-// Fleet knows which nodes live.
+// Fleet provides the live nodes.
 type Fleet interface {
-	// Candidates returns the nodes that may coordinate a scope: a service, or what else one node
-	// keeps for all.
+	// Candidates returns the nodes that may coordinate a scope: a service, or other state that one
+	// node keeps for the fleet.
 	Candidates(scope string) []Node
 	// Own returns the address of this node.
 	Own() string
-	// Services returns the services of engines.
+	// Services returns the names of the engine services.
 	Services() []string
-	// Unresponsive notes that a node did not answer.
+	// Unresponsive records that a node did not answer.
 	Unresponsive(address string, err error)
 }
 
-// Locator knows which node coordinates what, for those that keep something for all nodes. Client
-// implements it.
+// Locator finds the node that coordinates a scope, for clients of state that one node keeps for the
+// fleet. Client implements it.
 type Locator interface {
 	// Coordinator returns the address of the node that coordinates a scope, if there is one.
 	Coordinator(scope string) (address string, found bool)
 	// Own returns the address of this node.
 	Own() string
-	// Answered notes that a coordinator has answered, Missed that it has not.
+	// Answered records that a coordinator answered, Missed that it did not.
 	Answered(address string)
 	Missed(address string, err error)
 }
 
 var _ Locator = (*Client)(nil)
 
-// Node is one start of a node.
+// Node is one incarnation of a node.
 type Node struct {
 	Address string
-	// Incarnation tells one start from another. It is empty while it is not known.
+	// Incarnation distinguishes restarts of the node. It is empty while unknown.
 	Incarnation string
 }
 
-// Client asks the coordinators of services. It is safe for concurrent use.
+// Client calls the coordinators of services. It is safe for concurrent use.
 type Client struct {
 	fleet Fleet
 	peers *peer.Client
@@ -77,22 +77,22 @@
 	mu sync.Mutex
 	// runs are this node's runs by service and identifier.
 	runs map[string]map[string]ledger.Run
-	// misses counts the calls that a coordinator has not answered since its last
-	// answer.
+	// misses counts the calls that a coordinator has left unanswered since its last answer.
 	misses map[string]int
 	// lastSync is the last sync with the coordinator of each service.
-	lastSync map[string]synced
-	// learned is what the coordinator of each service had learned at that time.
+	lastSync map[string]syncRecord
+	// learned is the model that the coordinator of each service had learned at its last accepted
+	// sync.
 	learned map[string]LearnedModel
 }
 
-// NewClient returns a client that asks the local coordinator where this node
-// coordinates itself.
+// NewClient returns a client that calls the local coordinator directly where this node is the
+// coordinator.
 func NewClient(fleet Fleet, peers *peer.Client, local *Coordinator, now func() time.Duration) *Client {
-	return &Client{fleet: fleet, peers: peers, local: local, now: now, runs: map[string]map[string]ledger.Run{}, lastSync: map[string]synced{}, misses: map[string]int{}, learned: map[string]LearnedModel{}}
+	return &Client{fleet: fleet, peers: peers, local: local, now: now, runs: map[string]map[string]ledger.Run{}, lastSync: map[string]syncRecord{}, misses: map[string]int{}, learned: map[string]LearnedModel{}}
 }
 
-// Assign asks for engines.
+// Assign requests engines for a run.
 func (c *Client) Assign(ctx context.Context, request Request) (Assignment, error) {
 	failure := ErrNoCoordinator
 	for range maxCoordinators {
@@ -102,11 +102,11 @@
 		}
 		assignment, err := c.ask(ctx, node, request)
 		if err == nil {
-			c.remember(request, assignment)
+			c.recordRun(request, assignment)
 			c.answered(node.Address)
 			return assignment, nil
 		}
-		// It may have been assigned all the same.
+		// The coordinator may have assigned engines although its answer did not arrive.
 		c.notifyEnd(node.Address, RunResult{Service: request.Service, ID: request.Run.ID})
 		if ctx.Err() != nil {
 			return Assignment{}, ctx.Err()
@@ -128,17 +128,17 @@
 // Own returns the address of this node.
 func (c *Client) Own() string { return c.fleet.Own() }
 
-// Answered takes note of a coordinator that has answered a call which nobody waits for.
+// Answered records the answer of a coordinator to a call on which no request waits.
 func (c *Client) Answered(address string) { c.answered(address) }
 
-// Missed takes note of a coordinator that gave no answer to such a call. That has had so much more
-// time than the first answer to a request that the node is verified at once: in a large fleet a
-// node asks for engines once in some seconds, and would find out by three missed calls.
+// Missed records that a coordinator did not answer such a call. Its timeout is so much longer than
+// that of a request's first answer that the node is verified at once: in a large fleet a node
+// requests engines only once in some seconds, so three missed calls would take too long.
 func (c *Client) Missed(address string, err error) { c.fleet.Unresponsive(address, err) }
 
-// missed takes note of a coordinator that gave no answer, and reports whether it
-// may only be slow. Another one would know none of the runs of all other nodes, so
-// it is passed over only where it misses again or surely does not live.
+// missed records an unanswered call and reports whether the coordinator may merely be slow. A new
+// coordinator would have no record of the other nodes' runs, so the current one is replaced only
+// after repeated misses or once it is known to be down.
 func (c *Client) missed(address string, err error) bool {
 	c.mu.Lock()
 	c.misses[address]++
@@ -172,8 +172,8 @@
 	return Node{}, false
 }
 
-// ask asks one coordinator, first without waiting, so that one that does not
-// answer costs little time.
+// ask calls one coordinator, first without waiting for capacity, so that an unresponsive one costs
+// little time.
 func (c *Client) ask(ctx context.Context, node Node, request Request) (Assignment, error) {
 	request.Run.Holder = c.fleet.Own()
 	if node.Address == c.fleet.Own() {
@@ -206,7 +206,7 @@
 	}, nil
 }
 
-func (c *Client) remember(request Request, assignment Assignment) {
+func (c *Client) recordRun(request Request, assignment Assignment) {
 	if assignment.Decode == "" {
 		return
 	}
@@ -220,41 +220,41 @@
 	c.runs[request.Service][run.ID] = run
 }
 
-// Run notifies the coordinators of this node's runs, at once where there is a new one
-// and at intervals, until the context ends. What got lost on the way, an end or an
-// assignment, is mended by that.
+// Run sends this node's runs to their coordinators, at once to a new coordinator and at intervals
+// otherwise, until the context ends. The sync repairs lost messages about assignments and ends of
+// runs.
 func (c *Client) Run(ctx context.Context) {
-	periodic.Run(ctx, lookInterval, func(ctx context.Context) {
+	periodic.Run(ctx, coordinatorCheckInterval, func(ctx context.Context) {
 		for _, service := range c.fleet.Services() {
 			c.syncService(ctx, service)
 		}
 	})
 }
 
-// synced is a sync of this node's runs with a coordinator.
-type synced struct {
+// syncRecord is a sync of this node's runs with a coordinator.
+type syncRecord struct {
 	node Node
 	at   time.Duration
 }
 
-// report is what a coordinator is told at a sync.
-type report struct {
+// syncReport is what a sync sends to a coordinator.
+type syncReport struct {
 	runs []ledger.Run
-	// learned is set for a new coordinator: what the one before had learned.
+	// learned is set for a new coordinator: what the previous one had learned.
 	learned *LearnedModel
 }
 
-// due returns what the coordinator of a service is told, if a sync is due.
-func (c *Client) due(service string, node Node) (report, bool) {
+// dueReport returns the report for the coordinator of a service, if a sync is due.
+func (c *Client) dueReport(service string, node Node) (syncReport, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last, now := c.lastSync[service], c.now()
 	isNew := last.node != node
 	if !isNew && now-last.at < syncInterval {
-		return report{}, false
+		return syncReport{}, false
 	}
-	c.lastSync[service] = synced{node: node, at: now}
-	var due report
+	c.lastSync[service] = syncRecord{node: node, at: now}
+	var due syncReport
 	for _, run := range c.runs[service] {
 		due.runs = append(due.runs, run)
 	}
@@ -264,14 +264,13 @@
 	return due, true
 }
 
-// syncService notifies the coordinator of a service of this node's runs, if that is
-// due.
+// syncService syncs this node's runs with the coordinator of a service, if that is due.
 func (c *Client) syncService(ctx context.Context, service string) {
 	node, found := c.coordinator(service)
 	if !found {
 		return
 	}
-	due, isDue := c.due(service, node)
+	due, isDue := c.dueReport(service, node)
 	if !isDue {
 		return
 	}
@@ -291,53 +290,53 @@
 		return
 	}
 	if learned := response.GetLearnedModel(); learned != nil {
-		c.keep(service, decodeLearned(learned))
+		c.keepLearned(service, decodeLearned(learned))
 	}
 }
 
-// syncLocal is a sync with this node itself.
-func (c *Client) syncLocal(service string, due report) {
+// syncLocal syncs with the coordinator on this node.
+func (c *Client) syncLocal(service string, due syncReport) {
 	if due.learned != nil {
 		c.local.Adopt(service, *due.learned)
 	}
 	c.local.Sync(service, c.fleet.Own(), due.runs)
-	c.keep(service, c.local.Learned(service))
+	c.keepLearned(service, c.local.Learned(service))
 }
 
-// wellTaught is how many answers a coordinator must have seen for what it has learned to replace
-// what one before had learned from more.
-const wellTaught = 50
+// minAdoptedAnswers is how many answers a coordinator must have seen before its model replaces one
+// that a previous coordinator learned from more.
+const minAdoptedAnswers = 50
 
-// keep keeps what the coordinator of a service has learned, for the next one.
-func (c *Client) keep(service string, learned LearnedModel) {
+// keepLearned stores what the coordinator of a service has learned, for the next coordinator.
+func (c *Client) keepLearned(service string, learned LearnedModel) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if learned.Rate.Answers >= min(wellTaught, c.learned[service].Rate.Answers+1) {
+	if learned.Rate.Answers >= min(minAdoptedAnswers, c.learned[service].Rate.Answers+1) {
 		c.learned[service] = learned
 	}
 }
 
-// End notifies the coordinator that a run is over. It does not wait for the answer.
-func (c *Client) End(ended RunResult) {
+// End reports the end of a run to its coordinator without waiting for the answer.
+func (c *Client) End(result RunResult) {
 	c.mu.Lock()
-	delete(c.runs[ended.Service], ended.ID)
+	delete(c.runs[result.Service], result.ID)
 	c.mu.Unlock()
-	if node, found := c.coordinator(ended.Service); found {
-		c.notifyEnd(node.Address, ended)
+	if node, found := c.coordinator(result.Service); found {
+		c.notifyEnd(node.Address, result)
 	}
 }
 
-func (c *Client) notifyEnd(address string, ended RunResult) {
+func (c *Client) notifyEnd(address string, result RunResult) {
 	if address == c.fleet.Own() {
-		c.local.End(ended)
+		c.local.End(result)
 		return
 	}
-	// A coordinator that does not hear of it hears it at the next sync.
-	c.notify(address, &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeEnded(ended)}})
+	// A coordinator that does not receive this learns of it at the next sync.
+	c.notify(address, &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeRunResult(result)}})
 }
 
-// PrefillDone notifies the coordinator that an engine has read a run's prompt. It does not
-// wait for the answer.
+// PrefillDone reports to the coordinator that an engine has prefilled a run's prompt, without
+// waiting for the answer.
 func (c *Client) PrefillDone(service, id, engine string) {
 	node, found := c.coordinator(service)
 	switch {
@@ -351,8 +350,7 @@
 	}
 }
 
-// EngineFailed notifies the coordinator of an engine that did not do what it was asked, where
-// that ended no run. It does not wait for the answer.
+// EngineFailed reports an engine failure that did not end a run, without waiting for the answer.
 func (c *Client) EngineFailed(failure EngineFailure) {
 	node, found := c.coordinator(failure.Service)
 	switch {
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -10,17 +10,17 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// Engines are those of a service that take new work.
+// Engines are the engines of a service that accept new work.
 type Engines struct {
 	Decode  []ledger.Engine
 	Prefill []string
-	// Complete is set where these are all engines of the service.
+	// Complete is set if these are all engines of the service.
 	Complete bool
-	// ZoneOf returns the zone of one of them, empty where that is not known. Without it they are alike.
+	// ZoneOf returns the zone of an engine, empty if unknown. If ZoneOf is nil, zones are ignored.
 	ZoneOf func(engine string) string
 }
 
-// zoneOf returns the zone of an engine, empty where that is not known.
+// zoneOf returns the zone of an engine, empty if unknown.
 func (e Engines) zoneOf(engine string) string {
 	if e.ZoneOf == nil {
 		return ""
@@ -28,55 +28,54 @@
 	return e.ZoneOf(engine)
 }
 
-// Options are the parts of a Coordinator.
+// Options configure a Coordinator.
 type Options struct {
 	// Engines returns all engines of a service.
 	Engines func(service string) Engines
-	// Shortlist returns some engines of a service for a node in a zone. They are tried before all are
-	// looked at, so that an assignment costs the same however many engines there are. Default: all.
+	// Shortlist returns a sample of the engines of a service for a node in a zone. Assignment tries
+	// it before all engines, so that its cost does not depend on their number. Default: none, all
+	// engines are tried.
 	Shortlist func(service, zone string) Engines
-	// ZoneOf returns the zone of the node at an address; empty if that is not known. Default:
-	// it never is.
+	// ZoneOf returns the zone of the node at an address, empty if unknown. Default: always unknown.
 	ZoneOf func(address string) string
-	// Nodes returns how many nodes may have runs.
+	// Nodes returns the number of nodes that may have runs.
 	Nodes func() int
 	// Now reads a monotonic clock.
 	Now func() time.Duration
-	// Ledger are the assumptions of the ledgers.
+	// Ledger configures the ledgers.
 	Ledger ledger.Options
-	// FirstToken is the time from a read prompt to the first token. Default 80ms.
+	// FirstToken is the time from the end of the prefill to the first token. Default 80ms.
 	FirstToken time.Duration
 }
 
 const (
 	defaultFirstToken = 80 * time.Millisecond
-	// coverageTime is how long a coordinator relies on the last sync of a node. Nodes
-	// sync each second.
-	coverageTime = 2500 * time.Millisecond
-	// leastCoverage bounds the share of them that it is taken to know.
-	leastCoverage = 0.3
-	// retryInterval is how often waiting requests are tried where nothing ends.
-	retryInterval = 40 * time.Millisecond
-	// triesOfEvent and triesOfInterval are how many requests that do not fit are tried when a
-	// run ends and once an interval. With 60 engines and 100 requests that wait, a coordinator
-	// without such a bound missed 231 calls in one burst (docs/KYKLOS.md).
-	triesOfEvent    = 6
-	triesOfInterval = 48
-	// busyEvidence is how recently an engine must have read a prompt so that another prompt
-	// without an answer says nothing against it: about the time that the longest prompts take.
-	busyEvidence = 500 * time.Millisecond
-	// firstSelfReadingFactor is the first guess of how much longer than a prefill engine a
-	// decode engine takes for a prompt: it reads at half the pace, in smaller pieces, between
-	// the tokens of its runs. It is replaced by the first prompt that one has read.
-	firstSelfReadingFactor = 3
-	// overflowMemoryShare is the share of the memory in use up to which decode engines read
-	// prompts for which prefill engines have no time. Above it they have enough to do, and the
-	// division of the engines is not what is wrong (docs/KYKLOS.md has the figures).
-	overflowMemoryShare = 0.5
+	// coverageWindow is how long the last sync of a node is relied on. Nodes sync each second.
+	coverageWindow = 2500 * time.Millisecond
+	// minCoverage is the lower bound of the coverage.
+	minCoverage = 0.3
+	// serveInterval is the time between attempts to serve waiting requests while no run ends.
+	serveInterval = 40 * time.Millisecond
+	// attemptsPerEvent and attemptsPerInterval bound how many requests that do not fit are tried
+	// when a run ends and once per interval. Without such a bound, a coordinator with 60 engines
+	// and 100 waiting requests missed 231 calls in one burst.
+	attemptsPerEvent    = 6
+	attemptsPerInterval = 48
+	// recentPrefillWindow is how recently an engine must have finished a prefill for another prompt
+	// without an answer not to count as its failure: about the time that the longest prompts take.
+	recentPrefillWindow = 500 * time.Millisecond
+	// initialLocalPrefillFactor is the initial estimate of how much longer a prefill takes on a
+	// decode engine than on a prefill engine: it runs at half the rate, in smaller chunks, between
+	// the decode steps of its runs. The first observed local prefill replaces it.
+	initialLocalPrefillFactor = 3
+	// localPrefillMemoryShare is the share of decode memory in use up to which decode engines take
+	// prompts that prefill engines cannot serve in time. Above it the decode engines are loaded as
+	// well, and the role allocation is not the cause of the shortage.
+	localPrefillMemoryShare = 0.5
 )
 
-// Coordinator keeps the ledgers of the services that this node coordinates. It is
-// safe for concurrent use.
+// Coordinator keeps the ledgers of the services that this node coordinates. It is safe for
+// concurrent use.
 type Coordinator struct {
 	options Options
 
@@ -84,44 +83,44 @@
 	services map[string]*serviceState
 }
 
-// serviceState is what the coordinator knows of one service.
+// serviceState is the coordinator's state of one service.
 type serviceState struct {
 	decode  *ledger.Ledger
 	prefill *prefillQueue
-	// selfReading follows the prompts that decode engines read themselves.
-	selfReading *prefillQueue
-	// health knows the engines that failed lately.
+	// localPrefill tracks the prompts that decode engines prefill themselves.
+	localPrefill *prefillQueue
+	// health tracks the engines that failed recently.
 	health  engineHealth
 	waiting []*waiter
-	// output learns how long answers become.
+	// output estimates the lengths of answers.
 	output estimate.OutputLength
-	// retries spreads the callers that come back.
+	// retries spreads client retries over time.
 	retries retrySchedule
-	// ends counts runs that end, and arrivals first tries.
-	ends, arrivals rateMeter
-	// serving is set while those that wait are tried at intervals.
-	serving bool
-	// demand measures how many engines of each role the requests of late keep busy.
+	// completions counts runs that end, and arrivals counts first attempts.
+	completions, arrivals rateMeter
+	// serveScheduled is set while a timer is set to serve waiting requests.
+	serveScheduled bool
+	// demand measures how many engines of each role recent requests keep busy.
 	demand demandMeter
-	// fill learns how far decode engines can be filled.
-	fill fillMeter
-	// short is the role of which there were too few engines for the last request
-	// that could not be served.
-	short backend.Role
+	// utilization learns how much of the decode memory can be used.
+	utilization utilizationMeter
+	// shortRole is the role that was short of engines for the last request that could not be
+	// served.
+	shortRole backend.Role
 }
 
-// waiter is a request without engines.
+// waiter is a request that waits for engines.
 type waiter struct {
 	request *Request
 	since   time.Duration
-	// longest is how long it may wait; zero for one that is not to wait.
-	longest time.Duration
-	// hopeless is set where it would wait in vain.
-	hopeless bool
-	assigned chan Assignment
+	// maxWait is how long the request may wait; zero if it must not wait.
+	maxWait time.Duration
+	// unservable is set if the request cannot get engines within the time that it may wait.
+	unservable bool
+	assigned   chan Assignment
 }
 
-// New returns a coordinator that knows of no runs.
+// New returns a coordinator without runs.
 func New(options Options) *Coordinator {
 	if options.FirstToken == 0 {
 		options.FirstToken = defaultFirstToken
@@ -132,11 +131,11 @@
 	return &Coordinator{options: options, services: map[string]*serviceState{}}
 }
 
-// Assign gives engines to a request, or returns when capacity is expected. A request that would
-// wait in vain is refused at once.
+// Assign gives engines to a request, or returns when capacity is expected. It refuses a request at
+// once that cannot get engines in time.
 func (c *Coordinator) Assign(ctx context.Context, request *Request) Assignment {
 	queued := c.enqueue(request)
-	until := time.NewTimer(queued.longest)
+	until := time.NewTimer(queued.maxWait)
 	defer until.Stop()
 	select {
 	case assignment := <-queued.assigned:
@@ -144,12 +143,12 @@
 	case <-until.C:
 	case <-ctx.Done():
 	}
-	return c.giveUp(queued)
+	return c.cancelWait(queued)
 }
 
-// longestWait returns how long a request may wait: a first attempt until its first token could
-// not be in time any more, given what reading its prompt takes.
-func (c *Coordinator) longestWait(current *serviceState, request *Request) time.Duration {
+// maxWait returns how long a request may wait: for a first attempt, until the prefill can no longer
+// end early enough to meet the objective.
+func (c *Coordinator) maxWait(current *serviceState, request *Request) time.Duration {
 	if request.Late {
 		return request.Wait
 	}
@@ -157,8 +156,8 @@
 	return min(request.Wait, max(0, request.Objective-reading-c.options.FirstToken))
 }
 
-// enqueue tries a request, and lets it wait if it does not fit. How long it may wait is zero
-// where it would wait in vain.
+// enqueue tries to serve a request and queues it if it does not fit. maxWait stays zero for a
+// request that cannot get engines in time.
 func (c *Coordinator) enqueue(request *Request) *waiter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,146 +167,147 @@
 		current.arrivals.add(now)
 	}
 	others := current.waiting
-	// Those that wait did not fit a moment ago: an arrival alone does not free capacity for them.
+	// The requests already waiting did not fit a moment ago, and an arrival frees no capacity for
+	// them.
 	current.waiting = []*waiter{queued}
-	c.serve(request.Service, current, triesOfEvent)
+	c.serve(request.Service, current, attemptsPerEvent)
 	waits := len(current.waiting) > 0
 	current.waiting = others
 	if !waits {
 		return queued
 	}
-	longest := c.longestWait(current, request)
-	queued.hopeless = current.load(now, queued).hopeless(request.Late, longest)
-	if !queued.hopeless && !request.Probe {
-		queued.longest = longest
-		c.keepServing(request.Service, current)
+	maxWait := c.maxWait(current, request)
+	queued.unservable = current.load(now, queued).unservable(request.Late, maxWait)
+	if !queued.unservable && !request.Probe {
+		queued.maxWait = maxWait
+		c.scheduleServe(request.Service, current)
 	}
 	current.waiting = append(current.waiting, queued)
 	return queued
 }
 
-// giveUp takes a request out of the queue. It may have been served meanwhile.
-func (c *Coordinator) giveUp(left *waiter) Assignment {
+// cancelWait removes a request from the queue. It may have been served meanwhile.
+func (c *Coordinator) cancelWait(cancelled *waiter) Assignment {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case assignment := <-left.assigned:
+	case assignment := <-cancelled.assigned:
 		return assignment
 	default:
 	}
-	current := c.state(left.request.Service)
+	current := c.state(cancelled.request.Service)
 	for i, queued := range current.waiting {
-		if queued == left {
+		if queued == cancelled {
 			current.waiting = append(current.waiting[:i], current.waiting[i+1:]...)
 			break
 		}
 	}
-	if left.request.Probe && !left.hopeless {
-		return Assignment{ShortRole: string(current.short)}
+	if cancelled.request.Probe && !cancelled.unservable {
+		return Assignment{ShortRole: string(current.shortRole)}
 	}
 	now := c.options.Now()
-	c.countDemand(now, current, left.request)
-	return Assignment{RetryAfter: c.retryAfter(now, current, left.request), ShortRole: string(current.short)}
+	c.countDemand(now, current, cancelled.request)
+	return Assignment{RetryAfter: c.retryAfter(now, current, cancelled.request), ShortRole: string(current.shortRole)}
 }
 
-// retryAfter returns when a refused caller is to come back.
+// retryAfter returns when a refused client should retry.
 func (c *Coordinator) retryAfter(now time.Duration, current *serviceState, request *Request) time.Duration {
 	load := current.load(now, &waiter{request: request, since: now})
 	wait := load.expectedWait(true)
 	if !load.known {
 		wait = current.decode.TimeUntilCapacity(now, request.Run)
 	}
-	return current.retries.next(now, wait, load.ends)
+	return current.retries.next(now, wait, load.completions)
 }
 
-// End takes a run out of the ledger and serves those that wait.
-func (c *Coordinator) End(ended RunResult) {
+// End removes a run from the ledger and serves waiting requests.
+func (c *Coordinator) End(result RunResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	current := c.state(ended.Service)
-	if ended.Refusal != RefusalNone {
-		current.decode.Refused(c.options.Now(), ended.ID, ended.Refusal.pause())
+	current := c.state(result.Service)
+	if result.Refusal != RefusalNone {
+		current.decode.Refused(c.options.Now(), result.ID, result.Refusal.pause())
 	}
-	current.prefill.drop(ended.ID)
-	current.selfReading.drop(ended.ID)
-	if run, known := current.decode.End(ended.ID, ledger.AnswerTiming{First: ended.FirstEvent, Duration: ended.Duration, Rest: ended.RestTokens}); known {
-		current.output.Observe(run.CallerEstimate, ended.Output)
-		c.observe(current, run.Engine, ended)
+	current.prefill.drop(result.ID)
+	current.localPrefill.drop(result.ID)
+	if run, known := current.decode.End(result.ID, ledger.AnswerTiming{First: result.FirstEvent, Duration: result.Duration, Rest: result.RestTokens}); known {
+		current.output.Observe(run.CallerEstimate, result.Output)
+		c.observeOutcome(current, run.Engine, result)
 	}
-	current.ends.add(c.options.Now())
-	c.serve(ended.Service, current, triesOfEvent)
+	current.completions.add(c.options.Now())
+	c.serve(result.Service, current, attemptsPerEvent)
 }
 
-// observe notes what the end of a run says of its decode engine.
-func (c *Coordinator) observe(current *serviceState, engine string, ended RunResult) {
+// observeOutcome updates the health of a run's decode engine from the result of the run.
+func (c *Coordinator) observeOutcome(current *serviceState, engine string, result RunResult) {
 	switch {
-	case ended.Refusal == RefusalFailed:
+	case result.Refusal == RefusalFailed:
 		current.health.failed(c.options.Now(), engine)
-	case ended.Output > 0:
+	case result.Output > 0:
 		current.health.answered(engine)
 	}
 }
 
-// EngineFailed notes a failure that ended no run. A silent engine that has read other
-// prompts lately is only busy.
+// EngineFailed records a failure that did not end a run. An engine that timed out but has finished
+// other prefills recently is only busy.
 func (c *Coordinator) EngineFailed(failure EngineFailure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.state(failure.Service)
 	now := c.options.Now()
 	if failure.TimedOut {
-		current.prefill.overrun(now, failure.ID, failure.Engine)
+		current.prefill.timeOut(now, failure.ID, failure.Engine)
 	}
-	if failure.TimedOut && current.prefill.readLately(now, failure.Engine, busyEvidence) {
+	if failure.TimedOut && current.prefill.hasPrefilledWithin(now, failure.Engine, recentPrefillWindow) {
 		return
 	}
 	current.health.failed(now, failure.Engine)
 }
 
-// Sync takes over all runs of a node.
+// Sync replaces the runs of a node.
 func (c *Coordinator) Sync(service, holder string, runs []ledger.Run) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state(service).decode.Sync(c.options.Now(), holder, runs)
 }
 
-// ReportMemoryUse takes note of the memory that a decode engine says it uses.
+// ReportMemoryUse records the memory in use that a decode engine reports.
 func (c *Coordinator) ReportMemoryUse(service, engine string, used int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state(service).decode.ReportMemoryUse(c.options.Now(), engine, used)
 }
 
-// PrefillDone notes that an engine has read a run's prompt, and serves those that wait.
+// PrefillDone records that an engine has prefilled a run's prompt, and serves waiting requests.
 func (c *Coordinator) PrefillDone(service, id, engine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.state(service)
-	current.prefill.read(c.options.Now(), id, engine)
-	current.selfReading.read(c.options.Now(), id, engine)
+	current.prefill.complete(c.options.Now(), id, engine)
+	current.localPrefill.complete(c.options.Now(), id, engine)
 	current.health.answered(engine)
-	if current.short == backend.RolePrefill {
-		c.serve(service, current, triesOfEvent)
+	if current.shortRole == backend.RolePrefill {
+		c.serve(service, current, attemptsPerEvent)
 	}
 }
 
-// coverage returns which share of a service's runs its ledger is taken to know: that
-// of the nodes which have synced theirs lately. While nodes differ on who
-// coordinates, each of two coordinators knows a part.
+// coverage returns the estimated share of a service's runs that the ledger tracks: that of the
+// nodes that have synced recently. While nodes disagree on the coordinator, each of two
+// coordinators tracks a part of the runs.
 func (c *Coordinator) coverage(now time.Duration, current *serviceState) float64 {
 	nodes := c.options.Nodes()
 	if nodes == 0 {
 		return 1
 	}
-	heard := current.decode.RecentHolders(now, coverageTime)
-	return min(1, max(leastCoverage, float64(heard)/float64(nodes)))
+	reporting := current.decode.RecentHolders(now, coverageWindow)
+	return min(1, max(minCoverage, float64(reporting)/float64(nodes)))
 }
 
-// state returns what is known of a service; the lock is held.
+// state returns the state of a service. The caller holds the lock.
 func (c *Coordinator) state(service string) *serviceState {
 	current := c.services[service]
 	if current == nil {
-		current = &serviceState{decode: ledger.New(c.options.Ledger), prefill: newPrefillQueue(), selfReading: newPrefillQueue()}
+		current = &serviceState{decode: ledger.New(c.options.Ledger), prefill: newPrefillQueue(), localPrefill: newPrefillQueue()}
 		c.services[service] = current
 	}
 	return current
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -1,18 +1,20 @@
-// Package coordinator assigns engines to requests. For each service one node
-// coordinates: the live one that rendezvous hashing gives. It knows every run that
-// it has assigned, so that memory that a run will need later is not given to
-// another one, and requests wait in one order where no capacity is free.
+// Package coordinator assigns engines to requests. Rendezvous hashing over the
+// live nodes chooses one coordinator for each service. It tracks all runs that
+// it has assigned, so that memory that a run will need later is not assigned
+// twice, and keeps one queue of requests for which no capacity is free.
 //
-// It learns from what all nodes report: how long engines take to read prompts, how fast they
-// answer, how long answers become, and which engines fail. What it needs of a deployment it
-// learns within seconds; the first guesses stand beside what replaces them.
+// It learns from the reports of all nodes: the duration of prefills, the decode
+// rate, the lengths of answers, and which engines fail. It learns the
+// properties of a deployment within seconds; the constants with initial
+// estimates stand beside the models that replace them.
 //
-// coordinator.go receives what nodes ask and report, serve.go decides the order of those that
-// wait, assign.go chooses engines for one request, prefill.go follows the prompts that engines
-// have before them, health.go the failures, demand.go what keeps engines busy, and returns.go
-// when refused callers should retry.
+// coordinator.go handles requests and reports from nodes, serve.go orders
+// waiting requests, assign.go chooses engines for one request, prefill.go
+// tracks queued prefills, health.go tracks failures, demand.go measures the
+// demand, and retries.go schedules client retries.
 //
-// Nothing is stored. A node that finds another coordinator than before sends it
-// its own runs; two coordinators for a moment assign too much, and the engines
-// refuse the excess. A coordinator that does not answer at once is passed over.
+// Nothing is persisted. A node sends all its runs to a coordinator that is new
+// to it. Two coordinators at the same time may assign more than there is; the
+// engines then refuse the excess. Nodes skip a coordinator that does not answer
+// at once.
 package coordinator
--- a/coordinator/fill_test.go
+++ b/coordinator/fill_test.go
@@ -10,28 +10,28 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// TestTheFillOfDecodeEnginesIsLearned has runs of 3,000 tokens fill engines of 10,000: three fit,
+// TestDecodeUtilizationIsLearned assigns runs of 3,000 tokens to an engine of 10,000: three fit,
 // and a tenth of the memory stays free.
-func TestTheFillOfDecodeEnginesIsLearned(t *testing.T) {
+func TestDecodeUtilizationIsLearned(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Duration(0)
-	keeper := New(Options{
+	coordinator := New(Options{
 		Engines: func(string) Engines {
 			return Engines{Decode: []ledger.Engine{{ID: "d", Memory: 10_000, Slots: 8}}, Prefill: []string{"p"}}
 		},
 		Nodes: func() int { return 1 }, Now: func() time.Duration { return now },
 	})
-	demand, _ := keeper.Demand("s")
-	g.Expect(demand.DecodeUtilization).To(BeZero(), "not seen yet")
+	demand, _ := coordinator.Demand("s")
+	g.Expect(demand.DecodeUtilization).To(BeZero(), "not observed yet")
 	given := 0
 	for i := range 40 {
 		run := ledger.Run{ID: fmt.Sprint("run", i), Prompt: 3000, Output: 1, MaxOutput: 1, Holder: "node"}
-		if keeper.Assign(t.Context(), &Request{Service: "s", Objective: 10 * time.Second, Run: run}).Decode != "" {
+		if coordinator.Assign(t.Context(), &Request{Service: "s", Objective: 10 * time.Second, Run: run}).Decode != "" {
 			given++
 		}
 		now += 10 * time.Millisecond
 	}
 	g.Expect(given).To(Equal(3))
-	demand, _ = keeper.Demand("s")
+	demand, _ = coordinator.Demand("s")
 	g.Expect(demand.DecodeUtilization).To(BeNumerically("~", 0.9, 0.01))
 }
--- a/coordinator/health.go
+++ b/coordinator/health.go
@@ -6,52 +6,52 @@
 )
 
 const (
-	// outcomeWeight is the weight of one outcome in the share of failures: an engine that has
-	// always answered is out after its second failure in a row.
+	// outcomeWeight is the weight of one outcome in the failure share: an engine without earlier
+	// failures is excluded after its second failure in a row.
 	outcomeWeight = 0.35
-	// greatestFailing is the share of failures above which an engine is given no run.
-	greatestFailing = 0.5
-	// failingHalfLife is the time in which the share halves by itself, so that an engine that
-	// is given nothing is tried again: 0.4 s after two failures, 2 s after many.
-	failingHalfLife = 2 * time.Second
+	// maxFailureShare is the failure share above which an engine gets no run.
+	maxFailureShare = 0.5
+	// failureHalfLife is the time in which the failure share halves without new outcomes, so that
+	// an excluded engine is tried again: 0.4 s after two failures, 2 s after many.
+	failureHalfLife = 2 * time.Second
 )
 
-// engineHealth knows which engines failed lately, from what all nodes have seen. The zero
-// value knows of no failure.
+// engineHealth tracks recent engine failures reported by all nodes. The zero value has no failures.
 type engineHealth struct {
-	engines map[string]failing
+	engines map[string]failureRecord
 }
 
-// failing is the share of an engine's outcomes that were failures, newer ones counting more.
-type failing struct {
+// failureRecord is the share of an engine's outcomes that were failures, weighted towards newer
+// ones.
+type failureRecord struct {
 	share float64
 	at    time.Duration
 }
 
-// share returns the share of failures of an engine as of now.
+// share returns the failure share of an engine as of now.
 func (h *engineHealth) share(now time.Duration, engine string) float64 {
 	known, seen := h.engines[engine]
 	if !seen {
 		return 0
 	}
-	return known.share * math.Exp2(-(now-known.at).Seconds()/failingHalfLife.Seconds())
+	return known.share * math.Exp2(-(now-known.at).Seconds()/failureHalfLife.Seconds())
 }
 
-// sound reports whether an engine may be given runs.
-func (h *engineHealth) sound(now time.Duration, engine string) bool {
-	return h.share(now, engine) <= greatestFailing
+// healthy reports whether an engine may be given runs.
+func (h *engineHealth) healthy(now time.Duration, engine string) bool {
+	return h.share(now, engine) <= maxFailureShare
 }
 
-// failed notes that an engine gave no answer, or broke one off.
+// failed records that an engine gave no answer or broke one off.
 func (h *engineHealth) failed(now time.Duration, engine string) {
 	if h.engines == nil {
-		h.engines = map[string]failing{}
+		h.engines = map[string]failureRecord{}
 	}
 	share := h.share(now, engine)
-	h.engines[engine] = failing{share: share + outcomeWeight*(1-share), at: now}
+	h.engines[engine] = failureRecord{share: share + outcomeWeight*(1-share), at: now}
 }
 
-// answered notes that an engine did what it was asked.
+// answered records a success of an engine.
 func (h *engineHealth) answered(engine string) {
 	known, seen := h.engines[engine]
 	if !seen {
--- a/coordinator/health_test.go
+++ b/coordinator/health_test.go
@@ -9,8 +9,8 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// TestAnEngineThatFailsOnceInAWhileStaysInUse has a fifth of an engine's answers fail.
-func TestAnEngineThatFailsOnceInAWhileStaysInUse(t *testing.T) {
+// TestOccasionalFailuresKeepEngineInUse lets a fifth of an engine's answers fail.
+func TestOccasionalFailuresKeepEngineInUse(t *testing.T) {
 	g := NewWithT(t)
 	var health engineHealth
 	for i := range 100 {
@@ -20,17 +20,17 @@
 		} else {
 			health.answered("e")
 		}
-		g.Expect(health.sound(now, "e")).To(BeTrue(), "outcome %d", i)
+		g.Expect(health.healthy(now, "e")).To(BeTrue(), "outcome %d", i)
 	}
 }
 
-// TestAnEngineThatFailsAlwaysIsTriedAgainNowAndThen has each of its answers fail.
-func TestAnEngineThatFailsAlwaysIsTriedAgainNowAndThen(t *testing.T) {
+// TestFailingEngineIsRetried lets every answer of an engine fail.
+func TestFailingEngineIsRetried(t *testing.T) {
 	g := NewWithT(t)
 	var health engineHealth
 	tries := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
-		if health.sound(now, "e") {
+		if health.healthy(now, "e") {
 			health.failed(now, "e")
 			tries++
 		}
@@ -39,13 +39,13 @@
 	g.Expect(tries).To(BeNumerically("<=", 30))
 	health.answered("e")
 	health.answered("e")
-	g.Expect(health.sound(10*time.Second, "e")).To(BeTrue())
+	g.Expect(health.healthy(10*time.Second, "e")).To(BeTrue())
 }
 
-// TestOverloadIsNoFailure reports prompts without an answer in time of an engine that reads
-// others, and of one that reads nothing. The first stays in use: an engine that is taken out
-// because it has much to do leaves its work to the others, until all are out.
-func TestOverloadIsNoFailure(t *testing.T) {
+// TestOverloadIsNotAFailure reports timed-out prompts of an engine that finishes other prefills,
+// and of one that finishes none. The first stays in use: excluding an engine because it is busy
+// moves its work to the others, until all are excluded.
+func TestOverloadIsNotAFailure(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Duration(0)
 	shared := New(Options{
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestAFailedDecodeEngineIsOut ends runs of one engine by its failure.
-func TestAFailedDecodeEngineIsOut(t *testing.T) {
+// TestFailedDecodeEngineIsExcluded ends runs of one engine with a failure.
+func TestFailedDecodeEngineIsExcluded(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Duration(0)
 	shared := New(Options{
--- a/coordinator/learned.go
+++ b/coordinator/learned.go
@@ -8,10 +8,10 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// LearnedModel is what a coordinator has learned of a service. All nodes keep it, and the first that
-// reports to a new coordinator hands it on: without it, the new one assigns by first guesses until
-// dozens of answers have ended, which takes seconds in which the memory of engines is filled too
-// much or too little.
+// LearnedModel is what a coordinator has learned of a service. All nodes store it, and the first
+// that syncs with a new coordinator passes it on. Otherwise the new coordinator would use initial
+// estimates until dozens of answers have ended, and would overfill or underfill the engines' memory
+// for several seconds.
 type LearnedModel struct {
 	Output  estimate.LearnedOutput
 	Prefill estimate.Sums
@@ -28,7 +28,8 @@
 	}
 }
 
-// Adopt takes over what the coordinator before has learned, as far as this one has learned nothing.
+// Adopt takes over the model of the previous coordinator, except the parts that this one has
+// learned itself.
 func (c *Coordinator) Adopt(service string, learned LearnedModel) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coordinator/learned_test.go
+++ b/coordinator/learned_test.go
@@ -10,8 +10,8 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// newTaught returns a coordinator of two engines whose clock is given.
-func newTaught(now *time.Duration) *Coordinator {
+// newLearning returns a coordinator of one engine of each role that uses the given clock.
+func newLearning(now *time.Duration) *Coordinator {
 	return New(Options{
 		Engines: func(string) Engines {
 			return Engines{Decode: []ledger.Engine{{ID: "d", Memory: 1_000_000, Slots: 64}}, Prefill: []string{"p"}}
@@ -20,13 +20,13 @@
 	})
 }
 
-// TestANewCoordinatorGoesByWhatTheOneBeforeLearned has a coordinator learn that prompts take six
-// times and answers twice what the first guesses say. Its successor expects the same of its first
-// run, within a tenth; without what was handed on it expects a sixth and a half of it.
-func TestANewCoordinatorGoesByWhatTheOneBeforeLearned(t *testing.T) {
+// TestNewCoordinatorAdoptsLearnedModel has a coordinator learn that prefills take six times and
+// answers twice as long as initially estimated. With its model a successor expects the same of its
+// first run, within a tenth; without it the successor expects a sixth and a half of that.
+func TestNewCoordinatorAdoptsLearnedModel(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Second
-	taught, untaught, next := newTaught(&now), newTaught(&now), newTaught(&now)
+	taught, untaught, next := newLearning(&now), newLearning(&now), newLearning(&now)
 	for i := range 60 {
 		id := strconv.Itoa(i)
 		request := requestOf(id, 0)
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// pauseFull is how long an engine that had no capacity is given no run.
+	// pauseFull is how long an engine without capacity gets no run.
 	pauseFull = 120 * time.Millisecond
-	// pauseClosed is the same after an engine had capacity and did not take the run.
-	pauseClosed = 2 * time.Second
+	// pauseUnavailable is how long an engine gets no run after it had capacity and refused one.
+	pauseUnavailable = 2 * time.Second
 )
 
 // Request asks for engines.
@@ -18,92 +18,92 @@
 	Service string
 	Run     ledger.Run
 	// Wait is how long the request may wait for engines. A first attempt waits no longer than it
-	// can be in time.
+	// can still meet the objective.
 	Wait time.Duration
-	// Objective is the time in which the first token is to come. A prompt that would
-	// wait too long for it is not accepted.
+	// Objective is the time in which the first token is due. A prompt that would be queued too long
+	// for it is not accepted.
 	Objective time.Duration
-	// Probe is set where the sender asks again if no capacity is free now: it does not wait, and
-	// Wait is how long it will when it asks again. Again is set then.
+	// Probe is set if the sender asks again when no capacity is free now: the request does not
+	// wait, and Wait is how long it will wait when repeated. Again is set in that repetition.
 	Probe, Again bool
-	// Late is set for a request that is late whatever becomes of it: that of a caller that
-	// was refused before, or the rest of a stream that broke off.
+	// Late is set for a request that misses its objective in any case: a client retry after a
+	// refusal, or the rest of an interrupted stream.
 	Late bool
-	// TenantPriority is the rank of its tenant, and Priority that of its route, which counts after
-	// it; 0 is the highest.
+	// TenantPriority is the priority of the tenant, and Priority that of the route, which orders
+	// requests of equal tenant priority; 0 is the highest.
 	TenantPriority, Priority int
-	// AboveUsual is set where its tenant has nearly used up its limit.
+	// AboveUsual is set if the tenant has nearly used up its limit.
 	AboveUsual bool
-	// Avoid names engines that must not be given.
+	// Avoid names engines that must not be assigned.
 	Avoid []string
 }
 
 // Assignment answers a Request.
 type Assignment struct {
-	// Decode and Prefill name engines; they are empty where no capacity is free.
+	// Decode and Prefill name the engines; they are empty if no capacity is free.
 	Decode  string
 	Prefill string
-	// LocalPrefill is set where the decode engine reads the prompt; Prefill is empty then.
+	// LocalPrefill is set if the decode engine runs the prefill; Prefill is empty then.
 	LocalPrefill bool
-	// RetryAfter is when capacity is expected, where there is none.
+	// RetryAfter is the time until capacity is expected, if none is free.
 	RetryAfter time.Duration
-	// PromptReady is how long it is expected to take until the prompt has been read.
+	// PromptReady is the expected time until the prefill is done.
 	PromptReady time.Duration
-	// Output is how many tokens the run is expected to make.
+	// Output is the expected number of output tokens of the run.
 	Output int
-	// ShortRole is the role of which there were too few engines, where no capacity is free.
+	// ShortRole is the role that is short of engines, if no capacity is free.
 	ShortRole string
 }
 
-// RunResult reports a run that is over.
+// RunResult reports the end of a run.
 type RunResult struct {
 	Service string
 	ID      string
-	// Duration is how long the answer took, if it was whole; otherwise zero.
+	// Duration is the duration of a complete answer, otherwise zero.
 	Duration time.Duration
-	// Output is how many tokens a whole answer had.
+	// Output is the number of tokens of a complete answer.
 	Output int
-	// FirstEvent is how long it took until the first event of a whole answer, and Rest how many
-	// tokens came after that.
+	// FirstEvent is the time to the first event of a complete answer, and RestTokens is the number
+	// of tokens after that event.
 	FirstEvent time.Duration
 	RestTokens int
-	// Refusal is set where the engine did not take it.
+	// Refusal is set if the engine did not take the run or did not complete it.
 	Refusal Refusal
 }
 
-// EngineFailure reports an engine that did not do what it was asked.
+// EngineFailure reports an engine that failed an operation.
 type EngineFailure struct {
 	Service string
 	Engine  string
-	// ID names the run whose prompt it has not read.
+	// ID names the run whose prompt the engine did not prefill.
 	ID string
-	// TimedOut is set where it said nothing in time, and may only be busy.
+	// TimedOut is set if the engine did not answer in time; it may only be busy.
 	TimedOut bool
 }
 
-// Refusal is how an engine did not take a run, or left it.
+// Refusal is how an engine refused or failed a run.
 type Refusal int32
 
-// The refusals.
+// Kinds of refusals.
 const (
-	// RefusalNone is that of a run that was taken.
+	// RefusalNone means that the engine took the run.
 	RefusalNone Refusal = iota
-	// RefusalFull is that of an engine without capacity.
+	// RefusalFull means that the engine had no capacity.
 	RefusalFull
-	// RefusalUnavailable is that of an engine that had capacity and took the run all the same
-	// not: it is changing its role, say, which nobody who lives knows of.
+	// RefusalUnavailable means that the engine refused the run although it had capacity, for
+	// example during a role change of which no live node has a record.
 	RefusalUnavailable
-	// RefusalFailed is that of an engine that gave no answer, or broke it off.
+	// RefusalFailed means that the engine gave no answer or broke it off.
 	RefusalFailed
 )
 
-// pause returns how long an engine is given no run after a refusal.
+// pause returns how long an engine gets no run after a refusal.
 func (r Refusal) pause() time.Duration {
 	switch r {
 	case RefusalFull:
 		return pauseFull
 	case RefusalUnavailable:
-		return pauseClosed
+		return pauseUnavailable
 	default:
 		return 0
 	}
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -16,18 +16,18 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// overloadReplay asks a coordinator of 60 decode engines for about twice as many runs as end.
-// A caller that is refused comes back once.
+// overloadReplay requests about twice as many runs as end from a coordinator of 60 decode engines.
+// A refused client retries once.
 type overloadReplay struct {
 	coordinator *Coordinator
-	looks       int
-	// hotFrom is the rate above which requests are those of a hot tenant; zero for none. They are
-	// marked where marked is set.
-	hotFrom float64
-	marked  bool
-	// loses is set where a seventh of the engines are lost at once in the middle of the burst.
-	loses bool
-	// end is when no more requests come.
+	listings    int
+	// hotAboveRate is the request rate above which requests belong to a hot tenant; zero for none.
+	// These requests are sent with AboveUsual if marked is set.
+	hotAboveRate float64
+	marked       bool
+	// losesEngines is set if a seventh of the engines are lost at once in the middle of the burst.
+	losesEngines bool
+	// end is when the last request is sent.
 	end time.Duration
 
 	mu     sync.Mutex
@@ -36,29 +36,31 @@
 
 type overloadCounts struct {
 	asked, assigned, late int
-	// othersAsked and othersAssigned are those of all tenants but the hot one.
+	// othersAsked and othersAssigned count the requests of all tenants but the hot one.
 	othersAsked, othersAssigned int
 	// refused is how long each refused request was held.
 	refused []time.Duration
-	// mostWaiting is the greatest number that waited.
-	mostWaiting int
+	// maxWaiting is the maximum number of waiting requests.
+	maxWaiting int
 }
 
 const (
-	replayObjective = 900 * time.Millisecond
-	replayPatience  = 2700 * time.Millisecond
-	replayCalm      = 4 * time.Second
-	replayBurst     = 16 * time.Second
-	replayEnd       = 22 * time.Second
-	replayCalmRate  = 60
-	replayBurstRate = 320
-	// replayLoss is when replayLost decode engines, and half as many prefill engines, are lost.
-	replayLoss = 9 * time.Second
-	replayLost = 8
+	replayObjective  = 900 * time.Millisecond
+	replayRetryWait  = 2700 * time.Millisecond
+	replayBurstStart = 4 * time.Second
+	replayBurstEnd   = 16 * time.Second
+	replayEnd        = 22 * time.Second
+	replayBaseRate   = 60
+	replayBurstRate  = 320
+	// replayLoss is when replayLostEngines decode engines, and half as many prefill engines, are
+	// lost.
+	replayLoss        = 9 * time.Second
+	replayLostEngines = 8
 )
 
-// newOverloadReplay returns a replay whose coordinator draws a few engines first, or looks at all.
-func newOverloadReplay(draws bool) *overloadReplay {
+// newOverloadReplay returns a replay whose coordinator tries a shortlist first, or always all
+// engines.
+func newOverloadReplay(shortlist bool) *overloadReplay {
 	began := time.Now()
 	replayed := &overloadReplay{end: replayEnd}
 	all := Engines{}
@@ -69,29 +71,29 @@
 		all.Prefill = append(all.Prefill, fmt.Sprint("p", i))
 	}
 	alive := func() Engines {
-		if !replayed.loses || time.Since(began) < replayLoss {
+		if !replayed.losesEngines || time.Since(began) < replayLoss {
 			return all
 		}
-		return Engines{Decode: all.Decode[replayLost:], Prefill: all.Prefill[replayLost/2:]}
+		return Engines{Decode: all.Decode[replayLostEngines:], Prefill: all.Prefill[replayLostEngines/2:]}
 	}
 	options := Options{
 		Engines: func(string) Engines {
-			replayed.looks++
+			replayed.listings++
 			return Engines{Decode: slices.Clone(alive().Decode), Prefill: slices.Clone(alive().Prefill), Complete: true}
 		},
 		Nodes: func() int { return 1 },
 		Now:   func() time.Duration { return time.Since(began) },
 	}
-	if draws {
+	if shortlist {
 		random := rand.New(rand.NewPCG(13, 14))
-		options.Shortlist = func(string, string) Engines { return drawnOf(alive(), random) }
+		options.Shortlist = func(string, string) Engines { return sampleOf(alive(), random) }
 	}
 	replayed.coordinator = New(options)
 	return replayed
 }
 
-// drawnOf returns a few of the engines, as a registry of many more would.
-func drawnOf(all Engines, random *rand.Rand) Engines {
+// sampleOf returns a sample of the engines, as the registry of a much larger fleet would.
+func sampleOf(all Engines, random *rand.Rand) Engines {
 	const drawn = 8
 	var few Engines
 	for range drawn {
@@ -101,38 +103,38 @@
 	return few
 }
 
-// play sends requests until the end, and waits for all that has come of them.
+// play sends requests until the end, and waits until all are answered.
 func (r *overloadReplay) play(ctx *testing.T) overloadCounts {
 	random := rand.New(rand.NewPCG(11, 12))
 	began := time.Now()
 	var callers sync.WaitGroup
 	for i := 0; time.Since(began) < r.end; i++ {
-		rate := float64(replayCalmRate)
-		if since := time.Since(began); since >= replayCalm && since < replayBurst {
+		rate := float64(replayBaseRate)
+		if since := time.Since(began); since >= replayBurstStart && since < replayBurstEnd {
 			rate = replayBurstRate
 		}
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		run := ledger.Run{
 			ID: strconv.Itoa(i), Prompt: 1500 + random.IntN(3000), Output: 200 + random.IntN(800), MaxOutput: 4000, Holder: "node",
 		}
-		hot := r.hotFrom > 0 && random.Float64()*rate > r.hotFrom
+		hot := r.hotAboveRate > 0 && random.Float64()*rate > r.hotAboveRate
 		callers.Go(func() { r.ask(ctx, run, false, hot) })
 	}
 	callers.Wait()
 	return r.counts
 }
 
-// ask is one try of a caller.
+// ask is one attempt of a client.
 func (r *overloadReplay) ask(ctx *testing.T, run ledger.Run, late, hot bool) {
 	request := &Request{
 		Service: "s", Run: run, Wait: replayObjective, Objective: replayObjective, Late: late, AboveUsual: hot && r.marked,
 	}
 	if late {
-		request.Wait = replayPatience
+		request.Wait = replayRetryWait
 	}
 	began := time.Now()
 	given := r.coordinator.Assign(ctx.Context(), request)
-	r.note(late, hot, given, time.Since(began))
+	r.record(late, hot, given, time.Since(began))
 	if given.Decode != "" {
 		r.serve(run, given)
 		return
@@ -144,11 +146,11 @@
 	}
 }
 
-func (r *overloadReplay) note(late, hot bool, given Assignment, held time.Duration) {
+func (r *overloadReplay) record(late, hot bool, given Assignment, held time.Duration) {
 	waiting := r.coordinator.State("s").Waiting
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts.mostWaiting = max(r.counts.mostWaiting, waiting)
+	r.counts.maxWaiting = max(r.counts.maxWaiting, waiting)
 	if !late {
 		r.counts.asked++
 	}
@@ -168,7 +170,7 @@
 	}
 }
 
-// serve reads the prompt and makes the answer.
+// serve simulates the prefill and the answer.
 func (r *overloadReplay) serve(run ledger.Run, given Assignment) {
 	began := time.Now()
 	time.Sleep(given.PromptReady)
@@ -188,53 +190,54 @@
 	return sorted[int(share*float64(len(sorted)-1))]
 }
 
-// TestOverloadIsRefusedAtOnce replays a burst of 12 s at about twice what the engines end. Who
-// cannot be served in time is told at once. Without a prediction half of those that were refused
-// had been held for 754 ms and a tenth for 2.7 s, and up to 643 waited at a time.
+// TestOverloadIsRefusedAtOnce replays a burst of 12 s at about twice the rate at which runs end.
+// Requests that cannot be served in time must be refused at once. Without predicted waits, half of
+// the refused requests had been held for 754 ms and a tenth for 2.7 s, and up to 643 waited at a
+// time.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		replayed := newOverloadReplay(false)
 		counts := replayed.play(t)
 		t.Logf("asked %d, assigned %d, late %d, refused %d", counts.asked, counts.assigned, counts.late, len(counts.refused))
-		t.Logf("held p50 %v p90 %v, most waiting %d, looks %d", quantileOf(counts.refused, 0.5), quantileOf(counts.refused, 0.9), counts.mostWaiting, replayed.looks)
+		t.Logf("held p50 %v p90 %v, at most %d waiting, %d listings", quantileOf(counts.refused, 0.5), quantileOf(counts.refused, 0.9), counts.maxWaiting, replayed.listings)
 		g.Expect(quantileOf(counts.refused, 0.9)).To(BeNumerically("<", 100*time.Millisecond))
-		g.Expect(counts.mostWaiting).To(BeNumerically("<", 250))
-		g.Expect(counts.assigned).To(BeNumerically(">", 2900), "without a prediction 3,023")
+		g.Expect(counts.maxWaiting).To(BeNumerically("<", 250))
+		g.Expect(counts.assigned).To(BeNumerically(">", 2900), "3,023 without predicted waits")
 	})
 }
 
-// TestOverloadWithDrawnEngines replays the first seconds of the burst with a choice among a few engines that are
-// drawn, and a seventh of all lost at once in it. Requests wait, are turned away and are placed as with a choice
-// among all.
-func TestOverloadWithDrawnEngines(t *testing.T) {
+// TestOverloadWithShortlist replays the first seconds of the burst with a shortlist, and with a
+// seventh of all engines lost at once. Requests must wait, be refused and be assigned as without a
+// shortlist.
+func TestOverloadWithShortlist(t *testing.T) {
 	const end = 11 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		play := func(draws bool) (overloadCounts, int) {
-			replayed := newOverloadReplay(draws)
-			replayed.loses, replayed.end = true, end
-			return replayed.play(t), replayed.looks
+		play := func(shortlist bool) (overloadCounts, int) {
+			replayed := newOverloadReplay(shortlist)
+			replayed.losesEngines, replayed.end = true, end
+			return replayed.play(t), replayed.listings
 		}
-		byAll, looksByAll := play(false)
-		byFew, looksByFew := play(true)
-		t.Logf("assigned %d by all, %d by a few; late %d, %d; looks at all %d, %d",
-			byAll.assigned, byFew.assigned, byAll.late, byFew.late, looksByAll, looksByFew)
+		byAll, listingsByAll := play(false)
+		byFew, listingsByFew := play(true)
+		t.Logf("assigned %d without shortlist, %d with it; late %d, %d; listings %d, %d",
+			byAll.assigned, byFew.assigned, byAll.late, byFew.late, listingsByAll, listingsByFew)
 		g.Expect(byFew.assigned).To(BeNumerically(">", byAll.assigned*97/100))
 		g.Expect(byFew.late).To(BeNumerically(">", byAll.late*90/100))
 		g.Expect(quantileOf(byFew.refused, 0.9)).To(BeNumerically("<", 100*time.Millisecond), "refused at once")
-		g.Expect(byFew.mostWaiting).To(BeNumerically("<", 250))
-		g.Expect(looksByFew).To(BeNumerically("<=", looksByAll))
+		g.Expect(byFew.maxWaiting).To(BeNumerically("<", 250))
+		g.Expect(listingsByFew).To(BeNumerically("<=", listingsByAll))
 	})
 }
 
-// TestOthersPassATenantFarAboveItsUsual replays the burst as that of one tenant beside others,
-// which together send no more than the engines can do.
-func TestOthersPassATenantFarAboveItsUsual(t *testing.T) {
+// TestTenantNearItsLimitYieldsToOthers replays the burst as that of one tenant beside others, which
+// together send no more than the engines can serve.
+func TestTenantNearItsLimitYieldsToOthers(t *testing.T) {
 	served := func(marked bool) (share float64) {
 		synctest.Test(t, func(t *testing.T) {
 			replayed := newOverloadReplay(false)
-			replayed.hotFrom, replayed.marked = replayCalmRate, marked
+			replayed.hotAboveRate, replayed.marked = replayBaseRate, marked
 			counts := replayed.play(t)
 			share = float64(counts.othersAssigned) / float64(counts.othersAsked)
 		})
@@ -242,14 +245,14 @@
 	}
 	g := NewWithT(t)
 	without, with := served(false), served(true)
-	t.Logf("others in time: %.3f without the mark, %.3f with it", without, with)
+	t.Logf("others in time: %.3f without AboveUsual, %.3f with it", without, with)
 	g.Expect(with).To(BeNumerically(">", 0.95))
 	g.Expect(without).To(BeNumerically("<", with))
 }
 
-// TestRanksOrderThoseThatWait wants each rank to count before the next ones, and the order to be
-// one whatever is compared first.
-func TestRanksOrderThoseThatWait(t *testing.T) {
+// TestRankOrder expects each criterion to take precedence over the next ones, and the order to be
+// antisymmetric.
+func TestRankOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		draw := func(name string) *waiter {
@@ -266,7 +269,7 @@
 			}
 		}
 		a, b := draw("a"), draw("b")
-		g.Expect(byRank(a, b)).To(Equal(slices.Compare(ranks(a), ranks(b))))
-		g.Expect(byRank(b, a)).To(Equal(-byRank(a, b)))
+		g.Expect(compareRank(a, b)).To(Equal(slices.Compare(ranks(a), ranks(b))))
+		g.Expect(compareRank(b, a)).To(Equal(-compareRank(a, b)))
 	})
 }
--- a/coordinator/prefill.go
+++ b/coordinator/prefill.go
@@ -9,46 +9,45 @@
 )
 
 const (
-	// promptLifetime is how long a prompt may be read. The node of an older one was
-	// lost, or its messages.
+	// promptLifetime is the longest time for which a prompt counts as queued. For an older one, the
+	// node or its messages were lost.
 	promptLifetime = 5 * time.Second
-	// overdueFactor and overdueSlack bound how long an engine may take for the prompt at the
-	// head of its queue, given what is expected. Beyond that it seems to be silent. The
-	// factor covers the spread of reading times; the slack covers the messages and the first
-	// guess of an engine's pace.
-	overdueFactor = 3
-	overdueSlack  = 300 * time.Millisecond
+	// stallFactor and stallSlack bound the time that an engine may take for the prompt at the head
+	// of its queue, relative to the expected time. Beyond that it counts as stalled. The factor
+	// covers the variance of prefill times; the slack covers message delays and the initial
+	// estimate of the engine's rate.
+	stallFactor = 3
+	stallSlack  = 300 * time.Millisecond
 )
 
-// prefillQueue follows the prompts that each prefill engine has before it.
+// prefillQueue tracks the queued prompts of each prefill engine.
 type prefillQueue struct {
 	engines map[string]*prefillEngine
-	// reading names the engine of each prompt that is not read yet.
-	reading map[string]string
-	// model learns how long engines take.
+	// engineOf is the engine of each queued prompt.
+	engineOf map[string]string
+	// model estimates prefill times.
 	model estimate.PrefillTime
 }
 
-// prefillEngine is one engine; it reads its prompts in the order in which it was
-// given them.
+// prefillEngine is one engine; it processes its prompts in the order of assignment.
 type prefillEngine struct {
 	prompts []prompt
-	// doneAt is when it last had read one.
-	doneAt time.Duration
+	// lastDone is when the engine last finished a prefill.
+	lastDone time.Duration
 }
 
 type prompt struct {
-	id     string
-	given  time.Duration
-	tokens int
+	id         string
+	assignedAt time.Duration
+	tokens     int
 }
 
 func newPrefillQueue() *prefillQueue {
-	return &prefillQueue{engines: map[string]*prefillEngine{}, reading: map[string]string{}}
+	return &prefillQueue{engines: map[string]*prefillEngine{}, engineOf: map[string]string{}}
 }
 
-// engine returns what is known of an engine that is given prompts. An engine that is only looked at has
-// nothing before it.
+// engine returns the state of an engine, creating it for engines that are assigned prompts.
+// Read-only paths treat an engine without state as idle.
 func (q *prefillQueue) engine(id string) *prefillEngine {
 	known := q.engines[id]
 	if known == nil {
@@ -58,34 +57,34 @@
 	return known
 }
 
-// nearest returns the engine at which a prompt is read first among those for which isNear holds, if
-// that is not later than the latest time. Otherwise the result is empty.
-func (q *prefillQueue) nearest(
-	now time.Duration, engines []string, run ledger.Run, avoid map[string]bool, isNear func(id string) bool, latest time.Duration,
+// shortestPreferred is shortest among the engines for which preferred holds. The result is empty if
+// none is ready by the latest time.
+func (q *prefillQueue) shortestPreferred(
+	now time.Duration, engines []string, run ledger.Run, avoid map[string]bool, preferred func(id string) bool, latest time.Duration,
 ) (string, time.Duration) {
-	var near []string
+	var candidates []string
 	for _, id := range engines {
-		if isNear(id) {
-			near = append(near, id)
+		if preferred(id) {
+			candidates = append(candidates, id)
 		}
 	}
-	id, ready := q.shortest(now, near, run, avoid)
+	id, ready := q.shortest(now, candidates, run, avoid)
 	if id == "" || ready > latest {
 		return "", 0
 	}
 	return id, ready
 }
 
-// shortest returns the engine at which a prompt is read first, and how long that
-// takes. Engines that seem to be silent are passed over.
+// shortest returns the engine at which a prompt is prefilled first, and the time until then.
+// Stalled engines are skipped.
 func (q *prefillQueue) shortest(now time.Duration, engines []string, run ledger.Run, avoid map[string]bool) (string, time.Duration) {
 	best, bestReady := "", time.Duration(0)
 	for _, id := range engines {
 		if avoid[id] {
 			continue
 		}
-		q.forget(now, id)
-		if q.silent(now, id) {
+		q.expire(now, id)
+		if q.isStalled(now, id) {
 			continue
 		}
 		ready := q.backlog(now, id) + q.model.Duration(id, run.Prompt)
@@ -96,52 +95,51 @@
 	return best, bestReady
 }
 
-// forget drops prompts that are no longer read.
-func (q *prefillQueue) forget(now time.Duration, id string) {
+// expire drops prompts that have been queued for longer than promptLifetime.
+func (q *prefillQueue) expire(now time.Duration, id string) {
 	engine := q.engines[id]
 	if engine == nil {
 		return
 	}
-	engine.prompts = slices.DeleteFunc(engine.prompts, func(given prompt) bool {
-		old := now-given.given > promptLifetime
+	engine.prompts = slices.DeleteFunc(engine.prompts, func(queued prompt) bool {
+		old := now-queued.assignedAt > promptLifetime
 		if old {
-			delete(q.reading, given.id)
+			delete(q.engineOf, queued.id)
 		}
 		return old
 	})
 }
 
-// silent reports whether an engine has been at its first prompt for much longer than it
-// should take.
-func (q *prefillQueue) silent(now time.Duration, id string) bool {
+// isStalled reports whether an engine has taken much longer than expected for its first prompt.
+func (q *prefillQueue) isStalled(now time.Duration, id string) bool {
 	engine := q.engines[id]
 	if engine == nil || len(engine.prompts) == 0 {
 		return false
 	}
 	expected := q.model.Duration(id, engine.prompts[0].tokens)
-	return engine.busyFor(now) > overdueFactor*expected+overdueSlack
+	return engine.busyFor(now) > stallFactor*expected+stallSlack
 }
 
-// readLately reports whether an engine has read a prompt in the time that has just passed.
-func (q *prefillQueue) readLately(now time.Duration, id string, lately time.Duration) bool {
+// hasPrefilledWithin reports whether an engine has finished a prefill within the given window.
+func (q *prefillQueue) hasPrefilledWithin(now time.Duration, id string, window time.Duration) bool {
 	known := q.engines[id]
-	return known != nil && known.doneAt > 0 && now-known.doneAt < lately
+	return known != nil && known.lastDone > 0 && now-known.lastDone < window
 }
 
-// busyFor returns how long the engine has been at its first prompt.
+// busyFor returns how long the engine has worked on its first prompt.
 func (e *prefillEngine) busyFor(now time.Duration) time.Duration {
-	return now - max(e.prompts[0].given, e.doneAt)
+	return now - max(e.prompts[0].assignedAt, e.lastDone)
 }
 
-// backlog returns how long an engine still reads the prompts that it has.
+// backlog returns the expected time until an engine has finished its queued prompts.
 func (q *prefillQueue) backlog(now time.Duration, id string) time.Duration {
 	engine := q.engines[id]
 	if engine == nil || len(engine.prompts) == 0 {
 		return 0
 	}
 	left := time.Duration(0)
-	for _, given := range engine.prompts {
-		left += q.model.Duration(id, given.tokens)
+	for _, queued := range engine.prompts {
+		left += q.model.Duration(id, queued.tokens)
 	}
 	return left - min(engine.busyFor(now), q.model.Duration(id, engine.prompts[0].tokens))
 }
@@ -149,46 +147,46 @@
 // add puts a prompt into an engine's queue.
 func (q *prefillQueue) add(now time.Duration, id string, run ledger.Run) {
 	known := q.engine(id)
-	known.prompts = append(known.prompts, prompt{id: run.ID, given: now, tokens: run.Prompt})
-	q.reading[run.ID] = id
+	known.prompts = append(known.prompts, prompt{id: run.ID, assignedAt: now, tokens: run.Prompt})
+	q.engineOf[run.ID] = id
 }
 
-// read takes a prompt out of its queue, because an engine has read it. Where that is the
-// engine of the queue, the time that it took for this prompt teaches its pace.
-func (q *prefillQueue) read(now time.Duration, id, by string) {
-	assigned, read, known := q.take(id)
+// complete removes a prompt that an engine has prefilled. If the engine is the assigned one, the
+// duration of this prefill updates the model.
+func (q *prefillQueue) complete(now time.Duration, id, by string) {
+	assigned, done, known := q.remove(id)
 	if !known || assigned != by {
 		return
 	}
 	engine := q.engine(assigned)
-	// Since it was given the prompt, or since it had read the one before.
-	q.model.Observe(assigned, read.tokens, now-max(read.given, engine.doneAt))
-	engine.doneAt = now
+	// The prefill began at the assignment or at the end of the previous one, whichever is later.
+	q.model.Observe(assigned, done.tokens, now-max(done.assignedAt, engine.lastDone))
+	engine.lastDone = now
 }
 
-// overrun takes a prompt out of its queue that its node has given up, and learns that the
-// engine takes longer than that. Without it engines that are all slower than the first guess
-// would never be known: no prompt would be waited for until it is read.
-func (q *prefillQueue) overrun(now time.Duration, id, by string) {
-	assigned, given, known := q.take(id)
+// timeOut removes a prompt on which its node has given up, and records that the engine takes longer
+// than that. Otherwise the model would never learn of engines that are all slower than the initial
+// estimate, because no prompt would be waited for until its prefill ends.
+func (q *prefillQueue) timeOut(now time.Duration, id, by string) {
+	assigned, abandoned, known := q.remove(id)
 	if known && assigned == by {
-		q.model.ObserveAtLeast(assigned, given.tokens, now-max(given.given, q.engine(assigned).doneAt))
+		q.model.ObserveAtLeast(assigned, abandoned.tokens, now-max(abandoned.assignedAt, q.engine(assigned).lastDone))
 	}
 }
 
-// drop takes a prompt out of its queue that will not be read.
-func (q *prefillQueue) drop(id string) { _, _, _ = q.take(id) }
+// drop removes a prompt that will not be prefilled.
+func (q *prefillQueue) drop(id string) { _, _, _ = q.remove(id) }
 
-// take removes a prompt from its queue and returns the engine of that.
-func (q *prefillQueue) take(id string) (engineID string, taken prompt, known bool) {
-	engineID, known = q.reading[id]
+// remove takes a prompt from its queue and returns the engine of the queue.
+func (q *prefillQueue) remove(id string) (engineID string, removed prompt, known bool) {
+	engineID, known = q.engineOf[id]
 	if !known {
 		return "", prompt{}, false
 	}
-	delete(q.reading, id)
+	delete(q.engineOf, id)
 	engine := q.engine(engineID)
-	at := slices.IndexFunc(engine.prompts, func(given prompt) bool { return given.id == id })
-	taken = engine.prompts[at]
+	at := slices.IndexFunc(engine.prompts, func(queued prompt) bool { return queued.id == id })
+	removed = engine.prompts[at]
 	engine.prompts = slices.Delete(engine.prompts, at, at+1)
-	return engineID, taken, true
+	return engineID, removed, true
 }
--- a/coordinator/prefill_test.go
+++ b/coordinator/prefill_test.go
@@ -12,8 +12,8 @@
 
 func promptOf(tokens int, id string) ledger.Run { return ledger.Run{ID: id, Prompt: tokens} }
 
-// readingOf returns a queue that has learned that engines take 100 ms for 5,000 tokens.
-func readingOf(engines ...string) *prefillQueue {
+// newTrainedQueue returns a queue that has learned that engines take 100 ms for 5,000 tokens.
+func newTrainedQueue(engines ...string) *prefillQueue {
 	queue := newPrefillQueue()
 	for _, engine := range engines {
 		for range 20 {
@@ -23,34 +23,34 @@
 	return queue
 }
 
-// TestQueuedPromptsDoNotTeachSlowness: prompts that waited took longer, and an
-// engine that seemed slow by that would seem slower with each.
-func TestQueuedPromptsDoNotTeachSlowness(t *testing.T) {
+// TestQueueingTimeIsNotLearnedAsPrefillTime guards against a feedback loop: if the time in the
+// queue counted as prefill time, an engine that seems slow would seem slower with each prompt.
+func TestQueueingTimeIsNotLearnedAsPrefillTime(t *testing.T) {
 	g := NewWithT(t)
-	queue := readingOf("e")
+	queue := newTrainedQueue("e")
 	for i := range 40 {
 		queue.add(0, "e", promptOf(5000, strconv.Itoa(i)))
 	}
 	_, ready := queue.shortest(0, []string{"e"}, promptOf(5000, "next"), nil)
 	g.Expect(ready).To(BeNumerically("~", 4100*time.Millisecond, 5*time.Millisecond))
 	for i := range 40 {
-		queue.read(time.Duration(i+1)*100*time.Millisecond, strconv.Itoa(i), "e")
+		queue.complete(time.Duration(i+1)*100*time.Millisecond, strconv.Itoa(i), "e")
 	}
 	g.Expect(queue.model.Duration("e", 5000)).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 }
 
-// TestSlownessIsLearnedAndForgottenUnderLoad never leaves the engine idle.
+// TestSlownessIsLearnedAndForgottenUnderLoad keeps the engine busy throughout.
 func TestSlownessIsLearnedAndForgottenUnderLoad(t *testing.T) {
 	g := NewWithT(t)
-	queue := readingOf("e", "other")
+	queue := newTrainedQueue("e", "other")
 	now := time.Duration(0)
 	queue.add(now, "e", promptOf(5000, "0"))
 	next := 1
-	serve := func(reading time.Duration) {
+	serve := func(prefill time.Duration) {
 		for range 30 {
 			queue.add(now, "e", promptOf(5000, strconv.Itoa(next)))
-			now += reading
-			queue.read(now, strconv.Itoa(next-1), "e")
+			now += prefill
+			queue.complete(now, strconv.Itoa(next-1), "e")
 			next++
 		}
 	}
@@ -63,9 +63,9 @@
 	g.Expect(queue.model.Duration("e", 5000)).To(BeNumerically("~", 100*time.Millisecond, 10*time.Millisecond))
 }
 
-// TestTheSlowReadingOfANewDeploymentIsLearned starts with nothing but the first guess, on
-// engines that are a quarter as fast.
-func TestTheSlowReadingOfANewDeploymentIsLearned(t *testing.T) {
+// TestSlowPrefillOfNewDeploymentIsLearned starts with the initial estimate only, on engines that
+// are a quarter as fast.
+func TestSlowPrefillOfNewDeploymentIsLearned(t *testing.T) {
 	g := NewWithT(t)
 	const pace = 12_000
 	queue := newPrefillQueue()
@@ -74,16 +74,16 @@
 		id := strconv.Itoa(i)
 		queue.add(now, "e", promptOf(tokens, id))
 		now += time.Duration(tokens) * time.Second / pace
-		queue.read(now, id, "e")
+		queue.complete(now, id, "e")
 	}
 	_, ready := queue.shortest(now, []string{"e"}, promptOf(4000, "next"), nil)
 	want := 4000 * time.Second / pace
 	g.Expect(ready).To(BeNumerically("~", want, want/10))
 }
 
-func TestAPromptThatWasNotReadLeavesTheQueue(t *testing.T) {
+func TestDroppedPromptLeavesQueue(t *testing.T) {
 	g := NewWithT(t)
-	queue := readingOf("e")
+	queue := newTrainedQueue("e")
 	queue.add(0, "e", promptOf(5000, "read"))
 	queue.add(0, "e", promptOf(5000, "refused"))
 	queue.drop("refused")
@@ -92,41 +92,42 @@
 	g.Expect(ready).To(BeNumerically("~", 200*time.Millisecond, time.Millisecond))
 }
 
-// TestAPromptReadElsewhereTeachesNothing: the assigned engine failed, and another one read it.
-func TestAPromptReadElsewhereTeachesNothing(t *testing.T) {
+// TestPrefillOnOtherEngineIsNotLearned has the assigned engine fail and another one run the
+// prefill.
+func TestPrefillOnOtherEngineIsNotLearned(t *testing.T) {
 	g := NewWithT(t)
-	queue := readingOf("e", "other")
+	queue := newTrainedQueue("e", "other")
 	queue.add(0, "e", promptOf(5000, "p"))
-	queue.read(900*time.Millisecond, "p", "other")
+	queue.complete(900*time.Millisecond, "p", "other")
 	g.Expect(queue.model.Duration("e", 5000)).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 	g.Expect(queue.model.Duration("other", 5000)).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
-	g.Expect(queue.reading).To(BeEmpty())
+	g.Expect(queue.engineOf).To(BeEmpty())
 }
 
-// TestPromptsOfLostNodesAreForgotten never tells of their end.
-func TestPromptsOfLostNodesAreForgotten(t *testing.T) {
+// TestPromptsOfLostNodesExpire never reports the end of the prompts.
+func TestPromptsOfLostNodesExpire(t *testing.T) {
 	g := NewWithT(t)
-	queue := readingOf("e")
+	queue := newTrainedQueue("e")
 	for i := range 20 {
 		queue.add(0, "e", promptOf(5000, strconv.Itoa(i)))
 	}
 	_, ready := queue.shortest(6*time.Second, []string{"e"}, promptOf(5000, "next"), nil)
 	g.Expect(ready).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
-	g.Expect(queue.reading).To(BeEmpty())
-	queue.read(6*time.Second, "3", "e")
+	g.Expect(queue.engineOf).To(BeEmpty())
+	queue.complete(6*time.Second, "3", "e")
 }
 
-// TestASilentEngineIsPassedOver gives an engine prompts that it never reads. It gets no more
-// once it is overdue, while one that reads slowly but steadily still does.
-func TestASilentEngineIsPassedOver(t *testing.T) {
+// TestStalledEngineIsSkipped assigns prompts to an engine that never finishes one. It must get no
+// more once it is overdue, while an engine that is slow but makes progress still does.
+func TestStalledEngineIsSkipped(t *testing.T) {
 	g := NewWithT(t)
-	queue := readingOf("silent", "steady")
+	queue := newTrainedQueue("silent", "steady")
 	for i := range 8 {
 		queue.add(0, "silent", promptOf(5000, "s"+strconv.Itoa(i)))
 		queue.add(0, "steady", promptOf(5000, "t"+strconv.Itoa(i)))
 	}
 	for i := range 4 {
-		queue.read(time.Duration(i+1)*200*time.Millisecond, "t"+strconv.Itoa(i), "steady")
+		queue.complete(time.Duration(i+1)*200*time.Millisecond, "t"+strconv.Itoa(i), "steady")
 	}
 	best, _ := queue.shortest(800*time.Millisecond, []string{"silent", "steady"}, promptOf(5000, "next"), nil)
 	g.Expect(best).To(Equal("steady"))
@@ -134,9 +135,9 @@
 	g.Expect(best).To(BeEmpty())
 }
 
-// TestEnginesFarSlowerThanTheGuessAreLearned has every node give a prompt up after twice the
-// expected time and half a second, on engines that read 2,000 tokens a second.
-func TestEnginesFarSlowerThanTheGuessAreLearned(t *testing.T) {
+// TestEnginesMuchSlowerThanInitialRateAreLearned has every node give up on a prompt after twice the
+// expected time plus half a second, on engines that prefill 2,000 tokens a second.
+func TestEnginesMuchSlowerThanInitialRateAreLearned(t *testing.T) {
 	g := NewWithT(t)
 	const (
 		pace   = 2000
@@ -152,11 +153,11 @@
 		queue.add(now, "e", promptOf(tokens, id))
 		if limit := 2*ready + 500*time.Millisecond; limit < needed {
 			now += limit
-			queue.overrun(now, id, "e")
+			queue.timeOut(now, id, "e")
 			continue
 		}
 		now += needed
-		queue.read(now, id, "e")
+		queue.complete(now, id, "e")
 	}
 	_, ready := queue.shortest(now, []string{"e"}, promptOf(tokens, "next"), nil)
 	g.Expect(ready).To(BeNumerically("~", needed, needed/4))
--- a/coordinator/rate.go
+++ b/coordinator/rate.go
@@ -8,8 +8,7 @@
 // rateSmoothing is the time constant of a rate.
 const rateSmoothing = 2 * time.Second
 
-// rateMeter measures how often something happens, newer events counting more. The zero value
-// has seen none.
+// rateMeter measures the rate of events, weighted towards newer ones. The zero value has seen none.
 type rateMeter struct {
 	rate   float64
 	at     time.Duration
--- a/coordinator/retries.go
+++ b/coordinator/retries.go
@@ -3,27 +3,26 @@
 import "time"
 
 const (
-	// retryShare is the share of the runs that end whose capacity is promised to
-	// callers that come back; new ones take the rest.
+	// retryShare is the share of the completions whose capacity is reserved for client retries;
+	// first attempts take the rest.
 	retryShare = 0.25
-	// leastRate bounds the rate from below, in runs a second.
-	leastRate = 1.0
-	// longestRetryAfter is how far ahead returns are scheduled. Callers do not wait
-	// longer.
-	longestRetryAfter = 5 * time.Second
+	// minRate is the lower bound of the rate, in runs per second.
+	minRate = 1.0
+	// maxRetryAfter is how far ahead retries are scheduled. Clients do not wait longer.
+	maxRetryAfter = 5 * time.Second
 )
 
-// retrySchedule gives each refused caller a time to come back, so that not more
-// come at once than runs end.
+// retrySchedule gives each refused client a time to retry, so that retries do not arrive faster
+// than runs end.
 type retrySchedule struct {
-	// taken is up to when returns are scheduled.
-	taken time.Duration
+	// scheduledUntil is the time up to which retries are scheduled.
+	scheduledUntil time.Duration
 }
 
-// next returns after what time a caller is to come back, given when there will be
-// capacity for it at the earliest and how many runs end in a second.
-func (s *retrySchedule) next(now, wait time.Duration, ends float64) time.Duration {
-	interval := time.Duration(float64(time.Second) / max(leastRate, ends*retryShare))
-	s.taken = min(max(s.taken, now+wait)+interval, now+longestRetryAfter)
-	return s.taken - now
+// next returns the time until a client should retry, given the earliest time at which there is
+// capacity for it and the number of runs that end per second.
+func (s *retrySchedule) next(now, wait time.Duration, completions float64) time.Duration {
+	interval := time.Duration(float64(time.Second) / max(minRate, completions*retryShare))
+	s.scheduledUntil = min(max(s.scheduledUntil, now+wait)+interval, now+maxRetryAfter)
+	return s.scheduledUntil - now
 }
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -8,96 +8,97 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// keepServing tries those that wait at intervals until none does; the lock is held. One timer a
-// service does it: a timer for each that waits costs a coordinator 25 wake-ups a second for each
-// of some hundreds.
-func (c *Coordinator) keepServing(service string, current *serviceState) {
-	if current.serving {
+// scheduleServe sets a timer that serves waiting requests, at intervals until none is left; the
+// lock is held. There is one timer per service: a timer per request would cost a coordinator 25
+// wake-ups a second for each of several hundred.
+func (c *Coordinator) scheduleServe(service string, current *serviceState) {
+	if current.serveScheduled {
 		return
 	}
-	current.serving = true
-	time.AfterFunc(retryInterval, func() { c.serveWaiting(service) })
+	current.serveScheduled = true
+	time.AfterFunc(serveInterval, func() { c.serveOnInterval(service) })
 }
 
-// serveWaiting tries those that wait once.
-func (c *Coordinator) serveWaiting(service string) {
+// serveOnInterval serves waiting requests once and sets the next timer.
+func (c *Coordinator) serveOnInterval(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.state(service)
-	c.serve(service, current, triesOfInterval)
-	current.serving = false
+	c.serve(service, current, attemptsPerInterval)
+	current.serveScheduled = false
 	if len(current.waiting) > 0 {
-		c.keepServing(service, current)
+		c.scheduleServe(service, current)
 	}
 }
 
-// serve gives engines to those that wait, first attempts first, then by urgency and in the
-// order of arrival; the lock is held. First attempts can still be in time, while a caller that was
-// refused before is late whenever it is served. A request that does not fit lets smaller
-// ones pass. After so many that do not fit, the others are left for the next interval: each
-// costs a look at all engines, and a coordinator that is busy with that misses calls.
-func (c *Coordinator) serve(service string, current *serviceState, tries int) {
+// serve gives engines to waiting requests, first attempts first, then by priority and in the order
+// of arrival; the lock is held. First attempts can still meet their objective, while a retry after
+// a refusal is late in any case. A request that does not fit lets smaller ones pass. After the
+// given number of failed attempts, the others are left for the next interval: each attempt checks
+// all engines, and a coordinator that is busy with that misses calls.
+func (c *Coordinator) serve(service string, current *serviceState, attempts int) {
 	if len(current.waiting) == 0 {
 		return
 	}
 	now := c.options.Now()
 	current.decode.SetCoverage(c.coverage(now, current))
 	current.decode.SetOutputDeviation(current.output.RelativeDeviation())
-	slices.SortStableFunc(current.waiting, byRank)
-	var still []*waiter
+	slices.SortStableFunc(current.waiting, compareRank)
+	var waiting []*waiter
 	var failed []ledger.Run
 	round := servingRound{coordinator: c, service: service, current: current, now: now}
 	for _, queued := range current.waiting {
 		run := queued.request.Run
-		if len(failed) >= tries || len(queued.request.Avoid) == 0 && isLarger(run, failed) {
-			still = append(still, queued)
+		if len(failed) >= attempts || len(queued.request.Avoid) == 0 && isLarger(run, failed) {
+			waiting = append(waiting, queued)
 			continue
 		}
 		assignment, ok := round.assign(queued)
 		if !ok {
 			failed = append(failed, run)
-			still = append(still, queued)
+			waiting = append(waiting, queued)
 			continue
 		}
 		c.countDemand(now, current, queued.request)
 		queued.assigned <- assignment
 	}
-	current.waiting = still
+	current.waiting = waiting
 }
 
-// servingRound gives engines to those that wait, once.
+// servingRound is one pass over the waiting requests.
 type servingRound struct {
 	coordinator *Coordinator
 	service     string
 	current     *serviceState
 	now         time.Duration
-	// all are all engines, once a request has found none among a few.
+	// all is set to all engines once a request found none in its shortlist.
 	all *Engines
 }
 
-// assign gives engines to one request: among a few that are drawn for it, and among all where none of these
-// can take it. Once that was so for one request, the next ones look at all at once.
+// assign gives engines to one request: from its shortlist, or from all engines if none of the
+// shortlist fits. After that has happened once, later requests of the round use all engines
+// directly.
 func (r *servingRound) assign(queued *waiter) (Assignment, bool) {
 	options := r.coordinator.options
 	if r.all == nil && options.Shortlist != nil {
-		few := r.soundOf(options.Shortlist(r.service, options.ZoneOf(queued.request.Run.Holder)))
-		assignment, ok := r.assignAmong(few, queued)
-		if few.Complete {
-			r.all = &few
+		shortlist := r.healthyOf(options.Shortlist(r.service, options.ZoneOf(queued.request.Run.Holder)))
+		assignment, ok := r.assignAmong(shortlist, queued)
+		if shortlist.Complete {
+			r.all = &shortlist
 		}
-		if ok || few.Complete {
+		if ok || shortlist.Complete {
 			return assignment, ok
 		}
 	}
 	if r.all == nil {
-		all := r.soundOf(options.Engines(r.service))
+		all := r.healthyOf(options.Engines(r.service))
 		r.all = &all
 	}
 	return r.assignAmong(*r.all, queued)
 }
 
-func (r *servingRound) soundOf(engines Engines) Engines {
-	return soundOf(r.now, &r.current.health, engines)
+func (r *servingRound) healthyOf(engines Engines) Engines {
+	return healthyOf(r.now, &r.current.health, engines)
 }
 
 func (r *servingRound) assignAmong(engines Engines, queued *waiter) (Assignment, bool) {
@@ -105,21 +106,21 @@
 	return r.coordinator.assign(r.now, r.current, engines, queued)
 }
 
-// byRank is the order in which those that wait are served: first attempts, more urgent tenants,
-// tenants that are not above their usual, more urgent routes, earlier arrivals. A tenant that
-// sends many times its usual fills the queue up to its limit; others pass it.
-func byRank(a, b *waiter) int {
+// compareRank orders waiting requests: first attempts, then higher tenant priority, then tenants
+// that are not near their limit, then higher route priority, then earlier arrivals. A tenant that
+// sends many times its usual load fills the queue up to its limit; others pass it.
+func compareRank(a, b *waiter) int {
 	return cmp.Or(
-		lastWhere(a.request.Late, b.request.Late),
+		trueLast(a.request.Late, b.request.Late),
 		cmp.Compare(a.request.TenantPriority, b.request.TenantPriority),
-		lastWhere(a.request.AboveUsual, b.request.AboveUsual),
+		trueLast(a.request.AboveUsual, b.request.AboveUsual),
 		cmp.Compare(a.request.Priority, b.request.Priority),
 		cmp.Compare(a.since, b.since),
 	)
 }
 
-// lastWhere orders two by a condition: the one for which it holds comes last.
-func lastWhere(a, b bool) int {
+// trueLast compares two booleans; false comes first.
+func trueLast(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -130,14 +131,14 @@
 	}
 }
 
-// soundOf returns the engines that have not failed lately.
-func soundOf(now time.Duration, health *engineHealth, all Engines) Engines {
+// healthyOf returns the engines that have not failed recently.
+func healthyOf(now time.Duration, health *engineHealth, all Engines) Engines {
 	if len(health.engines) == 0 {
 		return all
 	}
 	return Engines{
-		Decode:   slices.DeleteFunc(all.Decode, func(engine ledger.Engine) bool { return !health.sound(now, engine.ID) }),
-		Prefill:  slices.DeleteFunc(all.Prefill, func(id string) bool { return !health.sound(now, id) }),
+		Decode:   slices.DeleteFunc(all.Decode, func(engine ledger.Engine) bool { return !health.healthy(now, engine.ID) }),
+		Prefill:  slices.DeleteFunc(all.Prefill, func(id string) bool { return !health.healthy(now, id) }),
 		Complete: all.Complete,
 		ZoneOf:   all.ZoneOf,
 	}
--- a/coordinator/shortlist_test.go
+++ b/coordinator/shortlist_test.go
@@ -13,11 +13,12 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// manyEngines are the engines of a large service, and how often all of them were looked at.
+// manyEngines are the engines of a large service, with a count of how often all of them were
+// listed.
 type manyEngines struct {
-	all    Engines
-	looks  int
-	random *rand.Rand
+	all      Engines
+	listings int
+	random   *rand.Rand
 }
 
 func newManyEngines(decode, prefill int) *manyEngines {
@@ -33,11 +34,11 @@
 }
 
 func (m *manyEngines) engines(string) Engines {
-	m.looks++
+	m.listings++
 	return Engines{Decode: slices.Clone(m.all.Decode), Prefill: slices.Clone(m.all.Prefill), Complete: true}
 }
 
-// shortlist draws some engines, some of them perhaps twice, as a registry does.
+// shortlist draws some engines, possibly with duplicates, as a registry does.
 func (m *manyEngines) shortlist(string, string) Engines {
 	const drawn = 48
 	var few Engines
@@ -48,18 +49,18 @@
 	return few
 }
 
-// newCoordinator returns one that draws a few engines first, or looks at all of them.
-func (m *manyEngines) newCoordinator(draws bool, now func() time.Duration) *Coordinator {
+// newCoordinator returns a coordinator that tries a shortlist first, or always all engines.
+func (m *manyEngines) newCoordinator(shortlist bool, now func() time.Duration) *Coordinator {
 	options := Options{Engines: m.engines, Nodes: func() int { return 1 }, Now: now}
-	if draws {
+	if shortlist {
 		options.Shortlist = m.shortlist
 	}
 	return New(options)
 }
 
-// TestAnAssignmentCostsTheSameAmongMany counts what an assignment allocates among 10,000 and 20,000 idle
-// engines, and how often it looks at all of them.
-func TestAnAssignmentCostsTheSameAmongMany(t *testing.T) {
+// TestAssignmentCostIsIndependentOfFleetSize counts the allocations of an assignment among 10,000
+// and 20,000 idle engines, and how often it lists all of them.
+func TestAssignmentCostIsIndependentOfFleetSize(t *testing.T) {
 	g := NewWithT(t)
 	allocations := func(engines int) float64 {
 		many := newManyEngines(engines*2/3, engines/3)
@@ -73,7 +74,7 @@
 			g.Expect(assigning.Assign(t.Context(), requestOf(id, 0)).Decode).NotTo(BeEmpty())
 			assigning.PrefillDone("s", id, "")
 			assigning.End(RunResult{Service: "s", ID: id})
-			g.Expect(many.looks).To(BeZero())
+			g.Expect(many.listings).To(BeZero())
 		})
 	}
 	many, twice := allocations(10_000), allocations(20_000)
@@ -84,14 +85,14 @@
 
 const fillingRequests = 2000
 
-// filledBy assigns runs to a large service until many could not be, while about as many end, and returns
-// how many were refused and how much fuller than the mean the fullest engine became.
-func filledBy(t *testing.T, draws bool, underWay int) (refused int, fullest float64) {
+// fillService assigns runs to a large service and ends as many once the given number is under way.
+// It returns the number of refused runs, and the load of the fullest engine relative to the mean.
+func fillService(t *testing.T, shortlist bool, underWay int) (refused int, fullest float64) {
 	t.Helper()
 	const requests = fillingRequests
 	many := newManyEngines(150, 60)
 	now := time.Duration(0)
-	filling := many.newCoordinator(draws, func() time.Duration { return now })
+	filling := many.newCoordinator(shortlist, func() time.Duration { return now })
 	random := rand.New(rand.NewPCG(11, 12))
 	var running []string
 	for i := range requests {
@@ -118,15 +119,15 @@
 	return refused, float64(most) / (float64(len(running)) / float64(len(many.all.Decode)))
 }
 
-// TestAFewEnginesAreAsGoodAsAll fills a large service to a half and to its end, once by a choice among all
-// engines and once by one among a few. What all engines together can take is taken in both, since all are
-// looked at where none of the few has capacity.
-func TestAFewEnginesAreAsGoodAsAll(t *testing.T) {
+// TestShortlistMatchesFullChoice fills a large service to a half and completely, with and without a
+// shortlist. Both must use the whole capacity, because all engines are tried if none of the
+// shortlist has capacity.
+func TestShortlistMatchesFullChoice(t *testing.T) {
 	for _, underWay := range []int{600, 1800} {
 		g := NewWithT(t)
-		refusedByAll, fullestByAll := filledBy(t, false, underWay)
-		refused, fullest := filledBy(t, true, underWay)
-		t.Logf("%d under way: refused %d by all, %d by a few; fullest %.2f and %.2f of the mean",
+		refusedByAll, fullestByAll := fillService(t, false, underWay)
+		refused, fullest := fillService(t, true, underWay)
+		t.Logf("%d under way: refused %d without shortlist, %d with it; fullest %.2f and %.2f of the mean",
 			underWay, refusedByAll, refused, fullestByAll, fullest)
 		g.Expect(refused).To(BeNumerically("<=", refusedByAll+fillingRequests/100))
 		g.Expect(fullest).To(BeNumerically("<", fullestByAll+0.5))
--- a/coordinator/state.go
+++ b/coordinator/state.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// State is what a coordinator knows of one service at a moment.
+// State is a coordinator's view of one service.
 type State struct {
-	// Prefill and Decode are how many engines of each role take work, and Failing how many
-	// more would if they had not failed lately.
+	// Prefill and Decode are the numbers of engines of each role that accept work, and Failing is
+	// the number of those excluded for recent failures.
 	Prefill, Decode, Failing int
-	// Runs is how many runs it has assigned, and MemoryShare the share of the memory of all
-	// decode engines that they use now.
+	// Runs is the number of assigned runs, and MemoryShare the share of the memory of all decode
+	// engines that they use now.
 	Runs        int
 	MemoryShare float64
-	// Waiting is how many requests wait for engines.
+	// Waiting is the number of requests that wait for engines.
 	Waiting int
-	// Backlog is how long the prefill engines still read, in the mean.
+	// Backlog is the mean time until the prefill engines finish their queued prompts.
 	Backlog time.Duration
-	// Demand is how many engines of each role the requests of late keep busy.
+	// Demand is how many engines of each role recent requests keep busy.
 	Demand Demand
-	// DecodeRate is how many tokens a run makes in a second.
+	// DecodeRate is the number of tokens per second of one run.
 	DecodeRate float64
 }
 
-// State returns what is known of a service now.
+// State returns the current state of a service.
 func (c *Coordinator) State(service string) State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current, now := c.state(service), c.options.Now()
 	all := c.options.Engines(service)
 	total := len(all.Prefill) + len(all.Decode)
-	sound := soundOf(now, &current.health, all)
+	healthy := healthyOf(now, &current.health, all)
 	state := State{
-		Prefill: len(sound.Prefill), Decode: len(sound.Decode), Failing: total - len(sound.Prefill) - len(sound.Decode),
+		Prefill: len(healthy.Prefill), Decode: len(healthy.Decode), Failing: total - len(healthy.Prefill) - len(healthy.Decode),
 		Runs: current.decode.Len(), Waiting: len(current.waiting), DecodeRate: current.decode.DecodeRate(),
 		Demand: current.demand.current(now),
 	}
-	current.decode.SetEngines(sound.Decode)
+	current.decode.SetEngines(healthy.Decode)
 	state.MemoryShare = current.decode.MemoryShare(now)
-	for _, id := range sound.Prefill {
-		state.Backlog += current.prefill.backlog(now, id) / time.Duration(len(sound.Prefill))
+	for _, id := range healthy.Prefill {
+		state.Backlog += current.prefill.backlog(now, id) / time.Duration(len(healthy.Prefill))
 	}
 	return state
 }
--- a/coordinator/waiting_test.go
+++ b/coordinator/waiting_test.go
@@ -12,13 +12,13 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// newFull returns a coordinator whose only engine is full, and a count of how often it has
-// looked at its engines.
-func newFull(looks *int) *Coordinator {
+// newFull returns a coordinator with one decode engine that fits one request, and counts how often
+// the engines are listed.
+func newFull(listings *int) *Coordinator {
 	began := time.Now()
 	full := New(Options{
 		Engines: func(string) Engines {
-			*looks++
+			*listings++
 			return Engines{Decode: []ledger.Engine{{ID: "d", Memory: 10_000, Slots: 8}}, Prefill: []string{"p"}}
 		},
 		Nodes: func() int { return 1 },
@@ -34,39 +34,39 @@
 	}
 }
 
-// TestWaitingCostsDoNotMultiply lets many requests wait for room at once. How often they are
-// looked at may grow with their number, not with its square: a coordinator that is busy with
-// that misses the calls of all nodes.
-func TestWaitingCostsDoNotMultiply(t *testing.T) {
+// TestWaitingCostGrowsLinearly lets many requests wait for capacity at once. The number of listings
+// may grow with their number, but not with its square: a coordinator that is busy with that misses
+// the calls of all nodes.
+func TestWaitingCostGrowsLinearly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			waiting = 200
 			wait    = 600 * time.Millisecond
 		)
 		g := NewWithT(t)
-		looks := 0
-		full := newFull(&looks)
+		listings := 0
+		full := newFull(&listings)
 		g.Expect(full.Assign(t.Context(), requestOf("first", 0)).Decode).To(Equal("d"))
 		var waiters sync.WaitGroup
 		for i := range waiting {
 			waiters.Go(func() {
 				if got := full.Assign(t.Context(), requestOf(strconv.Itoa(i), wait)); got.Decode != "" {
-					t.Errorf("request %d was given %s", i, got.Decode)
+					t.Errorf("request %d was assigned to %s", i, got.Decode)
 				}
 			})
 		}
 		waiters.Wait()
-		g.Expect(looks).To(BeNumerically("<", 2*waiting))
+		g.Expect(listings).To(BeNumerically("<", 2*waiting))
 	})
 }
 
-// TestRoomGoesToThoseThatWait gives room to the earliest of those that wait as soon as a run
-// ends, also while others arrive.
-func TestRoomGoesToThoseThatWait(t *testing.T) {
+// TestCapacityGoesToEarliestWaiter expects the earliest waiting request to be assigned as soon as a
+// run ends, also while others arrive.
+func TestCapacityGoesToEarliestWaiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		looks := 0
-		full := newFull(&looks)
+		listings := 0
+		full := newFull(&listings)
 		full.Assign(t.Context(), requestOf("first", 0))
 		given := make(chan string, 3)
 		for _, id := range []string{"early", "middle", "late"} {
@@ -87,13 +87,13 @@
 	})
 }
 
-// TestFirstAttemptsGoFirst has a caller that was refused before wait longest. Room goes to the
-// first attempt, which can still be in time, and then to the other one.
+// TestFirstAttemptsGoFirst has a retry wait longest. Capacity goes to the first attempt, which can
+// still meet its objective, and then to the retry.
 func TestFirstAttemptsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		looks := 0
-		full := newFull(&looks)
+		listings := 0
+		full := newFull(&listings)
 		full.Assign(t.Context(), requestOf("first", 0))
 		given := make(chan string, 2)
 		for _, id := range []string{"refused before", "new"} {
@@ -117,29 +117,30 @@
 	})
 }
 
-// TestAFirstAttemptWaitsAsLongAsItCanBeInTime lets a request wait for room that does not come.
-// It is refused once reading its prompt would take it past the objective, and not before.
-func TestAFirstAttemptWaitsAsLongAsItCanBeInTime(t *testing.T) {
+// TestFirstAttemptWaitsUntilObjectiveIsUnreachable lets a request wait for capacity that does not
+// come. It is refused once its prefill would end too late for the objective, and not before.
+func TestFirstAttemptWaitsUntilObjectiveIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		looks := 0
-		full := newFull(&looks)
+		listings := 0
+		full := newFull(&listings)
 		full.Assign(t.Context(), requestOf("first", 0))
 		began := time.Now()
 		refused := full.Assign(t.Context(), requestOf("waits", time.Second))
 		g.Expect(refused.Decode).To(BeEmpty())
 		g.Expect(refused.RetryAfter).To(BeNumerically(">", 0))
-		// Of the second, 8,000 tokens at 50,000 a second and the first token take a part.
+		// Of the second, the prefill of 8,000 tokens at 50,000 a second and the first token take a
+		// part.
 		g.Expect(time.Since(began)).To(Equal(time.Second - 160*time.Millisecond - defaultFirstToken))
 	})
 }
 
-// TestMoreUrgentRoutesGoFirst has a less urgent request wait longest.
+// TestMoreUrgentRoutesGoFirst has the request of the less urgent route wait longest.
 func TestMoreUrgentRoutesGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		looks := 0
-		full := newFull(&looks)
+		listings := 0
+		full := newFull(&listings)
 		full.Assign(t.Context(), requestOf("first", 0))
 		given := make(chan string, 2)
 		for priority, id := range map[int]string{2: "can wait", 1: "urgent"} {
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -9,7 +9,7 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// Handle answers another node.
+// Handle serves a call of another node.
 func (c *Coordinator) Handle(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_AssignEngines:
@@ -21,7 +21,7 @@
 			ReadsItself: assignment.LocalPrefill,
 		}}}, nil
 	case *peerpb.Request_EndRun:
-		c.End(decodeEnded(body.EndRun))
+		c.End(decodeRunResult(body.EndRun))
 		return &peerpb.Response{Body: &peerpb.Response_Done{Done: &peerpb.Done{}}}, nil
 	case *peerpb.Request_PromptRead:
 		c.PrefillDone(body.PromptRead.GetService(), body.PromptRead.GetId(), body.PromptRead.GetEngine())
@@ -52,7 +52,7 @@
 		TenantPriority: int32(request.TenantPriority), AboveUsual: request.AboveUsual,
 	}
 	if request.Probe {
-		// Coordinators that know no later wait must not wait now.
+		// Coordinators of builds without later_wait_ms must not wait for a probe.
 		encoded.WaitMs, encoded.LaterWaitMs = 0, encoded.GetWaitMs()
 	}
 	return encoded
@@ -67,15 +67,15 @@
 	}
 }
 
-func encodeEnded(ended RunResult) *peerpb.EndRun {
+func encodeRunResult(result RunResult) *peerpb.EndRun {
 	return &peerpb.EndRun{
-		Service: ended.Service, Id: ended.ID, DurationMs: ended.Duration.Milliseconds(),
-		Refusal: int32(ended.Refusal), OutputTokens: int64(ended.Output),
-		FirstMs: ended.FirstEvent.Milliseconds(), RestTokens: int64(ended.RestTokens),
+		Service: result.Service, Id: result.ID, DurationMs: result.Duration.Milliseconds(),
+		Refusal: int32(result.Refusal), OutputTokens: int64(result.Output),
+		FirstMs: result.FirstEvent.Milliseconds(), RestTokens: int64(result.RestTokens),
 	}
 }
 
-func decodeEnded(encoded *peerpb.EndRun) RunResult {
+func decodeRunResult(encoded *peerpb.EndRun) RunResult {
 	return RunResult{
 		Service: encoded.GetService(), ID: encoded.GetId(), Duration: peer.Millis(encoded.GetDurationMs()),
 		Refusal: Refusal(encoded.GetRefusal()), Output: int(encoded.GetOutputTokens()),
--- a/coordinator/wire_test.go
+++ b/coordinator/wire_test.go
@@ -10,17 +10,17 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// TestAnEndKeepsAllItSaysOnTheWire encodes and decodes the end of a run. A field that is lost
-// on the way is one that the coordinator never learns from other nodes.
-func TestAnEndKeepsAllItSaysOnTheWire(t *testing.T) {
+// TestRunResultRoundTrip encodes and decodes a run result. If a field were lost, the coordinator
+// would never learn it from other nodes.
+func TestRunResultRoundTrip(t *testing.T) {
 	g := NewWithT(t)
-	ended := RunResult{Service: "s", ID: "run", Duration: 3500 * time.Millisecond, Output: 640, FirstEvent: 210 * time.Millisecond, RestTokens: 631, Refusal: RefusalFull}
-	g.Expect(decodeEnded(encodeEnded(ended))).To(Equal(ended))
+	result := RunResult{Service: "s", ID: "run", Duration: 3500 * time.Millisecond, Output: 640, FirstEvent: 210 * time.Millisecond, RestTokens: 631, Refusal: RefusalFull}
+	g.Expect(decodeRunResult(encodeRunResult(result))).To(Equal(result))
 }
 
-// TestOtherNodesTeachThePace ends runs that other nodes held, at a fifth of the pace that a
-// new ledger assumes. The ledger then expects such runs to last five times as long.
-func TestOtherNodesTeachThePace(t *testing.T) {
+// TestRemoteResultsTeachDecodeRate ends runs of other nodes at a fifth of the initial decode rate.
+// The ledger must then expect such runs to last five times as long.
+func TestRemoteResultsTeachDecodeRate(t *testing.T) {
 	const (
 		runs  = 100
 		pace  = 200
@@ -38,7 +38,7 @@
 	for range runs {
 		g.Expect(learning.Assign(t.Context(), requestOf("run", 0)).Decode).To(Equal("d"))
 		now += taken
-		_, err := learning.Handle(t.Context(), &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeEnded(RunResult{
+		_, err := learning.Handle(t.Context(), &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeRunResult(RunResult{
 			Service: "s", ID: "run", Duration: taken, Output: int(pace * taken.Seconds()),
 			FirstEvent: taken / 10, RestTokens: int(pace * taken.Seconds() * 9 / 10),
 		})}})
