--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -7,9 +7,9 @@
 
 // AnswerTiming is a whole answer, as far as it teaches the pace. The zero value teaches nothing.
 type AnswerTiming struct {
-	// First is how long it took from the assignment to the first event, and Duration to the
+	// FirstEvent is how long it took from the assignment to the first event, and Duration to the
 	// last one.
-	First, Duration time.Duration
+	FirstEvent, Duration time.Duration
 	// Rest is how many tokens came after the first event.
 	Rest int
 }
@@ -20,11 +20,11 @@
 func (l *Ledger) learn(answer AnswerTiming) {
 	l.answers++
 	l.tokens = (1-paceWeight)*l.tokens + float64(answer.Rest)
-	l.seconds = (1-paceWeight)*l.seconds + (answer.Duration - answer.First).Seconds()
+	l.seconds = (1-paceWeight)*l.seconds + (answer.Duration - answer.FirstEvent).Seconds()
 	l.pace = l.tokens / l.seconds
 	// The first answers count alike, so that the first guess is soon forgotten.
 	weight := max(paceWeight, 1/float64(l.answers))
-	l.start += time.Duration(weight * float64(answer.First-l.start))
+	l.start += time.Duration(weight * float64(answer.FirstEvent-l.start))
 }
 
 // LearnedRate is what a ledger has learned of how fast answers come.
