--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -230,7 +230,7 @@
 	}
 	current.prefill.drop(result.ID)
 	current.localPrefill.drop(result.ID)
-	if run, known := current.decode.End(result.ID, ledger.AnswerTiming{FirstEvent: result.FirstEvent, Duration: result.Duration, Rest: result.RestTokens}); known {
+	if run, known := current.decode.End(result.ID, ledger.AnswerTiming{FirstEvent: result.FirstEvent, Duration: result.Duration, RestTokens: result.RestTokens}); known {
 		current.output.Observe(run.CallerEstimate, result.Output)
 		c.observeOutcome(current, run.Engine, result)
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -156,7 +156,7 @@
 		return Run{}, false
 	}
 	l.remove(id)
-	if answer.Duration-answer.FirstEvent >= leastAnswer && answer.Rest > 0 {
+	if answer.Duration-answer.FirstEvent >= leastAnswer && answer.RestTokens > 0 {
 		l.learn(answer)
 	}
 	return run, true
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -10,8 +10,8 @@
 	// FirstEvent is how long it took from the assignment to the first event, and Duration to the
 	// last one.
 	FirstEvent, Duration time.Duration
-	// Rest is how many tokens came after the first event.
-	Rest int
+	// RestTokens is how many tokens came after the first event.
+	RestTokens int
 }
 
 // learn takes over the pace and the start of an answer. The pace is that of all tokens in all
@@ -19,7 +19,7 @@
 // at once, and its own pace says nothing.
 func (l *Ledger) learn(answer AnswerTiming) {
 	l.answers++
-	l.tokens = (1-paceWeight)*l.tokens + float64(answer.Rest)
+	l.tokens = (1-paceWeight)*l.tokens + float64(answer.RestTokens)
 	l.seconds = (1-paceWeight)*l.seconds + (answer.Duration - answer.FirstEvent).Seconds()
 	l.pace = l.tokens / l.seconds
 	// The first answers count alike, so that the first guess is soon forgotten.
--- a/ledger/pace_test.go
+++ b/ledger/pace_test.go
@@ -25,7 +25,7 @@
 			}
 			rest := rapid.IntRange(50, 2000).Draw(t, "tokens")
 			lasting := time.Duration(float64(rest) / pace * float64(time.Second))
-			book.End(id, ledger.AnswerTiming{FirstEvent: first, Duration: first + lasting, Rest: rest})
+			book.End(id, ledger.AnswerTiming{FirstEvent: first, Duration: first + lasting, RestTokens: rest})
 		}
 		NewWithT(t).Expect(book.DecodeRate()).To(BeNumerically("~", pace, pace/10))
 	})
@@ -40,7 +40,7 @@
 	for i := range 40 {
 		id := strconv.Itoa(i)
 		book.Assign(0, ledger.Run{ID: id, Prompt: 100, Output: 100}, nil)
-		answer := ledger.AnswerTiming{FirstEvent: 100 * time.Millisecond, Duration: 2100 * time.Millisecond, Rest: 2 * pace}
+		answer := ledger.AnswerTiming{FirstEvent: 100 * time.Millisecond, Duration: 2100 * time.Millisecond, RestTokens: 2 * pace}
 		if i%8 == 3 {
 			answer.Duration = answer.FirstEvent + time.Duration(i)*time.Millisecond
 		}
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -116,7 +116,7 @@
 		return
 	}
 	// The emulator's runs begin with their first event at the guessed start.
-	answer := ledger.AnswerTiming{FirstEvent: assumedStart, Duration: took, Rest: over.output}
+	answer := ledger.AnswerTiming{FirstEvent: assumedStart, Duration: took, RestTokens: over.output}
 	if run, known := p.book.End(p.names[over], answer); known {
 		p.output.Observe(run.CallerEstimate, over.output)
 	}
