--- a/coordinator/learned.go
+++ b/coordinator/learned.go
@@ -43,7 +43,7 @@
 	return &peerpb.LearnedModel{
 		OutputSamples: int64(learned.Output.Samples), Output: encodeSums(learned.Output.Sums), OutputSquares: learned.Output.Squares,
 		Reading: encodeSums(learned.Prefill), Answers: int64(learned.Rate.Answers),
-		Tokens: learned.Rate.Tokens, Seconds: learned.Rate.Seconds, StartUs: learned.Rate.Start.Microseconds(),
+		Tokens: learned.Rate.Tokens, Seconds: learned.Rate.Seconds, StartUs: learned.Rate.FirstTokenDelay.Microseconds(),
 	}
 }
 
@@ -55,7 +55,7 @@
 		Prefill: decodeSums(encoded.GetReading()),
 		Rate: ledger.LearnedRate{
 			Answers: int(encoded.GetAnswers()), Tokens: encoded.GetTokens(), Seconds: encoded.GetSeconds(),
-			Start: time.Duration(encoded.GetStartUs()) * time.Microsecond,
+			FirstTokenDelay: time.Duration(encoded.GetStartUs()) * time.Microsecond,
 		},
 	}
 }
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -32,22 +32,22 @@
 	// Answers is how many have taught it, Tokens and Seconds are what these took together.
 	Answers         int
 	Tokens, Seconds float64
-	// Start is the time from an assignment to the first token.
-	Start time.Duration
+	// FirstTokenDelay is the time from an assignment to the first token.
+	FirstTokenDelay time.Duration
 }
 
 // Learned returns what the ledger has learned.
 func (l *Ledger) Learned() LearnedRate {
-	return LearnedRate{Answers: l.answers, Tokens: l.tokens, Seconds: l.seconds, Start: l.start}
+	return LearnedRate{Answers: l.answers, Tokens: l.tokens, Seconds: l.seconds, FirstTokenDelay: l.start}
 }
 
 // Adopt takes over what another ledger has learned, if this one has learned nothing.
 func (l *Ledger) Adopt(learned LearnedRate) {
 	pace := learned.Tokens / learned.Seconds
-	if l.answers > 0 || learned.Answers <= 0 || !(pace > 0) || math.IsInf(pace, 0) || learned.Start < 0 {
+	if l.answers > 0 || learned.Answers <= 0 || !(pace > 0) || math.IsInf(pace, 0) || learned.FirstTokenDelay < 0 {
 		return
 	}
-	l.answers, l.tokens, l.seconds, l.start = learned.Answers, learned.Tokens, learned.Seconds, learned.Start
+	l.answers, l.tokens, l.seconds, l.start = learned.Answers, learned.Tokens, learned.Seconds, learned.FirstTokenDelay
 	l.pace = pace
 }
 
