--- a/roles/controller.go
+++ b/roles/controller.go
@@ -202,7 +202,7 @@
 	division.Decode = c.settled(service, backend.RoleDecode)
 	for _, role := range c.arriving(service) {
 		if role == backend.RolePrefill {
-			division.ArrivingPrefill++
+			division.PendingPrefill++
 		} else {
 			division.ArrivingDecode++
 		}
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -12,9 +12,9 @@
 type Allocation struct {
 	Prefill []string
 	Decode  []string
-	// ArrivingPrefill and ArrivingDecode count the engines that are changing to a role; they are
+	// PendingPrefill and ArrivingDecode count the engines that are changing to a role; they are
 	// in neither list.
-	ArrivingPrefill, ArrivingDecode int
+	PendingPrefill, ArrivingDecode int
 	// Demand is how many engines of each role the requests of late keep busy; nil where it is
 	// not known.
 	Demand *Demand
@@ -24,7 +24,7 @@
 
 // total returns the number of all engines.
 func (d Allocation) total() int {
-	return len(d.Prefill) + len(d.Decode) + d.ArrivingPrefill + d.ArrivingDecode
+	return len(d.Prefill) + len(d.Decode) + d.PendingPrefill + d.ArrivingDecode
 }
 
 // Demand is a number of busy engines for each role.
@@ -105,7 +105,7 @@
 	if total < leastEngines {
 		return nil
 	}
-	current := len(division.Prefill) + division.ArrivingPrefill
+	current := len(division.Prefill) + division.PendingPrefill
 	wanted, urgent := p.wanted(division, total)
 	switch {
 	case current > wanted:
@@ -130,7 +130,7 @@
 
 // wanted returns how many prefill engines there should be, and whether that is urgent.
 func (p Policy) wanted(division Allocation, total int) (prefill int, urgent bool) {
-	current := len(division.Prefill) + division.ArrivingPrefill
+	current := len(division.Prefill) + division.PendingPrefill
 	if division.Demand == nil {
 		share := cmp.Or(p.PrefillShare, defaultPrefillShare) * float64(total)
 		if current > 0 && math.Abs(float64(current)-share) <= toleratedEngines(total) {
