--- a/roles/controller.go
+++ b/roles/controller.go
@@ -204,7 +204,7 @@
 		if role == backend.RolePrefill {
 			division.PendingPrefill++
 		} else {
-			division.ArrivingDecode++
+			division.PendingDecode++
 		}
 	}
 	return division
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -12,9 +12,9 @@
 type Allocation struct {
 	Prefill []string
 	Decode  []string
-	// PendingPrefill and ArrivingDecode count the engines that are changing to a role; they are
+	// PendingPrefill and PendingDecode count the engines that are changing to a role; they are
 	// in neither list.
-	PendingPrefill, ArrivingDecode int
+	PendingPrefill, PendingDecode int
 	// Demand is how many engines of each role the requests of late keep busy; nil where it is
 	// not known.
 	Demand *Demand
@@ -24,7 +24,7 @@
 
 // total returns the number of all engines.
 func (d Allocation) total() int {
-	return len(d.Prefill) + len(d.Decode) + d.PendingPrefill + d.ArrivingDecode
+	return len(d.Prefill) + len(d.Decode) + d.PendingPrefill + d.PendingDecode
 }
 
 // Demand is a number of busy engines for each role.
