--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -9,27 +9,27 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// Handle answers another node.
+// Handle serves a call of another node.
 func (c *Coordinator) Handle(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_AssignEngines:
 		assignment := c.Assign(ctx, decodeRequest(body.AssignEngines, c.options.Now()))
 		return &peerpb.Response{Body: &peerpb.Response_Assignment{Assignment: &peerpb.Assignment{
 			DecodeEngine: assignment.Decode, PrefillEngine: assignment.Prefill,
-			RetryAfterMs: assignment.RetryAfter.Milliseconds(), Short: assignment.Short,
+			RetryAfterMs: assignment.RetryAfter.Milliseconds(), Short: assignment.ShortRole,
 			OutputTokens: int64(assignment.Output), PromptReadyMs: assignment.PromptReady.Milliseconds(),
-			ReadsItself: assignment.ReadsItself,
+			ReadsItself: assignment.LocalPrefill,
 		}}}, nil
 	case *peerpb.Request_EndRun:
-		c.End(decodeEnded(body.EndRun))
+		c.End(decodeRunResult(body.EndRun))
 		return &peerpb.Response{Body: &peerpb.Response_Done{Done: &peerpb.Done{}}}, nil
 	case *peerpb.Request_PromptRead:
-		c.PromptRead(body.PromptRead.GetService(), body.PromptRead.GetId(), body.PromptRead.GetEngine())
+		c.PrefillDone(body.PromptRead.GetService(), body.PromptRead.GetId(), body.PromptRead.GetEngine())
 		return &peerpb.Response{Body: &peerpb.Response_Done{Done: &peerpb.Done{}}}, nil
 	case *peerpb.Request_EngineFailed:
-		c.EngineFailed(Failure{
+		c.EngineFailed(EngineFailure{
 			Service: body.EngineFailed.GetService(), Engine: body.EngineFailed.GetEngine(),
-			ID: body.EngineFailed.GetId(), Silent: body.EngineFailed.GetSilent(),
+			ID: body.EngineFailed.GetId(), TimedOut: body.EngineFailed.GetSilent(),
 		})
 		return &peerpb.Response{Body: &peerpb.Response_Done{Done: &peerpb.Done{}}}, nil
 	case *peerpb.Request_SyncRuns:
@@ -47,12 +47,12 @@
 func encodeRequest(request *Request, now time.Duration) *peerpb.AssignEngines {
 	encoded := &peerpb.AssignEngines{
 		Service: request.Service, Run: encodeRun(request.Run, now), WaitMs: request.Wait.Milliseconds(),
-		Avoid: request.Avoid, Returning: request.Late, WithinMs: request.Within.Milliseconds(), Probe: request.Probe,
+		Avoid: request.Avoid, Returning: request.Late, WithinMs: request.Objective.Milliseconds(), Probe: request.Probe,
 		Priority: int32(request.Priority), Again: request.Again,
 		TenantPriority: int32(request.TenantPriority), AboveUsual: request.AboveUsual,
 	}
 	if request.Probe {
-		// Coordinators that know no later wait must not wait now.
+		// Coordinators of builds without later_wait_ms must not wait for a probe.
 		encoded.WaitMs, encoded.LaterWaitMs = 0, encoded.GetWaitMs()
 	}
 	return encoded
@@ -61,25 +61,25 @@
 func decodeRequest(encoded *peerpb.AssignEngines, now time.Duration) *Request {
 	return &Request{
 		Service: encoded.GetService(), Run: decodeRun(encoded.GetRun(), now), Wait: peer.Millis(encoded.GetWaitMs() + encoded.GetLaterWaitMs()),
-		Avoid: encoded.GetAvoid(), Late: encoded.GetReturning(), Within: peer.Millis(encoded.GetWithinMs()), Probe: encoded.GetProbe(),
+		Avoid: encoded.GetAvoid(), Late: encoded.GetReturning(), Objective: peer.Millis(encoded.GetWithinMs()), Probe: encoded.GetProbe(),
 		Priority: int(encoded.GetPriority()), Again: encoded.GetAgain(),
 		TenantPriority: int(encoded.GetTenantPriority()), AboveUsual: encoded.GetAboveUsual(),
 	}
 }
 
-func encodeEnded(ended Ended) *peerpb.EndRun {
+func encodeRunResult(result RunResult) *peerpb.EndRun {
 	return &peerpb.EndRun{
-		Service: ended.Service, Id: ended.ID, DurationMs: ended.Duration.Milliseconds(),
-		Refusal: int32(ended.Refusal), OutputTokens: int64(ended.Output),
-		FirstMs: ended.First.Milliseconds(), RestTokens: int64(ended.Rest),
+		Service: result.Service, Id: result.ID, DurationMs: result.Duration.Milliseconds(),
+		Refusal: int32(result.Refusal), OutputTokens: int64(result.Output),
+		FirstMs: result.FirstEvent.Milliseconds(), RestTokens: int64(result.RestTokens),
 	}
 }
 
-func decodeEnded(encoded *peerpb.EndRun) Ended {
-	return Ended{
+func decodeRunResult(encoded *peerpb.EndRun) RunResult {
+	return RunResult{
 		Service: encoded.GetService(), ID: encoded.GetId(), Duration: peer.Millis(encoded.GetDurationMs()),
 		Refusal: Refusal(encoded.GetRefusal()), Output: int(encoded.GetOutputTokens()),
-		First: peer.Millis(encoded.GetFirstMs()), Rest: int(encoded.GetRestTokens()),
+		FirstEvent: peer.Millis(encoded.GetFirstMs()), RestTokens: int(encoded.GetRestTokens()),
 	}
 }
 
@@ -102,13 +102,13 @@
 func encodeRun(run ledger.Run, now time.Duration) *peerpb.Run {
 	return &peerpb.Run{
 		Id: run.ID, PromptTokens: int64(run.Prompt), OutputTokens: int64(run.Output),
-		MostTokens: int64(run.Most), Engine: run.Engine, Holder: run.Holder, AgeMs: (now - run.Started).Milliseconds(),
+		MostTokens: int64(run.MaxOutput), Engine: run.Engine, Holder: run.Holder, AgeMs: (now - run.Started).Milliseconds(),
 	}
 }
 
 func decodeRun(encoded *peerpb.Run, now time.Duration) ledger.Run {
 	return ledger.Run{
-		ID: encoded.GetId(), Prompt: int(encoded.GetPromptTokens()), Output: int(encoded.GetOutputTokens()), Most: int(encoded.GetMostTokens()),
+		ID: encoded.GetId(), Prompt: int(encoded.GetPromptTokens()), Output: int(encoded.GetOutputTokens()), MaxOutput: int(encoded.GetMostTokens()),
 		Engine: encoded.GetEngine(), Holder: encoded.GetHolder(), Started: now - peer.Millis(encoded.GetAgeMs()),
 	}
 }
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -57,13 +57,13 @@
 type Coordinator interface {
 	// Assign asks for engines. An error means that no coordinator answers.
 	Assign(ctx context.Context, request coordinator.Request) (coordinator.Assignment, error)
-	// PromptRead reports that an engine has read the prompt of a run.
-	PromptRead(service, id, engine string)
+	// PrefillDone reports that an engine has read the prompt of a run.
+	PrefillDone(service, id, engine string)
 	// EngineFailed reports an engine that did not do what it was asked, where that ended
 	// no run.
-	EngineFailed(failure coordinator.Failure)
+	EngineFailed(failure coordinator.EngineFailure)
 	// End reports a run that is over.
-	End(ended coordinator.Ended)
+	End(ended coordinator.RunResult)
 }
 
 // Quotas keeps the limits of tenants over all nodes.
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -11,17 +11,17 @@
 )
 
 // keepingCoordinator keeps what it is told of runs that are over.
-type keepingCoordinator struct{ ended []coordinator.Ended }
+type keepingCoordinator struct{ ended []coordinator.RunResult }
 
 func (*keepingCoordinator) Assign(context.Context, coordinator.Request) (coordinator.Assignment, error) {
 	return coordinator.Assignment{}, nil
 }
 
-func (*keepingCoordinator) PromptRead(string, string, string) {}
+func (*keepingCoordinator) PrefillDone(string, string, string) {}
 
-func (*keepingCoordinator) EngineFailed(coordinator.Failure) {}
+func (*keepingCoordinator) EngineFailed(coordinator.EngineFailure) {}
 
-func (c *keepingCoordinator) End(ended coordinator.Ended) { c.ended = append(c.ended, ended) }
+func (c *keepingCoordinator) End(ended coordinator.RunResult) { c.ended = append(c.ended, ended) }
 
 // TestTheRestOfAStreamTeachesItsOwnPace ends a run of which another engine had made the first
 // part: only the events of the engine itself say how fast it is.
@@ -39,5 +39,5 @@
 	rest.close(true, whole, eventTokens)
 	g.Expect(told.ended).To(HaveLen(1))
 	g.Expect(told.ended[0].Output).To(Equal(whole * eventTokens))
-	g.Expect(told.ended[0].Rest).To(Equal((own - 1) * eventTokens))
+	g.Expect(told.ended[0].RestTokens).To(Equal((own - 1) * eventTokens))
 }
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -63,10 +63,10 @@
 	if s.run == "" {
 		return
 	}
-	ended := coordinator.Ended{Service: s.exchange.service, ID: s.run, Refusal: s.refusal}
+	ended := coordinator.RunResult{Service: s.exchange.service, ID: s.run, Refusal: s.refusal}
 	if whole && events > 0 {
 		ended.Duration, ended.Output = time.Since(s.taken), events*eventTokens
-		ended.First, ended.Rest = s.first, (s.events-1)*eventTokens
+		ended.FirstEvent, ended.RestTokens = s.first, (s.events-1)*eventTokens
 	}
 	s.exchange.handler.options.Coordinator.End(ended)
 }
@@ -74,15 +74,15 @@
 // promptRead notifies the coordinator which engine has read the prompt.
 func (s *reservedEngine) promptRead(engine string) {
 	if s.run != "" {
-		s.exchange.handler.options.Coordinator.PromptRead(s.exchange.service, s.run, engine)
+		s.exchange.handler.options.Coordinator.PrefillDone(s.exchange.service, s.run, engine)
 	}
 }
 
 // prefillFailed notifies the coordinator of an engine that has not read the prompt.
 func (s *reservedEngine) prefillFailed(engine string, silent bool) {
 	if s.run != "" {
-		s.exchange.handler.options.Coordinator.EngineFailed(coordinator.Failure{
-			Service: s.exchange.service, Engine: engine, ID: s.run, Silent: silent,
+		s.exchange.handler.options.Coordinator.EngineFailed(coordinator.EngineFailure{
+			Service: s.exchange.service, Engine: engine, ID: s.run, TimedOut: silent,
 		})
 	}
 }
@@ -111,16 +111,16 @@
 // result is nil if that engine has no capacity all the same; the coordinator is notified.
 func (x *exchange) reserveAssigned(ctx context.Context, profile *routing.EngineProfile, avoid map[string]bool) (*reservedEngine, error) {
 	request := coordinator.Request{
-		Service:  x.service,
-		Wait:     x.coordinatedWait(),
-		Within:   x.within(),
-		Late:     x.isLate(),
-		Priority: x.route.Priority, AboveUsual: x.quota.AboveUsual,
+		Service:   x.service,
+		Wait:      x.coordinatedWait(),
+		Objective: x.within(),
+		Late:      x.isLate(),
+		Priority:  x.route.Priority, AboveUsual: x.quota.AboveUsual,
 		Run: ledger.Run{
-			ID:     x.handler.runNames.next(),
-			Prompt: x.request.Generation.PromptTokens,
-			Output: expectedOutput(x.request.Generation),
-			Most:   x.request.Generation.MaxOutputTokens,
+			ID:        x.handler.runNames.next(),
+			Prompt:    x.request.Generation.PromptTokens,
+			Output:    expectedOutput(x.request.Generation),
+			MaxOutput: x.request.Generation.MaxOutputTokens,
 		},
 	}
 	if x.tenant != nil {
@@ -142,7 +142,7 @@
 		return nil, err
 	}
 	if assigned.Decode == "" {
-		x.short = assigned.Short
+		x.short = assigned.ShortRole
 		return nil, x.noRoom(assigned.RetryAfter)
 	}
 	entry := x.handler.options.Backends.Lookup(assigned.Decode)
@@ -162,14 +162,14 @@
 	}
 	return &reservedEngine{
 		exchange: x, entry: entry, reservation: *reservation,
-		prefillEngine: assigned.Prefill, readsItself: assigned.ReadsItself, promptReady: assigned.PromptReady,
+		prefillEngine: assigned.Prefill, readsItself: assigned.LocalPrefill, promptReady: assigned.PromptReady,
 		run: request.Run.ID, taken: time.Now(), end: entry.Begin(),
 	}, nil
 }
 
 // endUnused notifies the coordinator that no run uses what it assigned.
 func (x *exchange) endUnused(run string, refusal coordinator.Refusal) {
-	x.handler.options.Coordinator.End(coordinator.Ended{Service: x.service, ID: run, Refusal: refusal})
+	x.handler.options.Coordinator.End(coordinator.RunResult{Service: x.service, ID: run, Refusal: refusal})
 }
 
 // noRoom is the refusal of a request for which no capacity is free.
--- a/gateway/runname_test.go
+++ b/gateway/runname_test.go
@@ -32,11 +32,11 @@
 	return coordinator.Assignment{RetryAfter: time.Second}, nil
 }
 
-func (c *fullCoordinator) PromptRead(string, string, string) {}
+func (c *fullCoordinator) PrefillDone(string, string, string) {}
 
-func (c *fullCoordinator) EngineFailed(coordinator.Failure) {}
+func (c *fullCoordinator) EngineFailed(coordinator.EngineFailure) {}
 
-func (c *fullCoordinator) End(coordinator.Ended) {}
+func (c *fullCoordinator) End(coordinator.RunResult) {}
 
 // parser reads the id of a request alone.
 type parser struct{ gateway.Dialect }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -12,10 +12,10 @@
 	Prompt int
 	// Output is how many tokens are expected to come out.
 	Output int
-	// Expected is what its caller expected; zero where that is not known.
-	Expected int
-	// Most bounds it; zero where that is not known.
-	Most int
+	// CallerEstimate is what its caller expected; zero where that is not known.
+	CallerEstimate int
+	// MaxOutput bounds it; zero where that is not known.
+	MaxOutput int
 	// Engine is the decode engine that it was given.
 	Engine string
 	// Started is when it was given.
@@ -35,20 +35,20 @@
 
 // Options are the assumptions of a Ledger.
 type Options struct {
-	// Fill is the share of an engine's memory that is given. Default 1.
-	Fill float64
+	// UsableShare is the share of an engine's memory that is given. Default 1.
+	UsableShare float64
 	// Deviations is how many standard deviations of what the runs of an engine will make
 	// together are kept free. Default 1 (docs/KYKLOS.md has the figures).
 	Deviations float64
 	// Overrun is how much more, as a share of its expected output, a run is taken to
 	// make once it has made that. Default 0.25.
 	Overrun float64
-	// Pace is the first guess of how many tokens a run makes in a second. Default
+	// DecodeRate is the first guess of how many tokens a run makes in a second. Default
 	// 1000.
-	Pace float64
-	// Start is the first guess of the time from an assignment to the first token, while the
+	DecodeRate float64
+	// FirstTokenDelay is the first guess of the time from an assignment to the first token, while the
 	// prompt is read. Default 150ms.
-	Start time.Duration
+	FirstTokenDelay time.Duration
 }
 
 const (
@@ -104,8 +104,8 @@
 
 // New returns an empty ledger.
 func New(options Options) *Ledger {
-	if options.Fill == 0 {
-		options.Fill = defaultFill
+	if options.UsableShare == 0 {
+		options.UsableShare = defaultFill
 	}
 	if options.Deviations == 0 {
 		options.Deviations = defaultDeviations
@@ -113,14 +113,14 @@
 	if options.Overrun == 0 {
 		options.Overrun = defaultOverrun
 	}
-	if options.Pace == 0 {
-		options.Pace = defaultPace
+	if options.DecodeRate == 0 {
+		options.DecodeRate = defaultPace
 	}
-	if options.Start == 0 {
-		options.Start = defaultStart
+	if options.FirstTokenDelay == 0 {
+		options.FirstTokenDelay = defaultStart
 	}
 	return &Ledger{
-		options: options, pace: options.Pace, start: options.Start, runs: map[string]Run{},
+		options: options, pace: options.DecodeRate, start: options.FirstTokenDelay, runs: map[string]Run{},
 		byEngine: map[string]map[string]Run{}, byHolder: map[string]map[string]bool{}, refusedUntil: map[string]time.Duration{}, heard: map[string]time.Duration{}, foreign: map[string]foreignUse{}, coverage: 1,
 	}
 }
@@ -150,13 +150,13 @@
 }
 
 // End forgets a run and returns it.
-func (l *Ledger) End(id string, answer Answer) (Run, bool) {
+func (l *Ledger) End(id string, answer AnswerTiming) (Run, bool) {
 	run, known := l.runs[id]
 	if !known {
 		return Run{}, false
 	}
 	l.remove(id)
-	if answer.Duration-answer.First >= leastAnswer && answer.Rest > 0 {
+	if answer.Duration-answer.FirstEvent >= leastAnswer && answer.RestTokens > 0 {
 		l.learn(answer)
 	}
 	return run, true
@@ -173,15 +173,15 @@
 // Assign gives a run to the engine that will be the least full, and reports false
 // where none has room.
 func (l *Ledger) Assign(now time.Duration, run Run, avoid map[string]bool) (string, bool) {
-	return l.AssignNear(now, run, avoid, func(string) bool { return false })
+	return l.AssignPreferring(now, run, avoid, func(string) bool { return false })
 }
 
 // nearAllowance is how much fuller, as a share of its memory, an engine in the zone of the run's
 // node may be than the least full one. A whole answer crosses the border otherwise.
 const nearAllowance = 0.1
 
-// AssignNear is Assign, but prefers engines for which isNear holds where they are not much fuller.
-func (l *Ledger) AssignNear(now time.Duration, run Run, avoid map[string]bool, isNear func(id string) bool) (string, bool) {
+// AssignPreferring is Assign, but prefers engines for which isNear holds where they are not much fuller.
+func (l *Ledger) AssignPreferring(now time.Duration, run Run, avoid map[string]bool, isNear func(id string) bool) (string, bool) {
 	l.heard[run.Holder] = now
 	l.forget(now)
 	var best, near choice
@@ -252,9 +252,9 @@
 	}
 }
 
-// CapacityAfter returns how long it will take until a run fits somewhere, if every
+// TimeUntilCapacity returns how long it will take until a run fits somewhere, if every
 // run ends as expected and no other comes.
-func (l *Ledger) CapacityAfter(now time.Duration, run Run) time.Duration {
+func (l *Ledger) TimeUntilCapacity(now time.Duration, run Run) time.Duration {
 	soonest := time.Duration(0)
 	for _, engine := range l.engines {
 		after, found := l.roomAt(now, engine, run, l.byEngine[engine.ID])
@@ -285,8 +285,8 @@
 // Each engine is taken to need as much more as that.
 func (l *Ledger) SetCoverage(share float64) { l.coverage = share }
 
-// Holders returns how many holders the ledger has heard of lately.
-func (l *Ledger) Holders(now, lately time.Duration) int {
+// RecentHolders returns how many holders the ledger has heard of lately.
+func (l *Ledger) RecentHolders(now, lately time.Duration) int {
 	count := 0
 	for _, at := range l.heard {
 		if now-at <= lately {
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// Answer is a whole answer, as far as it teaches the pace. The zero value teaches nothing.
-type Answer struct {
-	// First is how long it took from the assignment to the first event, and Duration to the
+// AnswerTiming is a whole answer, as far as it teaches the pace. The zero value teaches nothing.
+type AnswerTiming struct {
+	// FirstEvent is how long it took from the assignment to the first event, and Duration to the
 	// last one.
-	First, Duration time.Duration
-	// Rest is how many tokens came after the first event.
-	Rest int
+	FirstEvent, Duration time.Duration
+	// RestTokens is how many tokens came after the first event.
+	RestTokens int
 }
 
 // learn takes over the pace and the start of an answer. The pace is that of all tokens in all
 // the time, newer answers counting more: an answer whose events were held up on the way comes
 // at once, and its own pace says nothing.
-func (l *Ledger) learn(answer Answer) {
+func (l *Ledger) learn(answer AnswerTiming) {
 	l.answers++
-	l.tokens = (1-paceWeight)*l.tokens + float64(answer.Rest)
-	l.seconds = (1-paceWeight)*l.seconds + (answer.Duration - answer.First).Seconds()
+	l.tokens = (1-paceWeight)*l.tokens + float64(answer.RestTokens)
+	l.seconds = (1-paceWeight)*l.seconds + (answer.Duration - answer.FirstEvent).Seconds()
 	l.pace = l.tokens / l.seconds
 	// The first answers count alike, so that the first guess is soon forgotten.
 	weight := max(paceWeight, 1/float64(l.answers))
-	l.start += time.Duration(weight * float64(answer.First-l.start))
+	l.start += time.Duration(weight * float64(answer.FirstEvent-l.start))
 }
 
-// LearnedPace is what a ledger has learned of how fast answers come.
-type LearnedPace struct {
+// LearnedRate is what a ledger has learned of how fast answers come.
+type LearnedRate struct {
 	// Answers is how many have taught it, Tokens and Seconds are what these took together.
 	Answers         int
 	Tokens, Seconds float64
-	// Start is the time from an assignment to the first token.
-	Start time.Duration
+	// FirstTokenDelay is the time from an assignment to the first token.
+	FirstTokenDelay time.Duration
 }
 
 // Learned returns what the ledger has learned.
-func (l *Ledger) Learned() LearnedPace {
-	return LearnedPace{Answers: l.answers, Tokens: l.tokens, Seconds: l.seconds, Start: l.start}
+func (l *Ledger) Learned() LearnedRate {
+	return LearnedRate{Answers: l.answers, Tokens: l.tokens, Seconds: l.seconds, FirstTokenDelay: l.start}
 }
 
 // Adopt takes over what another ledger has learned, if this one has learned nothing.
-func (l *Ledger) Adopt(learned LearnedPace) {
+func (l *Ledger) Adopt(learned LearnedRate) {
 	pace := learned.Tokens / learned.Seconds
-	if l.answers > 0 || learned.Answers <= 0 || !(pace > 0) || math.IsInf(pace, 0) || learned.Start < 0 {
+	if l.answers > 0 || learned.Answers <= 0 || !(pace > 0) || math.IsInf(pace, 0) || learned.FirstTokenDelay < 0 {
 		return
 	}
-	l.answers, l.tokens, l.seconds, l.start = learned.Answers, learned.Tokens, learned.Seconds, learned.Start
+	l.answers, l.tokens, l.seconds, l.start = learned.Answers, learned.Tokens, learned.Seconds, learned.FirstTokenDelay
 	l.pace = pace
 }
 
-// SetSpread states the standard deviation of the lengths of answers, as a share of what is
+// SetOutputDeviation states the standard deviation of the lengths of answers, as a share of what is
 // expected of each.
-func (l *Ledger) SetSpread(share float64) { l.spread = share }
+func (l *Ledger) SetOutputDeviation(share float64) { l.spread = share }
 
-// Pace returns how many tokens a run is expected to make in a second.
-func (l *Ledger) Pace() float64 { return l.pace }
+// DecodeRate returns how many tokens a run is expected to make in a second.
+func (l *Ledger) DecodeRate() float64 { return l.pace }
 
 // MemoryShare returns the share of the memory of all engines that runs use now.
 func (l *Ledger) MemoryShare(now time.Duration) float64 {
@@ -78,7 +78,7 @@
 func (l *Ledger) Occupancy(run Run) float64 {
 	memory := 0.0
 	for _, engine := range l.engines {
-		memory = max(memory, float64(engine.Memory)*l.options.Fill)
+		memory = max(memory, float64(engine.Memory)*l.options.UsableShare)
 	}
 	if memory == 0 {
 		return 0
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -15,7 +15,7 @@
 const memory = 90_000
 
 func newLedger(engines int) *ledger.Ledger {
-	book := ledger.New(ledger.Options{Fill: 1, Pace: 1000})
+	book := ledger.New(ledger.Options{UsableShare: 1, DecodeRate: 1000})
 	var listed []ledger.Engine
 	for i := range engines {
 		listed = append(listed, ledger.Engine{ID: fmt.Sprintf("e%d", i), Memory: memory, Slots: 64})
@@ -57,7 +57,7 @@
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			for id, run := range runs {
 				if run.ends() <= now {
-					book.End(id, ledger.Answer{})
+					book.End(id, ledger.AnswerTiming{})
 					delete(runs, id)
 				}
 			}
@@ -125,7 +125,7 @@
 	run := ledger.Run{ID: "next", Prompt: 9000, Output: 2000}
 	_, ok := book.Assign(0, run, nil)
 	g.Expect(ok).To(BeFalse())
-	after := book.CapacityAfter(0, run)
+	after := book.TimeUntilCapacity(0, run)
 	g.Expect(after).To(And(BeNumerically(">", time.Second), BeNumerically("<", 4*time.Second)))
 }
 
@@ -133,14 +133,14 @@
 func TestForeignRunsTakeRoom(t *testing.T) {
 	g := NewWithT(t)
 	book := newLedger(2)
-	book.Reported(0, "e0", 80_000)
+	book.ReportMemoryUse(0, "e0", 80_000)
 	for i := range 5 {
 		engine, ok := book.Assign(0, ledger.Run{ID: strconv.Itoa(i), Prompt: 10_000, Output: 1000}, nil)
 		g.Expect(ok).To(BeTrue())
 		g.Expect(engine).To(Equal("e1"))
 	}
 	// What the book knows explains itself, and old reports count for nothing.
-	book.Reported(time.Second, "e1", 55_000)
+	book.ReportMemoryUse(time.Second, "e1", 55_000)
 	_, ok := book.Assign(time.Second, ledger.Run{ID: "more", Prompt: 10_000, Output: 1000}, map[string]bool{"e0": true})
 	g.Expect(ok).To(BeTrue())
 	engine, ok := book.Assign(10*time.Second, ledger.Run{ID: "later", Prompt: 10_000, Output: 1000}, map[string]bool{"e1": true})
--- a/roles/controller.go
+++ b/roles/controller.go
@@ -38,8 +38,8 @@
 // ErrOrderRefused means that the engine will not carry an order out.
 var ErrOrderRefused = errors.New("roles: order refused")
 
-// Dialect is how engines take orders.
-type Dialect interface {
+// EngineClient is how engines take orders.
+type EngineClient interface {
 	// Report asks an engine what it says of its orders.
 	Report(ctx context.Context, target backend.Backend) (EngineReport, error)
 	// ChangeRole gives an order. ErrOrderRefused means that it is not carried out;
@@ -49,7 +49,7 @@
 
 // Options are the parts of a Controller.
 type Options struct {
-	Dialect  Dialect
+	Dialect  EngineClient
 	Backends *backend.Registry
 	Lease    *lease.Lease
 	// Holder names this node in orders.
@@ -65,24 +65,24 @@
 	Logger *slog.Logger
 	// Interval is the time between two looks. Default 1s.
 	Interval time.Duration
-	// FirstSettle is how long a change must be wanted before the first order of this
+	// FirstStabilization is how long a change must be wanted before the first order of this
 	// node. Default 2s.
-	FirstSettle time.Duration
-	// Settle is the same for later orders. It outlasts the restart of an engine.
+	FirstStabilization time.Duration
+	// Stabilization is the same for later orders. It outlasts the restart of an engine.
 	// Default 6s.
-	Settle time.Duration
-	// UrgentSettle is the same where one role has far too few engines. Default 1s.
-	UrgentSettle time.Duration
+	Stabilization time.Duration
+	// UrgentStabilization is the same where one role has far too few engines. Default 1s.
+	UrgentStabilization time.Duration
 	// Announce tells all nodes of an order that is about to be given.
 	Announce func(change Change, fence uint64)
 	// Withdraw tells them that the order is not given after all.
 	Withdraw func(change Change, fence uint64)
-	// Notice is the time between the announcement and the order, in which answers
+	// NoticePeriod is the time between the announcement and the order, in which answers
 	// whose prompts are being read reach the engine. Default 700ms.
-	Notice time.Duration
-	// LatestOrder is how late an order may be carried out that got no answer. A new
+	NoticePeriod time.Duration
+	// MaxOrderDelay is how late an order may be carried out that got no answer. A new
 	// holder waits for so long. Default 13s.
-	LatestOrder time.Duration
+	MaxOrderDelay time.Duration
 	// ChangeTimeout is how long an engine may take for a change. Default 20s.
 	ChangeTimeout time.Duration
 }
@@ -130,23 +130,23 @@
 	if options.Interval == 0 {
 		options.Interval = defaultInterval
 	}
-	if options.FirstSettle == 0 {
-		options.FirstSettle = defaultFirstSettle
+	if options.FirstStabilization == 0 {
+		options.FirstStabilization = defaultFirstSettle
 	}
-	if options.Notice == 0 {
-		options.Notice = defaultNotice
+	if options.NoticePeriod == 0 {
+		options.NoticePeriod = defaultNotice
 	}
-	if options.Settle == 0 {
-		options.Settle = defaultSettle
+	if options.Stabilization == 0 {
+		options.Stabilization = defaultSettle
 	}
-	if options.UrgentSettle == 0 {
-		options.UrgentSettle = defaultUrgentSettle
+	if options.UrgentStabilization == 0 {
+		options.UrgentStabilization = defaultUrgentSettle
 	}
 	if options.Demand == nil {
 		options.Demand = func(string) (*Demand, map[string]int) { return nil, nil }
 	}
-	if options.LatestOrder == 0 {
-		options.LatestOrder = defaultLatestOrder
+	if options.MaxOrderDelay == 0 {
+		options.MaxOrderDelay = defaultLatestOrder
 	}
 	if options.ChangeTimeout == 0 {
 		options.ChangeTimeout = defaultChangeTimeout
@@ -195,16 +195,16 @@
 }
 
 // division returns the engines of each role, and how many are changing.
-func (c *Controller) division(service string) Division {
-	var division Division
+func (c *Controller) division(service string) Allocation {
+	var division Allocation
 	division.Demand, division.Runs = c.options.Demand(service)
 	division.Prefill = c.settled(service, backend.RolePrefill)
 	division.Decode = c.settled(service, backend.RoleDecode)
 	for _, role := range c.arriving(service) {
 		if role == backend.RolePrefill {
-			division.ArrivingPrefill++
+			division.PendingPrefill++
 		} else {
-			division.ArrivingDecode++
+			division.PendingDecode++
 		}
 	}
 	return division
@@ -255,23 +255,23 @@
 func (c *Controller) settle(planned Change) time.Duration {
 	switch {
 	case planned.Urgent:
-		return c.options.UrgentSettle
+		return c.options.UrgentStabilization
 	case !c.ordered:
-		return c.options.FirstSettle
+		return c.options.FirstStabilization
 	default:
-		return c.options.Settle
+		return c.options.Stabilization
 	}
 }
 
-// Forget takes an engine as not changing: its order was not given.
-func (c *Controller) Forget(id string) {
+// ClearChanging takes an engine as not changing: its order was not given.
+func (c *Controller) ClearChanging(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.changing, id)
 }
 
-// Note takes an engine as changing, by an order of this node or of another one.
-func (c *Controller) Note(planned Change) {
+// MarkChanging takes an engine as changing, by an order of this node or of another one.
+func (c *Controller) MarkChanging(planned Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.changing[planned.Engine] = change{planned.Role, c.options.Now().Add(c.options.ChangeTimeout)}
--- a/roles/order.go
+++ b/roles/order.go
@@ -22,13 +22,13 @@
 // order has engines change their roles, if this node holds the lease. All are announced, and
 // after one notice all are ordered.
 func (c *Controller) order(ctx context.Context, planned []Change) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout+c.options.Notice)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout+c.options.NoticePeriod)
 	defer cancel()
 	fence, err := c.options.Lease.Acquire(ctx)
 	if err != nil {
 		return err
 	}
-	if !c.options.Lease.WaitedOut(c.options.LatestOrder) {
+	if !c.options.Lease.WaitedOut(c.options.MaxOrderDelay) {
 		return nil
 	}
 	ready, err := c.prepare(ctx, planned)
@@ -41,7 +41,7 @@
 	for _, change := range ready {
 		c.options.Announce(change.change, fence)
 	}
-	notice := time.NewTimer(c.options.Notice)
+	notice := time.NewTimer(c.options.NoticePeriod)
 	defer notice.Stop()
 	select {
 	case <-ctx.Done():
@@ -94,7 +94,7 @@
 	}
 	// An order without an answer may be carried out all the same: the engine counts as changing
 	// from before it is sent.
-	c.Note(change)
+	c.MarkChanging(change)
 	if report.Changing || report.Role == change.Role {
 		return nil, nil //nolint:nilnil // nothing is to be ordered
 	}
@@ -149,7 +149,7 @@
 // withdraw takes back announced changes whose orders were not sent.
 func (c *Controller) withdraw(ready []prepared, fence uint64) {
 	for _, one := range ready {
-		c.Forget(one.change.Engine)
+		c.ClearChanging(one.change.Engine)
 		c.options.Withdraw(one.change, fence)
 	}
 }
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -8,13 +8,13 @@
 	"github.com/reelrun/reelrun/backend"
 )
 
-// Division is how the engines of a service are divided, and what is asked of them.
-type Division struct {
+// Allocation is how the engines of a service are divided, and what is asked of them.
+type Allocation struct {
 	Prefill []string
 	Decode  []string
-	// ArrivingPrefill and ArrivingDecode count the engines that are changing to a role; they are
+	// PendingPrefill and PendingDecode count the engines that are changing to a role; they are
 	// in neither list.
-	ArrivingPrefill, ArrivingDecode int
+	PendingPrefill, PendingDecode int
 	// Demand is how many engines of each role the requests of late keep busy; nil where it is
 	// not known.
 	Demand *Demand
@@ -23,16 +23,16 @@
 }
 
 // total returns the number of all engines.
-func (d Division) total() int {
-	return len(d.Prefill) + len(d.Decode) + d.ArrivingPrefill + d.ArrivingDecode
+func (d Allocation) total() int {
+	return len(d.Prefill) + len(d.Decode) + d.PendingPrefill + d.PendingDecode
 }
 
 // Demand is a number of busy engines for each role.
 type Demand struct {
 	Prefill, Decode float64
-	// DecodeFill is how busy decode engines were on average when no run fitted any more; zero
+	// DecodeUtilization is how busy decode engines were on average when no run fitted any more; zero
 	// where that was not seen.
-	DecodeFill float64
+	DecodeUtilization float64
 }
 
 // Change is one engine that is to take another role.
@@ -100,12 +100,12 @@
 // All that the giving role has too many of may go as soon as the demand is certain: the best
 // division has fewer of them anyway. The demand is an estimate, so that at most a part of a role
 // changes at once, and the next changes follow what is measured then.
-func (p Policy) Plan(division Division) []Change {
+func (p Policy) Plan(division Allocation) []Change {
 	total := division.total()
 	if total < leastEngines {
 		return nil
 	}
-	current := len(division.Prefill) + division.ArrivingPrefill
+	current := len(division.Prefill) + division.PendingPrefill
 	wanted, urgent := p.wanted(division, total)
 	switch {
 	case current > wanted:
@@ -129,8 +129,8 @@
 }
 
 // wanted returns how many prefill engines there should be, and whether that is urgent.
-func (p Policy) wanted(division Division, total int) (prefill int, urgent bool) {
-	current := len(division.Prefill) + division.ArrivingPrefill
+func (p Policy) wanted(division Allocation, total int) (prefill int, urgent bool) {
+	current := len(division.Prefill) + division.PendingPrefill
 	if division.Demand == nil {
 		share := cmp.Or(p.PrefillShare, defaultPrefillShare) * float64(total)
 		if current > 0 && math.Abs(float64(current)-share) <= toleratedEngines(total) {
@@ -182,10 +182,10 @@
 
 // decodeTarget returns how busy decode engines may be on average.
 func (d Demand) decodeTarget() float64 {
-	if d.DecodeFill == 0 {
+	if d.DecodeUtilization == 0 {
 		return decodeTarget
 	}
-	return min(decodeTarget, max(leastDecodeFill, d.DecodeFill))
+	return min(decodeTarget, max(leastDecodeFill, d.DecodeUtilization))
 }
 
 // prefillCapacity returns how many of so many prefill engines may be busy on average.
--- a/router/rolechange.go
+++ b/router/rolechange.go
@@ -49,7 +49,7 @@
 	if !known {
 		return nil, runs
 	}
-	return &roles.Demand{Prefill: measured.Prefill, Decode: measured.Decode, DecodeFill: measured.DecodeFill}, runs
+	return &roles.Demand{Prefill: measured.Prefill, Decode: measured.Decode, DecodeUtilization: measured.DecodeUtilization}, runs
 }
 
 // kindRoleChange is the kind of the records by which nodes tell each other of
@@ -96,7 +96,7 @@
 func (r *Router) roleAnnounced(change replica.Change) {
 	if change.Record.Deleted {
 		engine, _, _ := strings.Cut(change.Record.Object.Name, "/")
-		r.roles.Forget(engine)
+		r.roles.ClearChanging(engine)
 		r.options.Logger.Info("role change withdrawn", "engine", engine, "source", string(change.Source))
 		return
 	}
@@ -105,6 +105,6 @@
 		r.options.Logger.Error("role change refused", "error", err.Error())
 		return
 	}
-	r.roles.Note(roles.Change{Engine: spec.Engine, Role: spec.Role})
+	r.roles.MarkChanging(roles.Change{Engine: spec.Engine, Role: spec.Role})
 	r.options.Logger.Info("role change announced", "engine", spec.Engine, "role", string(spec.Role), "source", string(change.Source))
 }
