--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -24,7 +24,7 @@
 		second := working
 		first.ID, second.ID = "a", "b"
 		return controller.Take(now, admission.Report{
-			Service: "s", Holder: "n", Interval: interval, Objective: 300 * time.Millisecond, FirstTries: 10, Admitted: 10,
+			Service: "s", Holder: "n", Interval: interval, Objective: 300 * time.Millisecond, FirstAttempts: 10, Admitted: 10,
 			Backends: []admission.BackendCounts{first, second},
 		})
 	}
--- a/admission/meter.go
+++ b/admission/meter.go
@@ -117,7 +117,7 @@
 			continue
 		}
 		report := counted.report(name, m.holder, since)
-		empty := report.FirstTries+report.Retries+len(report.Backends) == 0
+		empty := report.FirstAttempts+report.Retries+len(report.Backends) == 0
 		if !empty || counted.reported {
 			due = append(due, report)
 		}
@@ -131,7 +131,7 @@
 func (s *serviceMeter) report(service, holder string, interval time.Duration) Report {
 	report := Report{
 		Service: service, Holder: holder, Interval: interval, Objective: s.objective,
-		FirstTries: s.firstTries, Retries: s.retries, Admitted: s.admitted,
+		FirstAttempts: s.firstTries, Retries: s.retries, Admitted: s.admitted,
 	}
 	for _, counts := range s.backends {
 		report.Backends = append(report.Backends, *counts)
--- a/admission/meter_test.go
+++ b/admission/meter_test.go
@@ -21,7 +21,7 @@
 	g.Expect(meter.Due(900*time.Millisecond, everySecond)).To(BeEmpty())
 	due := meter.Due(time.Second, everySecond)
 	g.Expect(due).To(HaveLen(1))
-	g.Expect(due[0].FirstTries).To(Equal(1))
+	g.Expect(due[0].FirstAttempts).To(Equal(1))
 	g.Expect(due[0].Backends).To(Equal([]admission.BackendCounts{{ID: "b", Pending: 1}}))
 
 	ended(1100*time.Millisecond, admission.OutcomeRejected)
--- a/admission/named_test.go
+++ b/admission/named_test.go
@@ -24,7 +24,7 @@
 	random := rand.New(rand.NewPCG(21, 22))
 	var plan admission.Plan
 	for second := range 30 {
-		report := admission.Report{Service: "s", Holder: "n", Interval: time.Second, Objective: 300 * time.Millisecond, FirstTries: count / 6}
+		report := admission.Report{Service: "s", Holder: "n", Interval: time.Second, Objective: 300 * time.Millisecond, FirstAttempts: count / 6}
 		for range count / 6 {
 			took := time.Duration(20+random.IntN(100)) * time.Millisecond
 			report.Backends = append(report.Backends, admission.BackendCounts{
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -35,9 +35,9 @@
 	count := rapid.IntRange(0, 500)
 	report := admission.Report{
 		Service: "s", Holder: strconv.Itoa(rapid.IntRange(0, 3).Draw(t, "holder")),
-		Interval:   time.Duration(rapid.IntRange(0, 2000).Draw(t, "interval")) * time.Millisecond,
-		Objective:  time.Duration(rapid.IntRange(0, 1000).Draw(t, "objective")) * time.Millisecond,
-		FirstTries: count.Draw(t, "first"), Retries: count.Draw(t, "retries"), Admitted: count.Draw(t, "admitted"),
+		Interval:      time.Duration(rapid.IntRange(0, 2000).Draw(t, "interval")) * time.Millisecond,
+		Objective:     time.Duration(rapid.IntRange(0, 1000).Draw(t, "objective")) * time.Millisecond,
+		FirstAttempts: count.Draw(t, "first"), Retries: count.Draw(t, "retries"), Admitted: count.Draw(t, "admitted"),
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "named") {
 		report.Backends = append(report.Backends, admission.BackendCounts{
--- a/admission/report.go
+++ b/admission/report.go
@@ -39,9 +39,9 @@
 	Interval time.Duration
 	// Objective is the shortest objective of the requests, zero where there was none.
 	Objective time.Duration
-	// FirstTries and Retries count the callers' requests, also those that were not admitted.
+	// FirstAttempts and Retries count the callers' requests, also those that were not admitted.
 	// A retry is that of a caller that was refused before.
-	FirstTries, Retries int
+	FirstAttempts, Retries int
 	// Admitted is how many of them were sent to back ends, some of them more than once.
 	Admitted int
 	Backends []BackendCounts
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		seconds := max(held.report.Interval, busyInterval/2).Seconds()
-		sum.firstTries += float64(held.report.FirstTries) / seconds
+		sum.firstTries += float64(held.report.FirstAttempts) / seconds
 		sum.retries += float64(held.report.Retries) / seconds
 		sum.admitted += float64(held.report.Admitted) / seconds
 		if objective := held.report.Objective; objective > 0 && (sum.objective == 0 || objective < sum.objective) {
--- a/admission/wire.go
+++ b/admission/wire.go
@@ -10,7 +10,7 @@
 func encodeReport(report Report) *peerpb.ReportLoad {
 	encoded := &peerpb.ReportLoad{
 		Service: report.Service, Holder: report.Holder, IntervalMs: report.Interval.Milliseconds(),
-		ObjectiveMs: report.Objective.Milliseconds(), FirstTries: int64(report.FirstTries), Retries: int64(report.Retries),
+		ObjectiveMs: report.Objective.Milliseconds(), FirstTries: int64(report.FirstAttempts), Retries: int64(report.Retries),
 		Admitted: int64(report.Admitted),
 	}
 	for _, counts := range report.Backends {
@@ -25,7 +25,7 @@
 func decodeReport(encoded *peerpb.ReportLoad) Report {
 	report := Report{
 		Service: encoded.GetService(), Holder: encoded.GetHolder(), Interval: peer.Millis(encoded.GetIntervalMs()),
-		Objective: peer.Millis(encoded.GetObjectiveMs()), FirstTries: int(encoded.GetFirstTries()), Retries: int(encoded.GetRetries()),
+		Objective: peer.Millis(encoded.GetObjectiveMs()), FirstAttempts: int(encoded.GetFirstTries()), Retries: int(encoded.GetRetries()),
 		Admitted: int(encoded.GetAdmitted()),
 	}
 	for _, counts := range encoded.GetBackends() {
--- a/admission/wire_test.go
+++ b/admission/wire_test.go
@@ -11,7 +11,7 @@
 func TestReportsAndPlansSurviveTheWire(t *testing.T) {
 	g := NewWithT(t)
 	report := Report{
-		Service: "s", Holder: "n", Interval: time.Second, Objective: 300 * time.Millisecond, FirstTries: 1, Retries: 2, Admitted: 8,
+		Service: "s", Holder: "n", Interval: time.Second, Objective: 300 * time.Millisecond, FirstAttempts: 1, Retries: 2, Admitted: 8,
 		Backends: []BackendCounts{{ID: "b", Answered: 3, Busy: 4 * time.Millisecond, Failed: 5, Rejected: 6, Pending: 7}},
 	}
 	g.Expect(decodeReport(encodeReport(report))).To(Equal(report))
