--- a/admission/controller.go
+++ b/admission/controller.go
@@ -199,7 +199,7 @@
 // only a first try can still be in time. Nothing is refused before requests queue: the mean
 // fullness of the back ends tells.
 func (s *serviceState) admit(now time.Duration, sum totals) {
-	s.plan.FirstTries, s.plan.Retries, s.plan.RetryAfter = 1, 1, 0
+	s.plan.FirstAttempts, s.plan.Retries, s.plan.RetryAfter = 1, 1, 0
 	queued := s.overloaded || s.fullness >= entryFullness
 	if !queued || s.offered <= s.capacity {
 		s.overloaded = false
@@ -209,10 +209,10 @@
 		s.overloaded, s.overloadedSince = true, now
 	}
 	if sum.firstTries > 0 {
-		s.plan.FirstTries = min(1, s.capacity/sum.firstTries)
+		s.plan.FirstAttempts = min(1, s.capacity/sum.firstTries)
 	}
 	if sum.retries > 0 {
-		left := s.capacity - s.plan.FirstTries*sum.firstTries
+		left := s.capacity - s.plan.FirstAttempts*sum.firstTries
 		s.plan.Retries = min(1, max(0, left/sum.retries))
 	}
 	// Nobody knows how long an overload lasts. One that has lasted for some time is expected
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -80,7 +80,7 @@
 // Admit decides on a request.
 func (g *Gate) Admit(now time.Duration, service string, retry bool, random Random) Decision {
 	held := g.plan(now, service)
-	share := held.plan.FirstTries
+	share := held.plan.FirstAttempts
 	if retry {
 		share = held.plan.Retries
 	}
--- a/admission/meter_test.go
+++ b/admission/meter_test.go
@@ -43,7 +43,7 @@
 	gate := admission.NewGate()
 	half := func() float64 { return 0.5 }
 	g.Expect(gate.Admit(0, "s", false, half).Admitted).To(BeTrue())
-	gate.Put(0, "s", admission.Plan{FirstTries: 0.6, Retries: 0.1, RetryAfter: time.Second, Interval: 250 * time.Millisecond})
+	gate.Put(0, "s", admission.Plan{FirstAttempts: 0.6, Retries: 0.1, RetryAfter: time.Second, Interval: 250 * time.Millisecond})
 	g.Expect(gate.Admit(time.Second, "s", false, half).Admitted).To(BeTrue())
 	refused := gate.Admit(time.Second, "s", true, half)
 	g.Expect(refused).To(Equal(admission.Decision{RetryAfter: time.Second, Share: 0.1, PlanAge: time.Second}))
@@ -80,5 +80,5 @@
 }
 
 func planOf(backends ...admission.BackendPlan) admission.Plan {
-	return admission.Plan{FirstTries: 1, Retries: 1, Interval: time.Second, Backends: backends}
+	return admission.Plan{FirstAttempts: 1, Retries: 1, Interval: time.Second, Backends: backends}
 }
--- a/admission/named_test.go
+++ b/admission/named_test.go
@@ -46,7 +46,7 @@
 	for _, count := range []int{1350, 2700} {
 		g := NewWithT(t)
 		plan := planOfMany(count)
-		g.Expect(plan.FirstTries).To(Equal(1.0))
+		g.Expect(plan.FirstAttempts).To(Equal(1.0))
 		g.Expect(len(plan.Backends)).To(BeNumerically("<=", 32))
 		g.Expect(weightOf(plan, "server-00000")).To(BeNumerically("<", 0.3), "it fails")
 		var queued admission.BackendPlan
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -50,12 +50,12 @@
 }
 
 func check(t *rapid.T, plan admission.Plan) {
-	for _, share := range []float64{plan.FirstTries, plan.Retries} {
+	for _, share := range []float64{plan.FirstAttempts, plan.Retries} {
 		if math.IsNaN(share) || share < 0 || share > 1 {
 			t.Fatalf("share %v", share)
 		}
 	}
-	if plan.FirstTries < 1 && plan.RetryAfter <= 0 {
+	if plan.FirstAttempts < 1 && plan.RetryAfter <= 0 {
 		t.Fatalf("refused without a time to come back")
 	}
 	if plan.Interval <= 0 {
--- a/admission/report.go
+++ b/admission/report.go
@@ -58,8 +58,8 @@
 
 // Plan is how the nodes send requests to a service.
 type Plan struct {
-	// FirstTries and Retries are the shares of the callers' requests to admit, from 0 to 1.
-	FirstTries, Retries float64
+	// FirstAttempts and Retries are the shares of the callers' requests to admit, from 0 to 1.
+	FirstAttempts, Retries float64
 	// RetryAfter is when a caller that is not admitted is to come back.
 	RetryAfter time.Duration
 	// Interval is when the node is to report again.
@@ -83,5 +83,5 @@
 
 // openPlan admits everything and weighs all back ends alike.
 func openPlan() Plan {
-	return Plan{FirstTries: 1, Retries: 1, Interval: calmInterval}
+	return Plan{FirstAttempts: 1, Retries: 1, Interval: calmInterval}
 }
--- a/admission/wire.go
+++ b/admission/wire.go
@@ -39,7 +39,7 @@
 
 func encodePlan(plan Plan) *peerpb.LoadPlan {
 	encoded := &peerpb.LoadPlan{
-		FirstTries: float32(plan.FirstTries), Retries: float32(plan.Retries),
+		FirstTries: float32(plan.FirstAttempts), Retries: float32(plan.Retries),
 		RetryAfterMs: plan.RetryAfter.Milliseconds(), IntervalMs: plan.Interval.Milliseconds(),
 		RestFullness: float32(plan.RestFullness),
 	}
@@ -53,7 +53,7 @@
 
 func decodePlan(encoded *peerpb.LoadPlan) Plan {
 	plan := Plan{
-		FirstTries: float64(encoded.GetFirstTries()), Retries: float64(encoded.GetRetries()),
+		FirstAttempts: float64(encoded.GetFirstTries()), Retries: float64(encoded.GetRetries()),
 		RetryAfter: peer.Millis(encoded.GetRetryAfterMs()), Interval: peer.Millis(encoded.GetIntervalMs()),
 		RestFullness: float64(encoded.GetRestFullness()),
 	}
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -106,7 +106,7 @@
 	g := NewWithT(t)
 	dialect := countingDialect{sent: map[string]int{}}
 	decisions := admission.NewNode("n", func() time.Duration { return 0 })
-	decisions.Put("s", admission.Plan{FirstTries: 1, Retries: 1, Interval: time.Second, Backends: []admission.BackendPlan{{ID: "a", Weight: 0.02}}})
+	decisions.Put("s", admission.Plan{FirstAttempts: 1, Retries: 1, Interval: time.Second, Backends: []admission.BackendPlan{{ID: "a", Weight: 0.02}}})
 	handler := newPlainHandler(dialect, decisions)
 	for range 400 {
 		handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "http://h/x", nil))
