--- a/admission/controller.go
+++ b/admission/controller.go
@@ -231,7 +231,7 @@
 		}
 		fullest = max(fullest, full)
 		if math.Abs(weight-1) >= notableWeight || full >= notableFullness {
-			s.plan.Backends = append(s.plan.Backends, BackendPlan{ID: id, Weight: weight, Fullness: full})
+			s.plan.Backends = append(s.plan.Backends, BackendPlan{ID: id, Weight: weight, Utilization: full})
 		}
 	}
 	if len(s.plan.Backends) > mostNamed {
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -146,7 +146,7 @@
 // fullness returns how full a back end is by the plan.
 func (h heldPlan) fullness(id string) float64 {
 	if described, known := h.backends[id]; known {
-		return described.Fullness
+		return described.Utilization
 	}
 	return h.plan.RestFullness
 }
--- a/admission/meter_test.go
+++ b/admission/meter_test.go
@@ -60,8 +60,8 @@
 		stays bool
 	}{
 		"no plan":   {home: admission.Candidate{ID: "home"}, stays: true},
-		"spare":     {plan: planOf(admission.BackendPlan{ID: "home", Weight: 1, Fullness: 0.5}), home: admission.Candidate{ID: "home"}, stays: true},
-		"full":      {plan: planOf(admission.BackendPlan{ID: "home", Weight: 1, Fullness: 1}), home: admission.Candidate{ID: "home"}},
+		"spare":     {plan: planOf(admission.BackendPlan{ID: "home", Weight: 1, Utilization: 0.5}), home: admission.Candidate{ID: "home"}, stays: true},
+		"full":      {plan: planOf(admission.BackendPlan{ID: "home", Weight: 1, Utilization: 1}), home: admission.Candidate{ID: "home"}},
 		"failing":   {plan: planOf(admission.BackendPlan{ID: "home", Weight: 0.02}), home: admission.Candidate{ID: "home"}},
 		"rejecting": {home: admission.Candidate{ID: "home", Full: true}},
 	} {
--- a/admission/named_test.go
+++ b/admission/named_test.go
@@ -55,7 +55,7 @@
 				queued = described
 			}
 		}
-		g.Expect(queued.Fullness).To(BeNumerically(">", 1), "it has a queue")
+		g.Expect(queued.Utilization).To(BeNumerically(">", 1), "it has a queue")
 		g.Expect(plan.RestFullness).To(BeNumerically("<", 0.1))
 	}
 }
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -62,7 +62,7 @@
 		t.Fatalf("interval %v", plan.Interval)
 	}
 	for _, described := range plan.Backends {
-		if !(described.Weight > 0) || math.IsInf(described.Weight, 0) || math.IsNaN(described.Fullness) {
+		if !(described.Weight > 0) || math.IsInf(described.Weight, 0) || math.IsNaN(described.Utilization) {
 			t.Fatalf("back end %+v", described)
 		}
 	}
--- a/admission/report.go
+++ b/admission/report.go
@@ -52,8 +52,8 @@
 	ID string
 	// Weight is its share of the requests, as a multiple of the mean of all back ends.
 	Weight float64
-	// Fullness is how many requests it has, as a share of its slots.
-	Fullness float64
+	// Utilization is how many requests it has, as a share of its slots.
+	Utilization float64
 }
 
 // Plan is how the nodes send requests to a service.
@@ -78,7 +78,7 @@
 	if p.Weight > 0 && p.Weight < 1 {
 		difference = 1/p.Weight - 1
 	}
-	return max(difference, p.Fullness)
+	return max(difference, p.Utilization)
 }
 
 // openPlan admits everything and weighs all back ends alike.
--- a/admission/wire.go
+++ b/admission/wire.go
@@ -45,7 +45,7 @@
 	}
 	for _, described := range plan.Backends {
 		encoded.Backends = append(encoded.Backends, &peerpb.BackendWeight{
-			Id: described.ID, Weight: float32(described.Weight), Fullness: float32(described.Fullness),
+			Id: described.ID, Weight: float32(described.Weight), Fullness: float32(described.Utilization),
 		})
 	}
 	return encoded
@@ -59,7 +59,7 @@
 	}
 	for _, described := range encoded.GetBackends() {
 		plan.Backends = append(plan.Backends, BackendPlan{
-			ID: described.GetId(), Weight: float64(described.GetWeight()), Fullness: float64(described.GetFullness()),
+			ID: described.GetId(), Weight: float64(described.GetWeight()), Utilization: float64(described.GetFullness()),
 		})
 	}
 	return plan
