--- a/admission/controller.go
+++ b/admission/controller.go
@@ -222,7 +222,7 @@
 
 // weigh states how the back ends differ, and when nodes report again.
 func (s *serviceState) weigh(shares, fullness map[string]float64, mean float64, nodes int) {
-	s.plan.Backends, s.plan.RestFullness = nil, 0
+	s.plan.Backends, s.plan.RestUtilization = nil, 0
 	fullest := 0.0
 	for _, id := range slices.Sorted(maps.Keys(fullness)) {
 		full, weight := fullness[id], 1.0
@@ -236,7 +236,7 @@
 	}
 	if len(s.plan.Backends) > mostNamed {
 		s.plan.Backends = mostProminent(s.plan.Backends)
-		s.plan.RestFullness = meanOfRest(fullness, s.plan.Backends)
+		s.plan.RestUtilization = meanOfRest(fullness, s.plan.Backends)
 	}
 	s.plan.Interval = calmInterval
 	if s.overloaded || fullest >= busyFullness {
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -148,7 +148,7 @@
 	if described, known := h.backends[id]; known {
 		return described.Utilization
 	}
-	return h.plan.RestFullness
+	return h.plan.RestUtilization
 }
 
 // homeShare returns the probability with which a request stays in its zone: 1 while the back
--- a/admission/named_test.go
+++ b/admission/named_test.go
@@ -56,6 +56,6 @@
 			}
 		}
 		g.Expect(queued.Utilization).To(BeNumerically(">", 1), "it has a queue")
-		g.Expect(plan.RestFullness).To(BeNumerically("<", 0.1))
+		g.Expect(plan.RestUtilization).To(BeNumerically("<", 0.1))
 	}
 }
--- a/admission/report.go
+++ b/admission/report.go
@@ -67,8 +67,8 @@
 	// Backends are those that differ from the usual: of weight 1 and less than half full. Of many they are
 	// those that differ most.
 	Backends []BackendPlan
-	// RestFullness is the mean fullness of the others, where not all that differ are named.
-	RestFullness float64
+	// RestUtilization is the mean fullness of the others, where not all that differ are named.
+	RestUtilization float64
 }
 
 // prominence is how much a back end differs: one with half the usual weight as much as one with twice, and one
--- a/admission/wire.go
+++ b/admission/wire.go
@@ -41,7 +41,7 @@
 	encoded := &peerpb.LoadPlan{
 		FirstTries: float32(plan.FirstAttempts), Retries: float32(plan.Retries),
 		RetryAfterMs: plan.RetryAfter.Milliseconds(), IntervalMs: plan.Interval.Milliseconds(),
-		RestFullness: float32(plan.RestFullness),
+		RestFullness: float32(plan.RestUtilization),
 	}
 	for _, described := range plan.Backends {
 		encoded.Backends = append(encoded.Backends, &peerpb.BackendWeight{
@@ -55,7 +55,7 @@
 	plan := Plan{
 		FirstAttempts: float64(encoded.GetFirstTries()), Retries: float64(encoded.GetRetries()),
 		RetryAfter: peer.Millis(encoded.GetRetryAfterMs()), Interval: peer.Millis(encoded.GetIntervalMs()),
-		RestFullness: float64(encoded.GetRestFullness()),
+		RestUtilization: float64(encoded.GetRestFullness()),
 	}
 	for _, described := range encoded.GetBackends() {
 		plan.Backends = append(plan.Backends, BackendPlan{
--- a/admission/wire_test.go
+++ b/admission/wire_test.go
@@ -17,7 +17,7 @@
 	g.Expect(decodeReport(encodeReport(report))).To(Equal(report))
 	plan := Plan{
 		FirstAttempts: 0.5, Retries: 0.25, RetryAfter: time.Second, Interval: 250 * time.Millisecond,
-		Backends: []BackendPlan{{ID: "b", Weight: 1.5, Utilization: 0.75}}, RestFullness: 0.5,
+		Backends: []BackendPlan{{ID: "b", Weight: 1.5, Utilization: 0.75}}, RestUtilization: 0.5,
 	}
 	g.Expect(decodePlan(encodePlan(plan))).To(Equal(plan))
 }
