--- a/admission/controller.go
+++ b/admission/controller.go
@@ -110,8 +110,8 @@
 	Plan Plan
 	// Offered and Capacity are requests a second: what callers send, and what is admitted at most.
 	Offered, Capacity float64
-	// Fullness is how many requests the back ends have, as a share of their slots.
-	Fullness float64
+	// Utilization is how many requests the back ends have, as a share of their slots.
+	Utilization float64
 	// Holders is how many nodes have reported lately.
 	Holders int
 }
@@ -124,7 +124,7 @@
 	for name, known := range c.services {
 		if now-known.plannedAt <= reportLifetime && known.plan.Interval < calmInterval {
 			states[name] = State{
-				Plan: known.plan, Offered: known.offered, Capacity: known.capacity, Fullness: known.fullness, Holders: len(known.reports),
+				Plan: known.plan, Offered: known.offered, Capacity: known.capacity, Utilization: known.fullness, Holders: len(known.reports),
 			}
 		}
 	}
--- a/router/summary.go
+++ b/router/summary.go
@@ -46,7 +46,7 @@
 func (r *Router) logLoads() {
 	for service, state := range r.controller.States(r.now()) {
 		r.options.Logger.Info("load", "service", service, "offered", int(state.Offered), "capacity", int(state.Capacity),
-			"fullness", state.Fullness, "admitted_first_tries", state.Plan.FirstAttempts, "admitted_retries", state.Plan.Retries,
+			"fullness", state.Utilization, "admitted_first_tries", state.Plan.FirstAttempts, "admitted_retries", state.Plan.Retries,
 			"retry_after_ms", state.Plan.RetryAfter.Milliseconds(), "backends", state.Plan.Backends, "holders", state.Holders)
 	}
 }
