--- a/admission/gate.go
+++ b/admission/gate.go
@@ -96,9 +96,9 @@
 	ID string
 	// SameZone is set where it is in the zone of the node.
 	SameZone bool
-	// OnlyNear is set where it was drawn because of its zone. A choice among all zones passes it over:
+	// ZoneOnly is set where it was drawn because of its zone. A choice among all zones passes it over:
 	// the zone would have more than its share.
-	OnlyNear bool
+	ZoneOnly bool
 	// Pending is how many requests of this node are under way there.
 	Pending int
 	// Failing is the share of this node's requests that failed there of late.
@@ -118,7 +118,7 @@
 	}
 	isHome := random() < held.homeShare(candidates, weights)
 	for i, candidate := range candidates {
-		if isHome && !candidate.SameZone || !isHome && candidate.OnlyNear {
+		if isHome && !candidate.SameZone || !isHome && candidate.ZoneOnly {
 			weights[i] = 0
 		}
 	}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -39,7 +39,7 @@
 			return
 		}
 		candidate := h.candidate(entry)
-		candidate.OnlyNear = onlyNear
+		candidate.ZoneOnly = onlyNear
 		entries = append(entries, entry)
 		candidates = append(candidates, candidate)
 	}
