--- a/admission/gate.go
+++ b/admission/gate.go
@@ -101,8 +101,8 @@
 	ZoneOnly bool
 	// Pending is how many requests of this node are under way there.
 	Pending int
-	// Failing is the share of this node's requests that failed there of late.
-	Failing float64
+	// FailureRate is the share of this node's requests that failed there of late.
+	FailureRate float64
 	// Full is set where it has just rejected a request of this node.
 	Full bool
 }
@@ -135,7 +135,7 @@
 	if described, known := h.backends[candidate.ID]; known {
 		weight = described.Weight
 	}
-	sound := 1 - candidate.Failing
+	sound := 1 - candidate.FailureRate
 	weight *= sound * sound
 	if candidate.Full {
 		weight *= fullFactor
