--- a/admission/meter.go
+++ b/admission/meter.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// Began counts a request that is sent to a back end. The function that it returns must be
+// Begin counts a request that is sent to a back end. The function that it returns must be
 // called with the time and the outcome, once.
-func (m *Meter) Began(now time.Duration, service, backend string) func(ended time.Duration, outcome Outcome) {
+func (m *Meter) Begin(now time.Duration, service, backend string) func(ended time.Duration, outcome Outcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.service(now, service).backend(backend).Pending++
--- a/admission/meter_test.go
+++ b/admission/meter_test.go
@@ -17,7 +17,7 @@
 	g := NewWithT(t)
 	meter := admission.NewMeter("n")
 	meter.Offered(0, "s", 300*time.Millisecond, false, true)
-	ended := meter.Began(0, "s", "b")
+	ended := meter.Begin(0, "s", "b")
 	g.Expect(meter.Due(900*time.Millisecond, everySecond)).To(BeEmpty())
 	due := meter.Due(time.Second, everySecond)
 	g.Expect(due).To(HaveLen(1))
--- a/admission/node.go
+++ b/admission/node.go
@@ -37,7 +37,7 @@
 // Began counts a request that is sent to a back end. The function that it returns must be
 // called with the outcome, once.
 func (n *Node) Began(service, backend string) func(Outcome) {
-	ended := n.meter.Began(n.now(), service, backend)
+	ended := n.meter.Begin(n.now(), service, backend)
 	return func(outcome Outcome) { ended(n.now(), outcome) }
 }
 
--- a/admission/replay_test.go
+++ b/admission/replay_test.go
@@ -203,7 +203,7 @@
 	at := n.choose(tried)
 	tried[at] = true
 	n.pending[at]++
-	ended := n.meter.Began(w.queue.Now(), "s", w.backends[at].id)
+	ended := n.meter.Begin(w.queue.Now(), "s", w.backends[at].id)
 	w.counts.arrivals++
 	w.queue.After(replayLink, func() {
 		w.backends[at].take(w, func(outcome admission.Outcome) {
