--- a/admission/node.go
+++ b/admission/node.go
@@ -34,9 +34,9 @@
 	return n.gate.Choose(n.now(), service, candidates, rand.Float64)
 }
 
-// Began counts a request that is sent to a back end. The function that it returns must be
+// Begin counts a request that is sent to a back end. The function that it returns must be
 // called with the outcome, once.
-func (n *Node) Began(service, backend string) func(Outcome) {
+func (n *Node) Begin(service, backend string) func(Outcome) {
 	ended := n.meter.Begin(n.now(), service, backend)
 	return func(outcome Outcome) { ended(n.now(), outcome) }
 }
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -131,7 +131,7 @@
 	end := entry.Begin()
 	defer end()
 	outcome := admission.OutcomeAbandoned
-	counted := x.handler.options.Admission.Began(x.service, target.ID)
+	counted := x.handler.options.Admission.Begin(x.service, target.ID)
 	defer func() { counted(outcome) }()
 	left := x.left()
 	sendContext := ctx
