--- a/admission/client.go
+++ b/admission/client.go
@@ -51,7 +51,7 @@
 		return
 	}
 	if address == c.coordinators.Own() {
-		c.node.Put(report.Service, c.controller.Take(c.node.now(), report))
+		c.node.Put(report.Service, c.controller.HandleReport(c.node.now(), report))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -76,6 +76,6 @@
 	if !isReport {
 		return nil, ErrNoPlan
 	}
-	plan := c.controller.Take(c.node.now(), decodeReport(body.ReportLoad))
+	plan := c.controller.HandleReport(c.node.now(), decodeReport(body.ReportLoad))
 	return &peerpb.Response{Body: &peerpb.Response_LoadPlan{LoadPlan: encodePlan(plan)}}, nil
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -89,8 +89,8 @@
 	return &Controller{options: options, services: map[string]*serviceState{}}
 }
 
-// Take takes a report in and returns the plan for its sender.
-func (c *Controller) Take(now time.Duration, report Report) Plan {
+// HandleReport takes a report in and returns the plan for its sender.
+func (c *Controller) HandleReport(now time.Duration, report Report) Plan {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := c.services[report.Service]
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -23,7 +23,7 @@
 		now += interval
 		second := working
 		first.ID, second.ID = "a", "b"
-		return controller.Take(now, admission.Report{
+		return controller.HandleReport(now, admission.Report{
 			Service: "s", Holder: "n", Interval: interval, Objective: 300 * time.Millisecond, FirstAttempts: 10, Admitted: 10,
 			Backends: []admission.BackendCounts{first, second},
 		})
--- a/admission/named_test.go
+++ b/admission/named_test.go
@@ -35,7 +35,7 @@
 			admission.BackendCounts{ID: "server-00000", Failed: 3, Busy: 3 * 60 * time.Millisecond},
 			admission.BackendCounts{ID: "server-00001", Answered: 30, Busy: 30 * 200 * time.Millisecond, Pending: 20},
 		)
-		plan = controller.Take(time.Duration(second+1)*time.Second, report)
+		plan = controller.HandleReport(time.Duration(second+1)*time.Second, report)
 	}
 	return plan
 }
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -26,7 +26,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
-			check(t, controller.Take(now, drawReport(t)))
+			check(t, controller.HandleReport(now, drawReport(t)))
 		}
 	})
 }
--- a/admission/replay_test.go
+++ b/admission/replay_test.go
@@ -160,7 +160,7 @@
 	now := w.queue.Now()
 	for _, report := range n.meter.Due(now, func(service string) time.Duration { return n.gate.Interval(now, service) }) {
 		w.queue.After(replayLink, func() {
-			plan := w.controller.Take(w.queue.Now(), report)
+			plan := w.controller.HandleReport(w.queue.Now(), report)
 			w.queue.After(replayLink, func() { n.gate.Put(w.queue.Now(), report.Service, plan) })
 		})
 	}
