--- a/gateway/log.go
+++ b/gateway/log.go
@@ -75,7 +75,7 @@
 func (h *Handler) logRetry(x *exchange, err error) {
 	h.options.Metrics.Add("repeats", 1)
 	h.options.Logger.Info("request sent again", append(x.attributes(x.since()),
-		"cause", err.Error(), "budget_left", int(h.options.Budget.Left(x.service)))...)
+		"cause", err.Error(), "budget_left", int(h.options.Budget.Remaining(x.service)))...)
 }
 
 // logBrokeOff logs a back end that broke a request off, whether it has ended, and what is known of
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -46,8 +46,8 @@
 	current.requests[position(current.newest)]++
 }
 
-// Left returns how many repeats of a service the budget still has.
-func (b *Budget) Left(service string) float64 {
+// Remaining returns how many repeats of a service the budget still has.
+func (b *Budget) Remaining(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.left(b.account(service))
--- a/retrybudget/property_test.go
+++ b/retrybudget/property_test.go
@@ -70,7 +70,7 @@
 	})
 	g.Expect(repeat(budget, 1)).To(BeFalse())
 	now = now.Add(window - 1)
-	g.Expect(budget.Left("s")).To(BeZero())
+	g.Expect(budget.Remaining("s")).To(BeZero())
 	g.Expect(repeat(budget, 1)).To(BeFalse())
 	now = now.Add(1)
 	g.Expect(repeat(budget, 11)).To(BeFalse())
