--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -126,7 +126,7 @@
 		counts := sent[spent.Service]
 		h.options.Logger.Info("repeats", "service", spent.Service, "requests", counts.requests, "beyond_first", counts.beyondFirst,
 			"granted", spent.Granted, "refused", spent.Refused, "window_requests", spent.Requests, "window_repeats", spent.Repeats,
-			"left", spent.Left, "burst", spent.Burst)
+			"left", spent.Remaining, "burst", spent.Burst)
 	}
 }
 
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -83,8 +83,8 @@
 	Granted, Refused int
 	// Requests and Repeats are those of the last window.
 	Requests, Repeats int
-	// Left is how many repeats may be sent now, and Burst how many a window may hold beside the ratio.
-	Left, Burst float64
+	// Remaining is how many repeats may be sent now, and Burst how many a window may hold beside the ratio.
+	Remaining, Burst float64
 }
 
 // Report tells of the services of which repeats were wanted since the last call, by name.
@@ -100,7 +100,7 @@
 		reports = append(reports, Report{
 			Service: service, Granted: current.granted, Refused: current.refused,
 			Requests: current.sumOfWindow(&current.requests), Repeats: current.sumOfWindow(&current.repeats),
-			Left: b.left(current), Burst: b.burst(),
+			Remaining: b.left(current), Burst: b.burst(),
 		})
 		current.granted, current.refused = 0, 0
 	}
