--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -125,7 +125,7 @@
 	for _, spent := range h.options.Budget.Report() {
 		counts := sent[spent.Service]
 		h.options.Logger.Info("repeats", "service", spent.Service, "requests", counts.requests, "beyond_first", counts.beyondFirst,
-			"granted", spent.Granted, "refused", spent.Refused, "window_requests", spent.Requests, "window_repeats", spent.Repeats,
+			"granted", spent.Granted, "refused", spent.Refused, "window_requests", spent.Requests, "window_repeats", spent.Retries,
 			"left", spent.Remaining, "burst", spent.Burst)
 	}
 }
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -81,8 +81,8 @@
 	Service string
 	// Granted and Refused are the repeats since the last report.
 	Granted, Refused int
-	// Requests and Repeats are those of the last window.
-	Requests, Repeats int
+	// Requests and Retries are those of the last window.
+	Requests, Retries int
 	// Remaining is how many repeats may be sent now, and Burst how many a window may hold beside the ratio.
 	Remaining, Burst float64
 }
@@ -99,7 +99,7 @@
 		}
 		reports = append(reports, Report{
 			Service: service, Granted: current.granted, Refused: current.refused,
-			Requests: current.sumOfWindow(&current.requests), Repeats: current.sumOfWindow(&current.repeats),
+			Requests: current.sumOfWindow(&current.requests), Retries: current.sumOfWindow(&current.repeats),
 			Remaining: b.left(current), Burst: b.burst(),
 		})
 		current.granted, current.refused = 0, 0
