--- a/retrybudget/allocation_test.go
+++ b/retrybudget/allocation_test.go
@@ -98,16 +98,16 @@
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	holder := retrybudget.NewHolder(window, func() time.Time { return now })
-	holder.Hold(retrybudget.Share{Units: 5})
+	holder.SetShare(retrybudget.Share{Units: 5})
 	now = now.Add(window - 1)
 	g.Expect(holder.Usable()).To(BeZero())
 	now = now.Add(1)
 	g.Expect(holder.Usable()).To(Equal(5))
-	holder.Hold(retrybudget.Share{Units: 8})
+	holder.SetShare(retrybudget.Share{Units: 8})
 	g.Expect(holder.Usable()).To(Equal(5))
-	holder.Hold(retrybudget.Share{Units: 2})
+	holder.SetShare(retrybudget.Share{Units: 2})
 	g.Expect(holder.Usable()).To(Equal(2))
-	holder.Hold(retrybudget.Share{Units: 8})
+	holder.SetShare(retrybudget.Share{Units: 8})
 	now = now.Add(window - 1)
 	g.Expect(holder.Usable()).To(Equal(2))
 	now = now.Add(1)
@@ -136,13 +136,13 @@
 	now := time.Unix(0, 0)
 	holder := retrybudget.NewHolder(window, func() time.Time { return now })
 	first, _ := retrybudget.Allocation{}.Next(members("a", "b"), 8)
-	holder.Hold(first.Shares["a"])
+	holder.SetShare(first.Shares["a"])
 	g.Expect(holder.Usable()).To(Equal(4))
 	grown, _ := first.Next(members("a"), 8)
-	holder.Hold(grown.Shares["a"])
+	holder.SetShare(grown.Shares["a"])
 	g.Expect(holder.Usable()).To(Equal(4), "the rest was b's")
-	holder.Hold(retrybudget.Share{})
-	holder.Hold(first.Shares["a"])
+	holder.SetShare(retrybudget.Share{})
+	holder.SetShare(first.Shares["a"])
 	g.Expect(holder.Usable()).To(BeZero(), "it had been given up")
 }
 
@@ -169,7 +169,7 @@
 	if share.Start != s.member.Start {
 		share = retrybudget.Share{}
 	}
-	s.holder.Hold(share)
+	s.holder.SetShare(share)
 	s.member.Confirmed = allocation.Generation
 }
 
--- a/retrybudget/share.go
+++ b/retrybudget/share.go
@@ -30,8 +30,8 @@
 	return &Holder{window: window, now: now, held: []heldUnits{{since: now()}}}
 }
 
-// Hold puts a share into force, unless the holder is closed.
-func (h *Holder) Hold(share Share) {
+// SetShare puts a share into force, unless the holder is closed.
+func (h *Holder) SetShare(share Share) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -87,10 +87,10 @@
 func (r *Router) holdRetryShare() {
 	share := r.retryShares.known.Shares[r.options.Settings.Name]
 	if share.Start != r.startName() || r.isIsolated() {
-		r.retryShares.holder.Hold(retrybudget.Share{})
+		r.retryShares.holder.SetShare(retrybudget.Share{})
 		return
 	}
-	r.retryShares.holder.Hold(share)
+	r.retryShares.holder.SetShare(share)
 	if share.Unconfirmed > 0 {
 		r.confirmRetryShare()
 	}
