--- a/retrybudget/allocation.go
+++ b/retrybudget/allocation.go
@@ -48,10 +48,10 @@
 	// smaller now, and Lowered the generation that made it smaller.
 	Unconfirmed int   `json:"unconfirmed,omitempty"`
 	Lowered     int64 `json:"lowered,omitempty"`
-	// Own is set where no other node has ever had any of it: the very first shares, which go on to the next
+	// Initial is set where no other node has ever had any of it: the very first shares, which go on to the next
 	// starts of their nodes. One that has become larger since was another node's, perhaps until a moment
 	// after this start began.
-	Own bool `json:"own,omitempty"`
+	Initial bool `json:"own,omitempty"`
 }
 
 // Member is a node that may have a share.
@@ -152,7 +152,7 @@
 		case !found:
 			continue
 		case share.Start != member.Start:
-			share = Share{Start: member.Start, Units: share.Units, Own: share.Own}
+			share = Share{Start: member.Start, Units: share.Units, Initial: share.Initial}
 		case share.Unconfirmed > 0 && member.Confirmed >= share.Lowered:
 			share.Unconfirmed, share.Lowered = 0, 0
 		}
@@ -179,7 +179,7 @@
 		if more <= 0 || share.Unconfirmed > 0 {
 			continue
 		}
-		share.Start, share.Units, share.Own = member.Start, share.Units+more, a.Generation == 1
+		share.Start, share.Units, share.Initial = member.Start, share.Units+more, a.Generation == 1
 		a.Shares[member.Name] = share
 		free -= more
 	}
--- a/retrybudget/allocation_test.go
+++ b/retrybudget/allocation_test.go
@@ -90,7 +90,7 @@
 	first, _ := retrybudget.Allocation{}.Next(members("a"), 4)
 	again, changed := first.Next([]retrybudget.Member{{Name: "a", Start: "2"}}, 4)
 	g.Expect(changed).To(BeTrue())
-	g.Expect(again.Shares["a"]).To(Equal(retrybudget.Share{Start: "2", Units: 4, Own: true}))
+	g.Expect(again.Shares["a"]).To(Equal(retrybudget.Share{Start: "2", Units: 4, Initial: true}))
 }
 
 // TestALargerPartIsUsableAWindowLater, and a smaller one is smaller at once.
--- a/retrybudget/share.go
+++ b/retrybudget/share.go
@@ -36,7 +36,7 @@
 	defer h.mu.Unlock()
 	switch {
 	case h.closed:
-	case share.Own && len(h.held) == 1:
+	case share.Initial && len(h.held) == 1:
 		h.held[0].units = share.Units
 	default:
 		h.hold(share.Units)
