--- a/retrybudget/allocation.go
+++ b/retrybudget/allocation.go
@@ -39,9 +39,9 @@
 
 // Share is how much one node may send.
 type Share struct {
-	// Start names the start of the node that has it. The next start is another one: how much the earlier
+	// Incarnation names the start of the node that has it. The next start is another one: how much the earlier
 	// one has spent is not known.
-	Start string `json:"start"`
+	Incarnation string `json:"start"`
 	// Units is how many repeats the node may send in a window.
 	Units int `json:"units"`
 	// Unconfirmed is how many more it may still be sending, because it has not confirmed that its share is
@@ -151,8 +151,8 @@
 		switch {
 		case !found:
 			continue
-		case share.Start != member.Start:
-			share = Share{Start: member.Start, Units: share.Units, Initial: share.Initial}
+		case share.Incarnation != member.Start:
+			share = Share{Incarnation: member.Start, Units: share.Units, Initial: share.Initial}
 		case share.Unconfirmed > 0 && member.Confirmed >= share.Lowered:
 			share.Unconfirmed, share.Lowered = 0, 0
 		}
@@ -179,7 +179,7 @@
 		if more <= 0 || share.Unconfirmed > 0 {
 			continue
 		}
-		share.Start, share.Units, share.Initial = member.Start, share.Units+more, a.Generation == 1
+		share.Incarnation, share.Units, share.Initial = member.Start, share.Units+more, a.Generation == 1
 		a.Shares[member.Name] = share
 		free -= more
 	}
--- a/retrybudget/allocation_test.go
+++ b/retrybudget/allocation_test.go
@@ -90,7 +90,7 @@
 	first, _ := retrybudget.Allocation{}.Next(members("a"), 4)
 	again, changed := first.Next([]retrybudget.Member{{Name: "a", Start: "2"}}, 4)
 	g.Expect(changed).To(BeTrue())
-	g.Expect(again.Shares["a"]).To(Equal(retrybudget.Share{Start: "2", Units: 4, Initial: true}))
+	g.Expect(again.Shares["a"]).To(Equal(retrybudget.Share{Incarnation: "2", Units: 4, Initial: true}))
 }
 
 // TestALargerPartIsUsableAWindowLater, and a smaller one is smaller at once.
@@ -166,7 +166,7 @@
 // hear puts the node's part of an allocation into force.
 func (s *spender) hear(allocation retrybudget.Allocation) {
 	share := allocation.Shares[s.member.Name]
-	if share.Start != s.member.Start {
+	if share.Incarnation != s.member.Start {
 		share = retrybudget.Share{}
 	}
 	s.holder.SetShare(share)
--- a/router/golden_test.go
+++ b/router/golden_test.go
@@ -50,8 +50,8 @@
 	expectGolden(t, goldenObject[retrybudget.Allocation]{
 		written: `{"generation":7,"shares":{"n":{"start":"17","units":5,"unconfirmed":2,"lowered":6},"m":{"start":"18","units":5,"own":true}}}`,
 		says: retrybudget.Allocation{Generation: 7, Shares: map[string]retrybudget.Share{
-			"n": {Start: "17", Units: 5, Unconfirmed: 2, Lowered: 6},
-			"m": {Start: "18", Units: 5, Initial: true},
+			"n": {Incarnation: "17", Units: 5, Unconfirmed: 2, Lowered: 6},
+			"m": {Incarnation: "18", Units: 5, Initial: true},
 		}},
 	})
 	expectGolden(t, goldenObject[retryConfirmationSpec]{
--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -86,7 +86,7 @@
 // holdRetryShare puts the node's share into force, and confirms where it has become smaller.
 func (r *Router) holdRetryShare() {
 	share := r.retryShares.known.Shares[r.options.Settings.Name]
-	if share.Start != r.startName() || r.isIsolated() {
+	if share.Incarnation != r.startName() || r.isIsolated() {
 		r.retryShares.holder.SetShare(retrybudget.Share{})
 		return
 	}
@@ -203,7 +203,7 @@
 		}
 		missing[name] = since
 		if now.Sub(since) < lostAfter {
-			awaited = append(awaited, retrybudget.Member{Name: name, Start: share.Start})
+			awaited = append(awaited, retrybudget.Member{Name: name, Start: share.Incarnation})
 		}
 	}
 	r.retryShares.missing = missing
