--- a/retrybudget/allocation.go
+++ b/retrybudget/allocation.go
@@ -56,8 +56,8 @@
 
 // Member is a node that may have a share.
 type Member struct {
-	Name  string
-	Start string
+	Name        string
+	Incarnation string
 	// Confirmed is the newest generation that this start has put into force.
 	Confirmed int64
 }
@@ -151,8 +151,8 @@
 		switch {
 		case !found:
 			continue
-		case share.Incarnation != member.Start:
-			share = Share{Incarnation: member.Start, Units: share.Units, Initial: share.Initial}
+		case share.Incarnation != member.Incarnation:
+			share = Share{Incarnation: member.Incarnation, Units: share.Units, Initial: share.Initial}
 		case share.Unconfirmed > 0 && member.Confirmed >= share.Lowered:
 			share.Unconfirmed, share.Lowered = 0, 0
 		}
@@ -179,7 +179,7 @@
 		if more <= 0 || share.Unconfirmed > 0 {
 			continue
 		}
-		share.Incarnation, share.Units, share.Initial = member.Start, share.Units+more, a.Generation == 1
+		share.Incarnation, share.Units, share.Initial = member.Incarnation, share.Units+more, a.Generation == 1
 		a.Shares[member.Name] = share
 		free -= more
 	}
--- a/retrybudget/allocation_test.go
+++ b/retrybudget/allocation_test.go
@@ -17,7 +17,7 @@
 func members(names ...string) []retrybudget.Member {
 	var all []retrybudget.Member
 	for _, name := range names {
-		all = append(all, retrybudget.Member{Name: name, Start: "1"})
+		all = append(all, retrybudget.Member{Name: name, Incarnation: "1"})
 	}
 	return all
 }
@@ -75,7 +75,7 @@
 	before, _ := retrybudget.Allocation{}.Next(all, 48)
 	_, changed := before.Next(all[1:], 48)
 	g.Expect(changed).To(BeFalse())
-	all[0].Start = "2"
+	all[0].Incarnation = "2"
 	after, changed := before.Next(all, 48)
 	g.Expect(changed).To(BeTrue())
 	g.Expect(units(after)).To(Equal(units(before)))
@@ -88,7 +88,7 @@
 func TestTheNextStartTakesOverThePart(t *testing.T) {
 	g := NewWithT(t)
 	first, _ := retrybudget.Allocation{}.Next(members("a"), 4)
-	again, changed := first.Next([]retrybudget.Member{{Name: "a", Start: "2"}}, 4)
+	again, changed := first.Next([]retrybudget.Member{{Name: "a", Incarnation: "2"}}, 4)
 	g.Expect(changed).To(BeTrue())
 	g.Expect(again.Shares["a"]).To(Equal(retrybudget.Share{Incarnation: "2", Units: 4, Initial: true}))
 }
@@ -156,7 +156,7 @@
 func newSpender(name string, start int, now func() time.Time) *spender {
 	holder := retrybudget.NewHolder(window, now)
 	return &spender{
-		member: retrybudget.Member{Name: name, Start: strconv.Itoa(start)}, holder: holder,
+		member: retrybudget.Member{Name: name, Incarnation: strconv.Itoa(start)}, holder: holder,
 		budget: retrybudget.New(retrybudget.Options{
 			Window: window, Now: now, Burst: func() float64 { return float64(holder.Usable()) },
 		}),
@@ -166,7 +166,7 @@
 // hear puts the node's part of an allocation into force.
 func (s *spender) hear(allocation retrybudget.Allocation) {
 	share := allocation.Shares[s.member.Name]
-	if share.Incarnation != s.member.Start {
+	if share.Incarnation != s.member.Incarnation {
 		share = retrybudget.Share{}
 	}
 	s.holder.SetShare(share)
@@ -208,7 +208,7 @@
 					spent = append(spent, now)
 				}
 				// A start registers some time after it began, in the place of the one before.
-				if registered[name].Start == node.member.Start || chance(0.4) {
+				if registered[name].Incarnation == node.member.Incarnation || chance(0.4) {
 					registered[name] = node.member
 				}
 			}
--- a/router/nodes.go
+++ b/router/nodes.go
@@ -153,7 +153,7 @@
 	var able []retrybudget.Member
 	for _, name := range slices.Sorted(maps.Keys(l.byName)) {
 		if node := l.byName[name]; node.isAble(wanted) {
-			able = append(able, retrybudget.Member{Name: name, Start: node.Incarnation})
+			able = append(able, retrybudget.Member{Name: name, Incarnation: node.Incarnation})
 		}
 	}
 	return able
--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -203,7 +203,7 @@
 		}
 		missing[name] = since
 		if now.Sub(since) < lostAfter {
-			awaited = append(awaited, retrybudget.Member{Name: name, Start: share.Incarnation})
+			awaited = append(awaited, retrybudget.Member{Name: name, Incarnation: share.Incarnation})
 		}
 	}
 	r.retryShares.missing = missing
@@ -223,7 +223,7 @@
 	}
 	members := r.nodes.able(abilityRetryShares)
 	for i, member := range members {
-		if told := confirmed[member.Name]; told.Start == member.Start {
+		if told := confirmed[member.Name]; told.Start == member.Incarnation {
 			members[i].Confirmed = told.Generation
 		}
 	}
