--- a/lease/lease.go
+++ b/lease/lease.go
@@ -189,10 +189,10 @@
 	return l.takenOverAt.IsZero() || l.options.Now().Sub(l.takenOverAt) >= longest
 }
 
-// Rest notes that nothing of this holder is under way, so that another one need not
+// MarkIdle notes that nothing of this holder is under way, so that another one need not
 // wait. This node acts again only after another Acquire. It must not be called while
 // an order may be under way.
-func (l *Lease) Rest(ctx context.Context) error {
+func (l *Lease) MarkIdle(ctx context.Context) error {
 	l.mu.Lock()
 	held, record := l.held, l.observed
 	l.held = false
--- a/lease/property_test.go
+++ b/lease/property_test.go
@@ -98,7 +98,7 @@
 // rest lets others take the lease if no order of the holder is under way.
 func (w *world) rest(i int) {
 	if w.mayLeave(i) {
-		_ = w.leases[i].Rest(context.Background()) // An outage is one of the cases.
+		_ = w.leases[i].MarkIdle(context.Background()) // An outage is one of the cases.
 	}
 }
 
--- a/roles/order.go
+++ b/roles/order.go
@@ -143,7 +143,7 @@
 func (c *Controller) rest(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	return c.options.Lease.Rest(ctx)
+	return c.options.Lease.MarkIdle(ctx)
 }
 
 // withdraw takes back announced changes whose orders were not sent.
