--- a/controller/engineorder/reconciler.go
+++ b/controller/engineorder/reconciler.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return controller.Result{}, err
 	}
-	if !pool.ChecksFence && !held.WaitedOut(r.options.OrderTimeout) {
+	if !pool.ChecksFence && !held.TakeoverWaitOver(r.options.OrderTimeout) {
 		return controller.Result{RequeueAfter: busyRetry}, nil
 	}
 	done, err := r.send(ctx, held, fence, wanted)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -180,10 +180,10 @@
 	return nil
 }
 
-// WaitedOut reports whether the given time has passed since the lease was taken
+// TakeoverWaitOver reports whether the given time has passed since the lease was taken
 // from a holder that had not released it: an order of that holder may have been
 // under way. Engines that check fences need no such wait.
-func (l *Lease) WaitedOut(longest time.Duration) bool {
+func (l *Lease) TakeoverWaitOver(longest time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.takenOverAt.IsZero() || l.options.Now().Sub(l.takenOverAt) >= longest
--- a/lease/property_test.go
+++ b/lease/property_test.go
@@ -64,7 +64,7 @@
 
 // send sends an order to an engine that does not check fences.
 func (w *world) send(i int) {
-	if !w.leases[i].WaitedOut(longestOrder) || w.leases[i].Check(longestOrder) != nil {
+	if !w.leases[i].TakeoverWaitOver(longestOrder) || w.leases[i].Check(longestOrder) != nil {
 		return
 	}
 	for _, other := range w.orders {
@@ -139,7 +139,7 @@
 	w.acquire(0)
 	w.rest(0)
 	w.acquire(1)
-	if w.fences[1] != 2 || !w.leases[1].WaitedOut(longestOrder) {
+	if w.fences[1] != 2 || !w.leases[1].TakeoverWaitOver(longestOrder) {
 		t.Fatalf("fence %d", w.fences[1])
 	}
 	if w.leases[0].Check(0) == nil {
--- a/roles/order.go
+++ b/roles/order.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	if !c.options.Lease.WaitedOut(c.options.LatestOrder) {
+	if !c.options.Lease.TakeoverWaitOver(c.options.LatestOrder) {
 		return nil
 	}
 	ready, err := c.prepare(ctx, planned)
