--- a/lease/lease.go
+++ b/lease/lease.go
@@ -14,8 +14,8 @@
 // ErrHeld is returned when another node holds the lease.
 var ErrHeld = errors.New("lease: held by another node")
 
-// ErrLapsed is returned when too little of the lease is left to act.
-var ErrLapsed = errors.New("lease: lapsed")
+// ErrExpiring is returned when too little of the lease is left to act.
+var ErrExpiring = errors.New("lease: lapsed")
 
 // Record is the stored form of a lease.
 type Record struct {
@@ -175,7 +175,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.held || l.options.Now().Add(longest+l.options.Margin).After(l.until) {
-		return ErrLapsed
+		return ErrExpiring
 	}
 	return nil
 }
