--- a/backend/entry.go
+++ b/backend/entry.go
@@ -161,8 +161,8 @@
 	return seen.decayed(seen.failing, e.now())
 }
 
-// Sound reports whether the back end has not failed lately.
-func (e *Entry) Sound() bool {
+// Healthy reports whether the back end has not failed lately.
+func (e *Entry) Healthy() bool {
 	seen := e.observations()
 	return seen.decayed(seen.failures, e.now()) <= unsoundFailures
 }
--- a/backend/registry_test.go
+++ b/backend/registry_test.go
@@ -102,7 +102,7 @@
 	g.Expect(registry.Lookup("a@1")).To(BeNil())
 	g.Expect(before.LeavingFor()).To(BeNumerically(">", 0))
 	current := registry.Lookup("a@2")
-	g.Expect(current.Sound()).To(BeTrue())
+	g.Expect(current.Healthy()).To(BeTrue())
 	g.Expect(current.IsFull()).To(BeFalse())
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1))
 	g.Expect(registry.Remove("a@1")).To(BeFalse(), "the life before is gone already")
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -242,7 +242,7 @@
 func (h *Handler) decodeCandidates(service string, avoid map[string]bool) []*backend.Entry {
 	var candidates []*backend.Entry
 	for _, entry := range h.options.Backends.Ready(service, backend.RoleDecode) {
-		if !avoid[entry.Backend().ID] && entry.Sound() && entry.BackoffLeft() == 0 && h.options.Assignable(entry) {
+		if !avoid[entry.Backend().ID] && entry.Healthy() && entry.BackoffLeft() == 0 && h.options.Assignable(entry) {
 			candidates = append(candidates, entry)
 		}
 	}
