--- a/backend/entry.go
+++ b/backend/entry.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// Failing returns the share of requests that seem to fail there.
-func (e *Entry) Failing() float64 {
+// FailureRate returns the share of requests that seem to fail there.
+func (e *Entry) FailureRate() float64 {
 	seen := e.observations()
 	return seen.decayed(seen.failing, e.now())
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -60,6 +60,6 @@
 	described := entry.Backend()
 	return admission.Candidate{
 		ID: described.ID, SameZone: described.Zone == h.options.Zone,
-		Pending: entry.Pending(), FailureRate: entry.Failing(), Full: entry.IsFull(),
+		Pending: entry.Pending(), FailureRate: entry.FailureRate(), Full: entry.IsFull(),
 	}
 }
