--- a/backend/entry.go
+++ b/backend/entry.go
@@ -135,8 +135,8 @@
 // Pending returns how many requests this node has under way there.
 func (e *Entry) Pending() int { return int(e.pending.Load()) }
 
-// Failed notes a failure of the back end itself.
-func (e *Entry) Failed() {
+// RecordFailure notes a failure of the back end itself.
+func (e *Entry) RecordFailure() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now, seen := e.now(), e.observed()
--- a/backend/registry_test.go
+++ b/backend/registry_test.go
@@ -96,7 +96,7 @@
 	}
 	registry.Update(life(1))
 	before := registry.Lookup("a@1")
-	before.Failed()
+	before.RecordFailure()
 	before.Full(time.Hour)
 	g.Expect(registry.Update(life(2))).To(BeTrue())
 	g.Expect(registry.Lookup("a@1")).To(BeNil())
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -147,7 +147,7 @@
 	answer, err := x.handler.options.Dialect.Send(sendContext, target, x.request, left)
 	if errors.Is(err, ErrNotSent) {
 		outcome = admission.OutcomeFailed
-		entry.Failed()
+		entry.RecordFailure()
 		return nil, &tryError{failure: notRun(ReasonBackendFailed, retryShed, err)}
 	}
 	x.runArrived()
@@ -177,7 +177,7 @@
 		return nil, &tryError{failure: unknown(ReasonBackendFailed, errors.Newf("status %d", answer.Status)), arrived: true, ran: true}
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		entry.Failed()
+		entry.RecordFailure()
 		return answer, &tryError{failure: unknown(ReasonBackendFailed, nil), arrived: true, ran: true}
 	}
 	outcome = admission.OutcomeAnswered
@@ -199,7 +199,7 @@
 
 // misdirected takes note of an answer of another incarnation.
 func (x *exchange) misdirected(entry *backend.Entry, answer *Answer) {
-	entry.Failed()
+	entry.RecordFailure()
 	if answer.Replaced && x.handler.options.Backends.Remove(entry.Backend().ID) {
 		x.handler.options.Logger.Info("back end replaced", "backend", entry.Backend().ID, "request", x.request.ID)
 	}
@@ -210,7 +210,7 @@
 	x.runs++
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		// A back end that says nothing until the time is over has failed as well.
-		entry.Failed()
+		entry.RecordFailure()
 	}
 	if failure := ended(ctx); failure != nil {
 		return failure
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -54,7 +54,7 @@
 		if err == nil || ended(ctx) != nil || isReason(err, ReasonCallerLeft) {
 			return err
 		}
-		taken.entry.Failed()
+		taken.entry.RecordFailure()
 		avoid[taken.entry.Backend().ID] = true
 		if !x.mayResume() {
 			return err
@@ -169,7 +169,7 @@
 	if failure := ended(ctx); failure != nil {
 		return failure
 	}
-	taken.entry.Failed()
+	taken.entry.RecordFailure()
 	taken.refusal = coordinator.RefusalFailed
 	if errors.Is(err, ErrNotSent) {
 		return &tryError{failure: notRun(ReasonBackendFailed, retryShed, err)}
@@ -251,7 +251,7 @@
 	case err != nil && ctx.Err() != nil:
 		return nil, err
 	case err != nil:
-		entry.Failed()
+		entry.RecordFailure()
 		taken.prefillFailed(entry.Backend().ID, limited.Err() != nil)
 		if limited.Err() != nil {
 			x.handler.logWasted(x, entry.Backend().ID, wasteReadingGivenUp)
@@ -268,7 +268,7 @@
 		entry.Full(fullMemory)
 		return nil, errors.Newf("prefill refused with status %d", answer.Status)
 	case result == nil:
-		entry.Failed()
+		entry.RecordFailure()
 		taken.prefillFailed(entry.Backend().ID, false)
 		return nil, errors.Newf("prefill failed with status %d", answer.Status)
 	}
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -221,7 +221,7 @@
 	case ctx.Err() != nil:
 		return nil, coordinator.RefusalNone, ended(ctx)
 	case err != nil:
-		entry.Failed()
+		entry.RecordFailure()
 		x.handler.options.Metrics.Add("reservation_errors", 1)
 		return nil, coordinator.RefusalFailed, nil
 	case reservation == nil && entry.BackoffLeft() > 0:
