--- a/backend/entry.go
+++ b/backend/entry.go
@@ -146,8 +146,8 @@
 	seen.failureAt = now
 }
 
-// Succeeded notes an answer.
-func (e *Entry) Succeeded() {
+// RecordSuccess notes an answer.
+func (e *Entry) RecordSuccess() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.seen != nil {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -181,7 +181,7 @@
 		return answer, &tryError{failure: unknown(ReasonBackendFailed, nil), arrived: true, ran: true}
 	}
 	outcome = admission.OutcomeAnswered
-	entry.Succeeded()
+	entry.RecordSuccess()
 	x.ranToEnd()
 	return answer, nil
 }
