--- a/backend/entry.go
+++ b/backend/entry.go
@@ -175,8 +175,8 @@
 	return value * math.Exp2(-now.Sub(o.failureAt).Seconds()/failureHalfLife.Seconds())
 }
 
-// Full notes that the back end has no capacity until the given time has passed.
-func (e *Entry) Full(lasting time.Duration) {
+// MarkFull notes that the back end has no capacity until the given time has passed.
+func (e *Entry) MarkFull(lasting time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.observed().fullUntil = e.now().Add(lasting)
--- a/backend/registry_test.go
+++ b/backend/registry_test.go
@@ -97,7 +97,7 @@
 	registry.Update(life(1))
 	before := registry.Lookup("a@1")
 	before.RecordFailure()
-	before.Full(time.Hour)
+	before.MarkFull(time.Hour)
 	g.Expect(registry.Update(life(2))).To(BeTrue())
 	g.Expect(registry.Lookup("a@1")).To(BeNil())
 	g.Expect(before.LeavingFor()).To(BeNumerically(">", 0))
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -166,7 +166,7 @@
 		return answer, &tryError{failure: notRun(ReasonBackendRefused, retryShed, nil), arrived: true}
 	case answer.NotRun:
 		outcome = admission.OutcomeRejected
-		entry.Full(fullMemory)
+		entry.MarkFull(fullMemory)
 		return answer, &tryError{failure: notRun(ReasonBackendRefused, retryShed, nil), arrived: true}
 	}
 	outcome = admission.OutcomeFailed
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -265,7 +265,7 @@
 		taken.prefillFailed(entry.Backend().ID, false)
 		return nil, errors.Newf("prefill refused with status %d", answer.Status)
 	case result == nil && answer.NotRun:
-		entry.Full(fullMemory)
+		entry.MarkFull(fullMemory)
 		return nil, errors.Newf("prefill refused with status %d", answer.Status)
 	case result == nil:
 		entry.RecordFailure()
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -231,7 +231,7 @@
 		x.handler.options.Metrics.Add("reservation_refusals", 1)
 		return nil, coordinator.RefusalNone, nil
 	case reservation == nil:
-		entry.Full(fullMemory)
+		entry.MarkFull(fullMemory)
 		x.handler.options.Metrics.Add("reservation_refusals", 1)
 		return nil, coordinator.RefusalFull, nil
 	}
