--- a/backend/backend.go
+++ b/backend/backend.go
@@ -27,9 +27,9 @@
 	// RegisteredAs is the identifier that the back end keeps over its lives; empty where it is
 	// the ID.
 	RegisteredAs string
-	// Born is when this life began, as a Unix millisecond; zero if that is not known.
-	Born    int64
-	Service string
+	// StartedAt is when this life began, as a Unix millisecond; zero if that is not known.
+	StartedAt int64
+	Service   string
 	// Address is an IP address and port.
 	Address string
 	Zone    string
--- a/backend/memory_test.go
+++ b/backend/memory_test.go
@@ -18,7 +18,7 @@
 	for i := range count {
 		name := fmt.Sprintf("%016x", i)
 		registry.Update(backend.Backend{
-			ID: name + "@1764753200000", RegisteredAs: name, Born: 1764753200000, Service: "s", Zone: "a",
+			ID: name + "@1764753200000", RegisteredAs: name, StartedAt: 1764753200000, Service: "s", Zone: "a",
 			Address: fmt.Sprintf("10.1.%d.%d:8144", i/250, i%250), State: backend.StateReady, Slots: 24,
 		})
 	}
--- a/backend/notice.go
+++ b/backend/notice.go
@@ -113,7 +113,7 @@
 // reports whether there was anything.
 func (e *Entry) inherit(before *Entry) bool {
 	seen := before.observations()
-	if seen.heardAt < e.Backend().Born {
+	if seen.heardAt < e.Backend().StartedAt {
 		return false
 	}
 	now, period := e.now(), seen.backoff
--- a/backend/notice_test.go
+++ b/backend/notice_test.go
@@ -21,7 +21,7 @@
 
 func lifeOf(born int64, state backend.State) backend.Backend {
 	names := map[int64]string{0: "a", 1: "a@1", 2: "a@2"}
-	return backend.Backend{ID: names[born], RegisteredAs: "a", Born: born, Service: "first", State: state}
+	return backend.Backend{ID: names[born], RegisteredAs: "a", StartedAt: born, Service: "first", State: state}
 }
 
 // TestAWordOutlivesWhatDiscoveryTells has discovery tell in each way that a back end is ready which has
@@ -95,7 +95,7 @@
 		registry := backend.NewRegistry(clock.read)
 		registry.UseTimeOfDay(clock.read)
 		born := func(at time.Time) backend.Backend {
-			return backend.Backend{ID: "a@" + at.String(), RegisteredAs: "a", Born: at.UnixMilli(), Service: "first", State: backend.StateReady}
+			return backend.Backend{ID: "a@" + at.String(), RegisteredAs: "a", StartedAt: at.UnixMilli(), Service: "first", State: backend.StateReady}
 		}
 		before := born(clock.read())
 		registry.Update(before)
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -178,7 +178,7 @@
 // Without it a back end that had asked for backoff before it was known had three requests meanwhile.
 func (r *Registry) inherit(entry *Entry) {
 	current := entry.Backend()
-	if current.Born == 0 {
+	if current.StartedAt == 0 {
 		return
 	}
 	for id, life := range r.departed {
--- a/backend/registry_test.go
+++ b/backend/registry_test.go
@@ -91,7 +91,7 @@
 	registry := backend.NewRegistry(time.Now)
 	life := func(born int64) backend.Backend {
 		return backend.Backend{
-			ID: fmt.Sprintf("a@%d", born), RegisteredAs: "a", Born: born, Service: "first", State: backend.StateReady,
+			ID: fmt.Sprintf("a@%d", born), RegisteredAs: "a", StartedAt: born, Service: "first", State: backend.StateReady,
 		}
 	}
 	registry.Update(life(1))
