--- a/backend/notice.go
+++ b/backend/notice.go
@@ -65,9 +65,9 @@
 	return backoff
 }
 
-// BackoffLeft returns for how much longer the back end wants no request from this node; zero where it is
+// BackoffRemaining returns for how much longer the back end wants no request from this node; zero where it is
 // not in backoff.
-func (e *Entry) BackoffLeft() time.Duration {
+func (e *Entry) BackoffRemaining() time.Duration {
 	if !e.askedForBackoff.Load() {
 		return 0
 	}
@@ -84,7 +84,7 @@
 }
 
 // isWithheld reports whether the back end has said something for which this node gives it no work now.
-func (e *Entry) isWithheld() bool { return e.saidLeaving.Load() || e.BackoffLeft() > 0 }
+func (e *Entry) isWithheld() bool { return e.saidLeaving.Load() || e.BackoffRemaining() > 0 }
 
 // adopt takes over what the same life said before its entry was removed for a while.
 func (e *Entry) adopt(before *Entry) {
--- a/backend/notice_test.go
+++ b/backend/notice_test.go
@@ -68,7 +68,7 @@
 	clock.pass(time.Second)
 	registry.Update(lifeOf(1, backend.StateReady))
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(BeEmpty())
-	g.Expect(registry.Lookup("a@1").BackoffLeft()).To(Equal(time.Hour - time.Second))
+	g.Expect(registry.Lookup("a@1").BackoffRemaining()).To(Equal(time.Hour - time.Second))
 }
 
 // TestTheNextLifeIsUsed has a back end start again after it has said that it leaves.
@@ -83,7 +83,7 @@
 	registry.Update(lifeOf(2, backend.StateReady))
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1))
 	g.Expect(registry.Withheld("first")).To(BeEmpty())
-	g.Expect(registry.Lookup("a@2").BackoffLeft()).To(BeZero())
+	g.Expect(registry.Lookup("a@2").BackoffRemaining()).To(BeZero())
 }
 
 // TestAWordOfALifeThatIsNotKnownYetCountsForIt has a back end start again and say something before discovery
@@ -108,7 +108,7 @@
 		}
 		clock.pass(time.Second)
 		registry.Update(next)
-		g.Expect(registry.Lookup(next.ID).BackoffLeft()).To(Equal(4 * time.Second))
+		g.Expect(registry.Lookup(next.ID).BackoffRemaining()).To(Equal(4 * time.Second))
 		clock.pass(time.Minute)
 		later := born(clock.read())
 		clock.pass(time.Second)
@@ -117,9 +117,9 @@
 			registry.RemoveRegistered("a")
 		}
 		registry.Update(later)
-		g.Expect(registry.Lookup(later.ID).BackoffLeft()).To(Equal(10*time.Second), "it leaves, if clocks agree")
+		g.Expect(registry.Lookup(later.ID).BackoffRemaining()).To(Equal(10*time.Second), "it leaves, if clocks agree")
 		clock.pass(10 * time.Second)
-		g.Expect(registry.Lookup(later.ID).BackoffLeft()).To(BeZero())
+		g.Expect(registry.Lookup(later.ID).BackoffRemaining()).To(BeZero())
 		g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1), "its next answer tells")
 	}
 }
@@ -178,7 +178,7 @@
 	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Backoff: 3 * time.Second}).Backoff).To(Equal(3 * time.Second))
 	clock.pass(time.Second)
 	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Backoff: time.Second}).IsEmpty()).To(BeTrue(), "it is in backoff already")
-	g.Expect(registry.Lookup("a@1").BackoffLeft()).To(Equal(2 * time.Second))
+	g.Expect(registry.Lookup("a@1").BackoffRemaining()).To(Equal(2 * time.Second))
 	g.Expect(registry.Lookup("a@1").BackingOffFor()).To(Equal(time.Second))
 	g.Expect(registry.AllBackingOff("first", backend.RoleNone)).To(Equal(2 * time.Second))
 	g.Expect(registry.AllBackingOff("second", backend.RoleNone)).To(BeZero())
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -303,7 +303,7 @@
 		if entry.backend.Load().Role != role || !entry.TakesWork() {
 			continue
 		}
-		left := entry.BackoffLeft()
+		left := entry.BackoffRemaining()
 		if left == 0 {
 			return 0
 		}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -35,7 +35,7 @@
 	entries := make([]*backend.Entry, 0, len(drawn)+len(near))
 	candidates := make([]admission.Candidate, 0, len(drawn)+len(near))
 	add := func(entry *backend.Entry, onlyNear bool) {
-		if tried[entry.ID()] || entry.BackoffLeft() > 0 || !h.options.Assignable(entry) {
+		if tried[entry.ID()] || entry.BackoffRemaining() > 0 || !h.options.Assignable(entry) {
 			return
 		}
 		candidate := h.candidate(entry)
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -150,7 +150,7 @@
 	}
 	if answer.NotRun || answer.Misdirected {
 		_ = answer.Body.Close()
-		if taken.entry.BackoffLeft() == 0 {
+		if taken.entry.BackoffRemaining() == 0 {
 			taken.refusal = coordinator.RefusalClosed
 		}
 		x.keepPrompt(ctx, prompt, wasteDecodeRefused)
@@ -212,7 +212,7 @@
 func (x *exchange) prefillEngine(taken *reservedEngine, tried map[string]bool) *backend.Entry {
 	if len(tried) == 0 && taken.prefillEngine != "" {
 		entry := x.handler.options.Backends.Lookup(taken.prefillEngine)
-		if entry != nil && entry.TakesWork() && entry.BackoffLeft() == 0 {
+		if entry != nil && entry.TakesWork() && entry.BackoffRemaining() == 0 {
 			return entry
 		}
 	}
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -148,7 +148,7 @@
 	entry := x.handler.options.Backends.Lookup(assigned.Decode)
 	var reservation *Reservation
 	refusal := coordinator.RefusalFull
-	if entry != nil && entry.TakesWork() && entry.BackoffLeft() == 0 {
+	if entry != nil && entry.TakesWork() && entry.BackoffRemaining() == 0 {
 		reservation, refusal, err = x.reserveAt(ctx, entry, profile, reservationSize{assigned: true, promptReady: assigned.PromptReady})
 	}
 	if err != nil {
@@ -224,7 +224,7 @@
 		entry.RecordFailure()
 		x.handler.options.Metrics.Add("reservation_errors", 1)
 		return nil, coordinator.RefusalFailed, nil
-	case reservation == nil && entry.BackoffLeft() > 0:
+	case reservation == nil && entry.BackoffRemaining() > 0:
 		// It wants backoff from this node, and may have capacity for others. With a pause for all nodes,
 		// where engines turn one call in twenty away, 0.44 of the streams were in time in place of 0.59
 		// (four nodes, six engines, 50 streams a second, means of six runs).
@@ -242,7 +242,7 @@
 func (h *Handler) decodeCandidates(service string, avoid map[string]bool) []*backend.Entry {
 	var candidates []*backend.Entry
 	for _, entry := range h.options.Backends.Ready(service, backend.RoleDecode) {
-		if !avoid[entry.Backend().ID] && entry.Healthy() && entry.BackoffLeft() == 0 && h.options.Assignable(entry) {
+		if !avoid[entry.Backend().ID] && entry.Healthy() && entry.BackoffRemaining() == 0 && h.options.Assignable(entry) {
 			candidates = append(candidates, entry)
 		}
 	}
@@ -261,7 +261,7 @@
 // giveUp has an engine free something, without waiting for it. An engine in backoff is called once that is
 // over, because it wants no call at all meanwhile.
 func (x *exchange) giveUp(ctx context.Context, engine *backend.Entry, errorsMetric string, free func(context.Context) error) {
-	backoff := engine.BackoffLeft()
+	backoff := engine.BackoffRemaining()
 	if backoff > longestFreeWait {
 		return
 	}
--- a/router/reports.go
+++ b/router/reports.go
@@ -67,7 +67,7 @@
 	var asked sync.WaitGroup
 	for _, id := range turns.take(engines, func(id string) bool { return inUse[id] }) {
 		entry := r.backends.Lookup(id)
-		if entry == nil || entry.BackoffLeft() > 0 {
+		if entry == nil || entry.BackoffRemaining() > 0 {
 			continue
 		}
 		asked.Go(func() {
