--- a/backend/notice_test.go
+++ b/backend/notice_test.go
@@ -31,8 +31,8 @@
 	clock := newHandClock()
 	registry := backend.NewRegistry(clock.read)
 	registry.Update(lifeOf(1, backend.StateReady))
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true})).To(Equal(backend.Notice{Leaving: true}))
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true}).IsEmpty()).To(BeTrue(), "it is no news any more")
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true})).To(Equal(backend.Notice{Leaving: true}))
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true}).IsEmpty()).To(BeTrue(), "it is no news any more")
 	clock.pass(time.Second)
 	expectLeaving := func() {
 		g.Expect(registry.Ready("first", backend.RoleNone)).To(BeEmpty())
@@ -63,8 +63,8 @@
 	registry := backend.NewRegistry(clock.read)
 	registry.Update(lifeOf(1, backend.StateReady))
 	registry.RemoveRegistered("a")
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true}).Leaving).To(BeTrue())
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Backoff: time.Hour}).Backoff).To(Equal(time.Hour), "and a word more")
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true}).Leaving).To(BeTrue())
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Backoff: time.Hour}).Backoff).To(Equal(time.Hour), "and a word more")
 	clock.pass(time.Second)
 	registry.Update(lifeOf(1, backend.StateReady))
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(BeEmpty())
@@ -79,7 +79,7 @@
 	// What it says is heard after this life has begun and before the next one.
 	registry.UseTimeOfDay(func() time.Time { return time.UnixMilli(1) })
 	registry.Update(lifeOf(1, backend.StateReady))
-	registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true, Backoff: time.Hour})
+	registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true, Backoff: time.Hour})
 	registry.Update(lifeOf(2, backend.StateReady))
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1))
 	g.Expect(registry.Withheld("first")).To(BeEmpty())
@@ -102,7 +102,7 @@
 		clock.pass(time.Minute)
 		next := born(clock.read())
 		clock.pass(time.Second)
-		registry.Heard(before, backend.Notice{Backoff: 5 * time.Second})
+		registry.RecordNotice(before, backend.Notice{Backoff: 5 * time.Second})
 		if lapsed {
 			registry.RemoveRegistered("a")
 		}
@@ -112,7 +112,7 @@
 		clock.pass(time.Minute)
 		later := born(clock.read())
 		clock.pass(time.Second)
-		registry.Heard(next, backend.Notice{Leaving: true})
+		registry.RecordNotice(next, backend.Notice{Leaving: true})
 		if lapsed {
 			registry.RemoveRegistered("a")
 		}
@@ -130,7 +130,7 @@
 	clock := newHandClock()
 	registry := backend.NewRegistry(clock.read)
 	registry.Update(lifeOf(0, backend.StateReady))
-	registry.Heard(lifeOf(0, backend.StateReady), backend.Notice{Leaving: true})
+	registry.RecordNotice(lifeOf(0, backend.StateReady), backend.Notice{Leaving: true})
 	registry.RemoveRegistered("a")
 	clock.pass(59 * time.Second)
 	registry.Update(lifeOf(0, backend.StateReady))
@@ -157,7 +157,7 @@
 			case 1:
 				registry.Remove(life.ID)
 			default:
-				registry.Heard(life, backend.Notice{Leaving: true})
+				registry.RecordNotice(life, backend.Notice{Leaving: true})
 				said[life.ID] = true
 			}
 			for _, entry := range registry.Ready("first", backend.RoleNone) {
@@ -175,9 +175,9 @@
 	clock := newHandClock()
 	registry := backend.NewRegistry(clock.read)
 	registry.Update(lifeOf(1, backend.StateReady))
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Backoff: 3 * time.Second}).Backoff).To(Equal(3 * time.Second))
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Backoff: 3 * time.Second}).Backoff).To(Equal(3 * time.Second))
 	clock.pass(time.Second)
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Backoff: time.Second}).IsEmpty()).To(BeTrue(), "it is in backoff already")
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Backoff: time.Second}).IsEmpty()).To(BeTrue(), "it is in backoff already")
 	g.Expect(registry.Lookup("a@1").BackoffRemaining()).To(Equal(2 * time.Second))
 	g.Expect(registry.Lookup("a@1").BackingOffFor()).To(Equal(time.Second))
 	g.Expect(registry.AllBackingOff("first", backend.RoleNone)).To(Equal(2 * time.Second))
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -251,9 +251,9 @@
 	return r.byID[id]
 }
 
-// Heard notes what a life of a back end has said of itself in an answer. It reports what of that was not
+// RecordNotice notes what a life of a back end has said of itself in an answer. It reports what of that was not
 // known. Its entry may have lapsed meanwhile, and be written once more as it was.
-func (r *Registry) Heard(target Backend, said Notice) Notice {
+func (r *Registry) RecordNotice(target Backend, said Notice) Notice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	entry := r.byID[target.ID]
--- a/engine/dialect/dialect_test.go
+++ b/engine/dialect/dialect_test.go
@@ -65,7 +65,7 @@
 	handler := gateway.New(gateway.Options{
 		Dialect: dialect.New(dialect.Options{
 			Node: "node", Engines: engine.NewClient(calls), Services: services,
-			Observe: func(target backend.Backend, said backend.Notice) { f.backends.Heard(target, said) },
+			Observe: func(target backend.Backend, said backend.Notice) { f.backends.RecordNotice(target, said) },
 		}),
 		Backends: f.backends,
 		Budget: retrybudget.New(retrybudget.Options{
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -36,7 +36,7 @@
 	backends := twoBackends()
 	decisions := admission.NewNode("n", func() time.Duration { return 0 })
 	handler := newPlainHandlerOf(backends, failingDialect{}, decisions)
-	backends.Heard(backend.Backend{ID: "b"}, backend.Notice{Backoff: time.Minute})
+	backends.RecordNotice(backend.Backend{ID: "b"}, backend.Notice{Backoff: time.Minute})
 	got := askOnce(handler)
 	g.Expect(got.Code).To(Equal(http.StatusInternalServerError))
 	g.Expect(got.Body.String()).To(Equal("own words"))
@@ -48,12 +48,12 @@
 	backends := twoBackends()
 	dialect := countingDialect{sent: map[string]int{}}
 	handler := newPlainHandlerOf(backends, dialect, admission.NewNode("n", func() time.Duration { return 0 }))
-	backends.Heard(backend.Backend{ID: "b"}, backend.Notice{Backoff: time.Minute})
+	backends.RecordNotice(backend.Backend{ID: "b"}, backend.Notice{Backoff: time.Minute})
 	for range 50 {
 		g.Expect(askOnce(handler).Code).To(Equal(http.StatusOK))
 	}
 	g.Expect(dialect.sent).To(Equal(map[string]int{"a": 50}))
-	backends.Heard(backend.Backend{ID: "a"}, backend.Notice{Backoff: time.Second})
+	backends.RecordNotice(backend.Backend{ID: "a"}, backend.Notice{Backoff: time.Second})
 	refused := askOnce(handler)
 	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(refused.Body.String()).To(HavePrefix(string(gateway.ReasonBackoff)))
--- a/router/notices.go
+++ b/router/notices.go
@@ -6,7 +6,7 @@
 // line when it first says that it leaves, and one each time that it asks for backoff. What it says again
 // shows that it was sent something in spite of that, and is counted for the next summary.
 func (r *Router) heardBackend(target backend.Backend, said backend.Notice) {
-	news := r.backends.Heard(target, said)
+	news := r.backends.RecordNotice(target, said)
 	if news.Leaving {
 		r.metrics.Add("backends_said_leaving", 1)
 		r.options.Logger.Info("back end leaves", "backend", target.ID, "service", target.Service, "role", string(target.Role),
