--- a/backend/registry.go
+++ b/backend/registry.go
@@ -290,9 +290,9 @@
 	return withheld
 }
 
-// AllBackingOff returns how long it is until the first back end of a service and role wants requests from
+// ServiceBackoff returns how long it is until the first back end of a service and role wants requests from
 // this node again, where all that take work are in backoff; zero where one is not, or there is none.
-func (r *Registry) AllBackingOff(service string, role Role) time.Duration {
+func (r *Registry) ServiceBackoff(service string, role Role) time.Duration {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if len(r.notices) == 0 {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -82,7 +82,7 @@
 // asked this node for backoff, and otherwise the given error. The caller comes back when the first of them
 // wants requests again.
 func (x *exchange) allBackingOff(role backend.Role, err error) error {
-	wait := x.handler.options.Backends.AllBackingOff(x.service, role)
+	wait := x.handler.options.Backends.ServiceBackoff(x.service, role)
 	if wait == 0 || x.runs > 0 {
 		return err
 	}
