--- a/backend/notice_test.go
+++ b/backend/notice_test.go
@@ -77,7 +77,7 @@
 	clock := newHandClock()
 	registry := backend.NewRegistry(clock.read)
 	// What it says is heard after this life has begun and before the next one.
-	registry.UseTimeOfDay(func() time.Time { return time.UnixMilli(1) })
+	registry.SetWallClock(func() time.Time { return time.UnixMilli(1) })
 	registry.Update(lifeOf(1, backend.StateReady))
 	registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true, Backoff: time.Hour})
 	registry.Update(lifeOf(2, backend.StateReady))
@@ -93,7 +93,7 @@
 		g := NewWithT(t)
 		clock := newHandClock()
 		registry := backend.NewRegistry(clock.read)
-		registry.UseTimeOfDay(clock.read)
+		registry.SetWallClock(clock.read)
 		born := func(at time.Time) backend.Backend {
 			return backend.Backend{ID: "a@" + at.String(), RegisteredAs: "a", StartedAt: at.UnixMilli(), Service: "first", State: backend.StateReady}
 		}
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// UseTimeOfDay replaces the clock that is compared with the times at which lives began. Default time.Now. It
+// SetWallClock replaces the clock that is compared with the times at which lives began. Default time.Now. It
 // is called before all other calls.
-func (r *Registry) UseTimeOfDay(timeOfDay func() time.Time) { r.timeOfDay = timeOfDay }
+func (r *Registry) SetWallClock(timeOfDay func() time.Time) { r.timeOfDay = timeOfDay }
 
 // Synced reports whether a whole list of back ends has been seen.
 func (r *Registry) Synced() bool {
