--- a/backend/sample.go
+++ b/backend/sample.go
@@ -16,8 +16,8 @@
 	return group{described.Service, described.Role, described.Zone}
 }
 
-// Wanted describes the back ends of a sample.
-type Wanted struct {
+// SampleOptions describes the back ends of a sample.
+type SampleOptions struct {
 	Service string
 	Role    Role
 	// Zone is where all of them are to be; empty for anywhere.
@@ -35,7 +35,7 @@
 // Where there are few enough, it returns all and says so. A choice among a few that are drawn is
 // nearly as good as one among thousands (Mitzenmacher, "The Power of Two Choices in Randomized Load
 // Balancing", 2001), and costs the same however many there are.
-func (r *Registry) Sample(wanted Wanted, random Random) (drawn []*Entry, isAll bool) {
+func (r *Registry) Sample(wanted SampleOptions, random Random) (drawn []*Entry, isAll bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	groups, total := r.groupsOf(wanted)
@@ -54,7 +54,7 @@
 }
 
 // groupsOf returns the groups of which a sample is drawn, and how many back ends they have; the lock is held.
-func (r *Registry) groupsOf(wanted Wanted) (groups [][]*Entry, total int) {
+func (r *Registry) groupsOf(wanted SampleOptions) (groups [][]*Entry, total int) {
 	for key, entries := range r.groups {
 		isWanted := key.service == wanted.Service && key.role == wanted.Role
 		if isWanted && (wanted.Zone == "" || key.zone == wanted.Zone) {
--- a/backend/sample_test.go
+++ b/backend/sample_test.go
@@ -42,7 +42,7 @@
 			}
 		}
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		wanted := backend.Wanted{
+		wanted := backend.SampleOptions{
 			Service: "first", Role: backend.RoleDecode, Count: rapid.IntRange(1, 20).Draw(t, "count"),
 			Zone: rapid.SampledFrom([]string{"", "a"}).Draw(t, "wanted zone"),
 		}
@@ -68,7 +68,7 @@
 func TestFewBackEndsAreLookedAtWhole(t *testing.T) {
 	const whole = 60
 	g := NewWithT(t)
-	wanted := backend.Wanted{Service: "s", Role: backend.RoleDecode, Count: 32, Whole: whole}
+	wanted := backend.SampleOptions{Service: "s", Role: backend.RoleDecode, Count: 32, Whole: whole}
 	drawn, isAll := manyBackends(whole).Sample(wanted, rand.IntN)
 	g.Expect(isAll).To(BeTrue())
 	g.Expect(drawn).To(HaveLen(whole))
@@ -83,7 +83,7 @@
 	allocations := func(count int) float64 {
 		registry := manyBackends(count)
 		return testing.AllocsPerRun(200, func() {
-			registry.Sample(backend.Wanted{Service: "s", Role: backend.RoleDecode, Count: 32}, rand.IntN)
+			registry.Sample(backend.SampleOptions{Service: "s", Role: backend.RoleDecode, Count: 32}, rand.IntN)
 		})
 	}
 	g.Expect(allocations(10_000)).To(BeNumerically("<=", allocations(100)))
@@ -101,7 +101,7 @@
 	random := rand.New(rand.NewPCG(7, 8))
 	counts := map[string]int{}
 	for range draws {
-		entries, _ := registry.Sample(backend.Wanted{Service: "s", Role: backend.RoleDecode, Count: drawn}, random.IntN)
+		entries, _ := registry.Sample(backend.SampleOptions{Service: "s", Role: backend.RoleDecode, Count: drawn}, random.IntN)
 		for _, entry := range entries {
 			counts[entry.ID()]++
 		}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -17,7 +17,7 @@
 // pick chooses a back end of a service among those that were not tried and are not in backoff, or nil. It
 // looks at a few that are drawn by chance, and at all where none of these can take the request.
 func (h *Handler) pick(service string, role backend.Role, tried map[string]bool) *backend.Entry {
-	wanted := backend.Wanted{Service: service, Role: role, Count: choiceSize}
+	wanted := backend.SampleOptions{Service: service, Role: role, Count: choiceSize}
 	drawn, isAll := h.options.Backends.Sample(wanted, rand.IntN)
 	if isAll {
 		return h.choose(service, drawn, nil, tried)
