--- a/backend/sample.go
+++ b/backend/sample.go
@@ -24,8 +24,8 @@
 	Zone string
 	// Count is how many are drawn. Some may be drawn twice, and some not take work.
 	Count int
-	// Whole is up to how many all are returned, where that is more than Count.
-	Whole int
+	// AllUpTo is up to how many all are returned, where that is more than Count.
+	AllUpTo int
 }
 
 // Random returns a number from 0 up to a bound.
@@ -39,7 +39,7 @@
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	groups, total := r.groupsOf(wanted)
-	if total <= max(wanted.Count, wanted.Whole) {
+	if total <= max(wanted.Count, wanted.AllUpTo) {
 		drawn = make([]*Entry, 0, total)
 		for _, entries := range groups {
 			drawn = append(drawn, entries...)
--- a/backend/sample_test.go
+++ b/backend/sample_test.go
@@ -68,7 +68,7 @@
 func TestFewBackEndsAreLookedAtWhole(t *testing.T) {
 	const whole = 60
 	g := NewWithT(t)
-	wanted := backend.SampleOptions{Service: "s", Role: backend.RoleDecode, Count: 32, Whole: whole}
+	wanted := backend.SampleOptions{Service: "s", Role: backend.RoleDecode, Count: 32, AllUpTo: whole}
 	drawn, isAll := manyBackends(whole).Sample(wanted, rand.IntN)
 	g.Expect(isAll).To(BeTrue())
 	g.Expect(drawn).To(HaveLen(whole))
--- a/router/engines.go
+++ b/router/engines.go
@@ -82,7 +82,7 @@
 // shortlist returns some of them for a node in a zone.
 func (r *Router) shortlist(service, zone string) coordinator.Engines {
 	return r.describeEngines(service, func(role backend.Role) ([]*backend.Entry, bool) {
-		wanted := backend.SampleOptions{Service: service, Role: role, Count: shortlistSize, Whole: wholeSize}
+		wanted := backend.SampleOptions{Service: service, Role: role, Count: shortlistSize, AllUpTo: wholeSize}
 		drawn, isAll := r.backends.Sample(wanted, rand.IntN)
 		if isAll || zone == "" {
 			return drawn, isAll
