--- a/quarantine/archive.go
+++ b/quarantine/archive.go
@@ -27,7 +27,7 @@
 // Its methods are called by one goroutine.
 type Archive struct {
 	store  objectapi.Store
-	keeper *Keeper
+	keeper *Coordinator
 	logger *slog.Logger
 	// wall reads the time of day.
 	wall func() time.Time
@@ -42,7 +42,7 @@
 }
 
 // NewArchive returns an archive that has read nothing.
-func NewArchive(store objectapi.Store, keeper *Keeper, logger *slog.Logger, wall func() time.Time) *Archive {
+func NewArchive(store objectapi.Store, keeper *Coordinator, logger *slog.Logger, wall func() time.Time) *Archive {
 	return &Archive{store: store, keeper: keeper, logger: logger, wall: wall}
 }
 
--- a/quarantine/archive_test.go
+++ b/quarantine/archive_test.go
@@ -60,7 +60,7 @@
 
 // keeperAt is a keeper and its archive on a clock that the test sets.
 type keeperAt struct {
-	*Keeper
+	*Coordinator
 	archive   *Archive
 	now       time.Duration
 	announced map[Fingerprint]Announcement
@@ -68,11 +68,11 @@
 
 func newKeeperAt(store objectapi.Store, now time.Duration) *keeperAt {
 	k := &keeperAt{now: now, announced: map[Fingerprint]Announcement{}}
-	k.Keeper = NewKeeper(KeeperOptions{
+	k.Coordinator = NewKeeper(KeeperOptions{
 		Announce: func(told Announcement) { k.announced[told.Request] = told },
 		Now:      func() time.Duration { return k.now },
 	})
-	k.archive = NewArchive(store, k.Keeper, slog.New(slog.DiscardHandler), func() time.Time { return time.Unix(0, 0).Add(k.now) })
+	k.archive = NewArchive(store, k.Coordinator, slog.New(slog.DiscardHandler), func() time.Time { return time.Unix(0, 0).Add(k.now) })
 	return k
 }
 
--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -34,7 +34,7 @@
 	Coordinators coordinator.Choice
 	Peers        *peer.Client
 	// Local is the keeper where this node is chosen for it.
-	Local *Keeper
+	Local *Coordinator
 	// BecameKeeper is called when this node has been chosen. Default: nothing.
 	BecameKeeper func(ctx context.Context)
 	// Now reads a clock that counts on while the machine is suspended.
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -28,10 +28,10 @@
 	return Standing{Crashes: len(a.Backends), Quarantined: a.Quarantined}
 }
 
-// Keeper brings together what all nodes saw of back ends that ended, on the node that coordinates
+// Coordinator brings together what all nodes saw of back ends that ended, on the node that coordinates
 // this. It answers requests that return to one node after the other: each of them sees less than
 // the crashes that make a quarantine. It is safe for concurrent use.
-type Keeper struct {
+type Coordinator struct {
 	options KeeperOptions
 
 	mu    sync.Mutex
@@ -41,12 +41,12 @@
 }
 
 // NewKeeper returns a keeper that knows of nothing.
-func NewKeeper(options KeeperOptions) *Keeper {
-	return &Keeper{options: options, table: NewTable(), announced: map[Fingerprint]heardStanding{}}
+func NewKeeper(options KeeperOptions) *Coordinator {
+	return &Coordinator{options: options, table: NewTable(), announced: map[Fingerprint]heardStanding{}}
 }
 
 // take takes over what a node tells, and answers it.
-func (k *Keeper) take(told report) reply {
+func (k *Coordinator) take(told report) reply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.options.Now()
@@ -72,7 +72,7 @@
 
 // Adopt takes over what an earlier keeper has announced, without telling it once more. The nodes
 // whose evidence it was may be gone.
-func (k *Keeper) Adopt(earlier Announcement) {
+func (k *Coordinator) Adopt(earlier Announcement) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.options.Now()
@@ -81,7 +81,7 @@
 }
 
 // Restore takes over a quarantine of which the nodes may not know any more.
-func (k *Keeper) Restore(earlier Announcement) {
+func (k *Coordinator) Restore(earlier Announcement) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.options.Now()
@@ -90,7 +90,7 @@
 }
 
 // End holds nothing against a request any more.
-func (k *Keeper) End(request Fingerprint) {
+func (k *Coordinator) End(request Fingerprint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.table.Answered(request)
@@ -98,7 +98,7 @@
 }
 
 // Expire forgets what no longer counts, and takes back what was announced of it.
-func (k *Keeper) Expire() {
+func (k *Coordinator) Expire() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.options.Now()
@@ -109,7 +109,7 @@
 }
 
 // Quarantined returns the requests that are kept away.
-func (k *Keeper) Quarantined() []Announcement {
+func (k *Coordinator) Quarantined() []Announcement {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.options.Now()
@@ -121,7 +121,7 @@
 }
 
 // announcement is what there is to tell of a request; the lock is held.
-func (k *Keeper) announcement(now time.Duration, request Fingerprint) Announcement {
+func (k *Coordinator) announcement(now time.Duration, request Fingerprint) Announcement {
 	return Announcement{
 		Request: request, Backends: k.table.Backends(request), Quarantined: k.table.Standing(now, request).Quarantined,
 	}
@@ -129,7 +129,7 @@
 
 // announce tells all nodes of a request, where they do not know its standing; the lock is held. That
 // a quarantine has ended they find out by themselves.
-func (k *Keeper) announce(now time.Duration, request Fingerprint) {
+func (k *Coordinator) announce(now time.Duration, request Fingerprint) {
 	standing, current := k.table.Standing(now, request), k.table.toldNow(now, request)
 	told, known := k.announced[request]
 	switch {
--- a/router/router.go
+++ b/router/router.go
@@ -114,7 +114,7 @@
 	// quarantines knows which requests crash back ends; quarantineKeeper brings together what all
 	// nodes saw, where this one is chosen for it, and quarantineArchive keeps that in the store.
 	quarantines       *quarantine.Client
-	quarantineKeeper  *quarantine.Keeper
+	quarantineKeeper  *quarantine.Coordinator
 	quarantineArchive *quarantine.Archive
 	roles             *roles.Controller
 	// retryShares is what the node knows of how the retry budget is divided.
