--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// KeeperOptions are the parts of a Keeper.
-type KeeperOptions struct {
+// CoordinatorOptions are the parts of a Keeper.
+type CoordinatorOptions struct {
 	// Announce tells all nodes of a request. It must not call the keeper.
 	Announce func(announcement Announcement)
 	// Now reads a clock that counts on while the machine is suspended.
@@ -32,7 +32,7 @@
 // this. It answers requests that return to one node after the other: each of them sees less than
 // the crashes that make a quarantine. It is safe for concurrent use.
 type Coordinator struct {
-	options KeeperOptions
+	options CoordinatorOptions
 
 	mu    sync.Mutex
 	table *Table
@@ -41,7 +41,7 @@
 }
 
 // NewKeeper returns a keeper that knows of nothing.
-func NewKeeper(options KeeperOptions) *Coordinator {
+func NewKeeper(options CoordinatorOptions) *Coordinator {
 	return &Coordinator{options: options, table: NewTable(), announced: map[Fingerprint]heardStanding{}}
 }
 
