--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -18,7 +18,7 @@
 func (c *Core) assembleQuarantine() {
 	origin := c.options.LeaseNow()
 	now := func() time.Duration { return c.options.LeaseNow().Sub(origin) }
-	keeper := quarantine.NewKeeper(quarantine.CoordinatorOptions{Announce: c.announceQuarantine, Now: now})
+	keeper := quarantine.NewCoordinator(quarantine.CoordinatorOptions{Announce: c.announceQuarantine, Now: now})
 	c.quarantines = quarantine.NewClient(quarantine.ClientOptions{
 		Coordinators: ownerChoice{c}, Peers: c.client, Local: keeper, Now: now,
 	})
--- a/quarantine/archive_test.go
+++ b/quarantine/archive_test.go
@@ -68,7 +68,7 @@
 
 func newKeeperAt(store objectapi.Store, now time.Duration) *keeperAt {
 	k := &keeperAt{now: now, announced: map[Fingerprint]Announcement{}}
-	k.Coordinator = NewKeeper(CoordinatorOptions{
+	k.Coordinator = NewCoordinator(CoordinatorOptions{
 		Announce: func(told Announcement) { k.announced[told.Request] = told },
 		Now:      func() time.Duration { return k.now },
 	})
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -40,8 +40,8 @@
 	announced map[Fingerprint]heardStanding
 }
 
-// NewKeeper returns a keeper that knows of nothing.
-func NewKeeper(options CoordinatorOptions) *Coordinator {
+// NewCoordinator returns a keeper that knows of nothing.
+func NewCoordinator(options CoordinatorOptions) *Coordinator {
 	return &Coordinator{options: options, table: NewTable(), announced: map[Fingerprint]heardStanding{}}
 }
 
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -16,7 +16,7 @@
 // newQuarantines builds the node's part in quarantines: what it knows, the keeper in case it is
 // chosen, and the archive in the store.
 func (r *Router) newQuarantines() {
-	r.quarantineKeeper = quarantine.NewKeeper(quarantine.CoordinatorOptions{Announce: r.announceQuarantine, Now: r.now})
+	r.quarantineKeeper = quarantine.NewCoordinator(quarantine.CoordinatorOptions{Announce: r.announceQuarantine, Now: r.now})
 	r.quarantines = quarantine.NewClient(quarantine.ClientOptions{
 		Coordinators: r.assigner, Peers: r.client, Local: r.quarantineKeeper, BecameKeeper: r.adoptQuarantines, Now: r.now,
 	})
