--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -35,8 +35,8 @@
 	Peers        *peer.Client
 	// Local is the keeper where this node is chosen for it.
 	Local *Coordinator
-	// BecameKeeper is called when this node has been chosen. Default: nothing.
-	BecameKeeper func(ctx context.Context)
+	// BecameCoordinator is called when this node has been chosen. Default: nothing.
+	BecameCoordinator func(ctx context.Context)
 	// Now reads a clock that counts on while the machine is suspended.
 	Now func() time.Duration
 }
@@ -77,8 +77,8 @@
 
 // NewClient returns a client that knows of nothing.
 func NewClient(options ClientOptions) *Client {
-	if options.BecameKeeper == nil {
-		options.BecameKeeper = func(context.Context) {}
+	if options.BecameCoordinator == nil {
+		options.BecameCoordinator = func(context.Context) {}
 	}
 	client := &Client{options: options, own: NewTable(), evidence: map[Fingerprint][]*ownEvidence{}, heard: map[Fingerprint]heardStanding{}}
 	// Evidence goes with its entry in the table: callers with a new body each time would fill the
@@ -174,7 +174,7 @@
 		}
 		if address == c.options.Coordinators.Own() {
 			if changed {
-				c.options.BecameKeeper(ctx)
+				c.options.BecameCoordinator(ctx)
 			}
 			c.options.Local.Expire()
 		}
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -18,7 +18,7 @@
 func (r *Router) newQuarantines() {
 	r.quarantineKeeper = quarantine.NewCoordinator(quarantine.CoordinatorOptions{Announce: r.announceQuarantine, Now: r.now})
 	r.quarantines = quarantine.NewClient(quarantine.ClientOptions{
-		Coordinators: r.assigner, Peers: r.client, Local: r.quarantineKeeper, BecameKeeper: r.adoptQuarantines, Now: r.now,
+		Coordinators: r.assigner, Peers: r.client, Local: r.quarantineKeeper, BecameCoordinator: r.adoptQuarantines, Now: r.now,
 	})
 	r.quarantineArchive = quarantine.NewArchive(r.options.Backplane.Store, r.quarantineKeeper, r.options.Logger, time.Now)
 }
