--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -36,7 +36,7 @@
 
 // keepArchive keeps the quarantines in the platform while this node is their keeper.
 func (c *Core) keepArchive(ctx context.Context) {
-	if !c.quarantines.IsKeeper() {
+	if !c.quarantines.IsCoordinator() {
 		c.quarantineArchive.Reset()
 		return
 	}
--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -200,8 +200,8 @@
 	return true
 }
 
-// IsKeeper reports whether this node is the keeper.
-func (c *Client) IsKeeper() bool {
+// IsCoordinator reports whether this node is the keeper.
+func (c *Client) IsCoordinator() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.keeper != "" && c.keeper == c.options.Coordinators.Own()
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -86,7 +86,7 @@
 // ends.
 func (r *Router) keepArchive(ctx context.Context) {
 	periodic.Run(ctx, archiveInterval, func(ctx context.Context) {
-		if !r.quarantines.IsKeeper() {
+		if !r.quarantines.IsCoordinator() {
 			r.quarantineArchive.Reset()
 			return
 		}
