--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -76,7 +76,7 @@
 func (h *Handler) noteBreak(ctx context.Context, broken brokenSend) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endedTimeout)
 	defer cancel()
-	var standing quarantine.Standing
+	var standing quarantine.Status
 	crashed := h.options.Dialect.Ended(ctx, broken.backend)
 	if known := h.options.Quarantine; crashed && known != nil {
 		standing = known.Crashed(ctx, broken.content, broken.backend.ID)
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -80,7 +80,7 @@
 
 // logBrokeOff logs a back end that broke a request off, whether it has ended, and what is known of
 // the request since.
-func (h *Handler) logBrokeOff(broken brokenSend, crashed bool, standing quarantine.Standing) {
+func (h *Handler) logBrokeOff(broken brokenSend, crashed bool, standing quarantine.Status) {
 	h.options.Metrics.Add("requests_broken_off", 1)
 	h.options.Logger.Info("back end broke request off", "request", broken.request, "content", broken.content.String(),
 		"service", broken.service, "backend", broken.backend.ID, "crashed", crashed, "age_ms", broken.age.Milliseconds(),
--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -91,17 +91,17 @@
 func (c *Client) Empty() bool { return !c.any.Load() }
 
 // Standing returns what is known of a request: by this node, or by what it was told.
-func (c *Client) Standing(request Fingerprint) Standing {
+func (c *Client) Standing(request Fingerprint) Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.standing(request)
 }
 
 // standing is Standing with the lock held.
-func (c *Client) standing(request Fingerprint) Standing {
+func (c *Client) standing(request Fingerprint) Status {
 	now := c.options.Now()
 	known, heard := c.own.Standing(now, request), c.heard[request]
-	return Standing{
+	return Status{
 		Crashes:     max(known.Crashes, heard.crashes),
 		Quarantined: max(known.Quarantined, heard.quarantinedUntil-now, 0),
 	}
@@ -109,7 +109,7 @@
 
 // Crashed notes that a life of a back end ended with a request under way, tells the keeper, and
 // returns what is known of the request since.
-func (c *Client) Crashed(ctx context.Context, request Fingerprint, backend string) Standing {
+func (c *Client) Crashed(ctx context.Context, request Fingerprint, backend string) Status {
 	c.mu.Lock()
 	now := c.options.Now()
 	added := &ownEvidence{Evidence: Evidence{Request: request, Backend: backend, At: now}}
@@ -157,7 +157,7 @@
 }
 
 // hear takes note of a standing; the lock is held.
-func (c *Client) hear(request Fingerprint, standing Standing) {
+func (c *Client) hear(request Fingerprint, standing Status) {
 	c.heard[request] = heardStanding{crashes: standing.Crashes, quarantinedUntil: c.options.Now() + standing.Quarantined}
 	c.any.Store(true)
 }
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -7,10 +7,10 @@
 	// Empty reports that nothing is known of any request.
 	Empty() bool
 	// Standing returns what is known of a request.
-	Standing(request Fingerprint) Standing
+	Standing(request Fingerprint) Status
 	// Crashed notes that a life of a back end ended with a request under way, and returns what is
 	// known of the request since.
-	Crashed(ctx context.Context, request Fingerprint, backend string) Standing
+	Crashed(ctx context.Context, request Fingerprint, backend string) Status
 	// Answered notes that a back end has answered a request to its end.
 	Answered(request Fingerprint)
 }
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -24,8 +24,8 @@
 }
 
 // Standing returns the standing that the announcement tells.
-func (a Announcement) Standing() Standing {
-	return Standing{Crashes: len(a.Backends), Quarantined: a.Quarantined}
+func (a Announcement) Standing() Status {
+	return Status{Crashes: len(a.Backends), Quarantined: a.Quarantined}
 }
 
 // Coordinator brings together what all nodes saw of back ends that ended, on the node that coordinates
@@ -54,7 +54,7 @@
 		k.table.Answered(request)
 		k.announce(now, request)
 	}
-	answer := reply{standings: make([]Standing, len(told.evidence))}
+	answer := reply{standings: make([]Status, len(told.evidence))}
 	for i, evidence := range told.evidence {
 		if now-evidence.At < evidenceLifetime {
 			k.table.Add(evidence.At, evidence.Request, evidence.Backend)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -28,8 +28,8 @@
 	maxRequests = 8192
 )
 
-// Standing is what is known of a request.
-type Standing struct {
+// Status is what is known of a request.
+type Status struct {
 	// Crashes is how many back ends have ended with it under way since it was last answered.
 	Crashes int
 	// Quarantined is how long it is still kept from back ends; zero if it is not.
@@ -37,7 +37,7 @@
 }
 
 // Suspect reports whether all nodes are told of the request.
-func (s Standing) Suspect() bool { return s.Crashes >= crashesSuspect || s.Quarantined > 0 }
+func (s Status) Suspect() bool { return s.Crashes >= crashesSuspect || s.Quarantined > 0 }
 
 // Table counts the back ends that ended with a request under way, each once, whoever tells of it and
 // however often. It is not safe for concurrent use. Times are of a clock that counts on while the
@@ -64,7 +64,7 @@
 
 // Add notes that a life of a back end ended with a request under way, and returns the request's
 // standing since.
-func (t *Table) Add(now time.Duration, request Fingerprint, backend string) Standing {
+func (t *Table) Add(now time.Duration, request Fingerprint, backend string) Status {
 	known := t.history(now, request)
 	if _, counted := known.crashes[backend]; !counted {
 		known.crashes[backend] = now
@@ -104,10 +104,10 @@
 func (t *Table) Answered(request Fingerprint) { delete(t.requests, request) }
 
 // Standing returns what is known of a request.
-func (t *Table) Standing(now time.Duration, request Fingerprint) Standing {
+func (t *Table) Standing(now time.Duration, request Fingerprint) Status {
 	known := t.requests[request]
 	if known == nil {
-		return Standing{}
+		return Status{}
 	}
 	return known.standing(now)
 }
@@ -196,8 +196,8 @@
 }
 
 // standing returns what the history says now.
-func (h *history) standing(now time.Duration) Standing {
-	return Standing{Crashes: len(h.crashes), Quarantined: max(0, h.quarantinedUntil-now)}
+func (h *history) standing(now time.Duration) Status {
+	return Status{Crashes: len(h.crashes), Quarantined: max(0, h.quarantinedUntil-now)}
 }
 
 // expire forgets the crashes that no longer count. Those of a quarantine count until as long after
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -17,12 +17,12 @@
 func TestThreeBackEndsMayEndUnderARequest(t *testing.T) {
 	g := NewWithT(t)
 	table, request := NewTable(), requestNumber(1)
-	g.Expect(table.Add(0, request, "1")).To(Equal(Standing{Crashes: 1}))
-	g.Expect(table.Add(time.Second, request, "1")).To(Equal(Standing{Crashes: 1}), "the same crash, told again")
-	g.Expect(table.Add(time.Second, request, "2")).To(Equal(Standing{Crashes: 2, Quarantined: suspectLifetime}))
+	g.Expect(table.Add(0, request, "1")).To(Equal(Status{Crashes: 1}))
+	g.Expect(table.Add(time.Second, request, "1")).To(Equal(Status{Crashes: 1}), "the same crash, told again")
+	g.Expect(table.Add(time.Second, request, "2")).To(Equal(Status{Crashes: 2, Quarantined: suspectLifetime}))
 	over := time.Second + suspectLifetime
-	g.Expect(table.Standing(over, request)).To(Equal(Standing{Crashes: 2}))
-	g.Expect(table.Add(over, request, "3")).To(Equal(Standing{Crashes: 3, Quarantined: quarantineLifetime}))
+	g.Expect(table.Standing(over, request)).To(Equal(Status{Crashes: 2}))
+	g.Expect(table.Add(over, request, "3")).To(Equal(Status{Crashes: 3, Quarantined: quarantineLifetime}))
 }
 
 // TestAnAnswerSpeaksForARequest: a request that many send is under way at each ordinary crash, and is
@@ -39,7 +39,7 @@
 	table.Add(0, request, "1")
 	g.Expect(table.Add(0, request, "2").Quarantined).To(BeNumerically(">", 0))
 	table.Answered(request)
-	g.Expect(table.Standing(0, request)).To(Equal(Standing{}))
+	g.Expect(table.Standing(0, request)).To(Equal(Status{}))
 }
 
 // TestAQuarantineBeginsAnewWithTheNextCrash: what crashed three back ends and was kept away for an
@@ -85,7 +85,7 @@
 					until = max(until, now+[]time.Duration{0, 0, suspectLifetime, quarantineLifetime}[min(3, len(crashes))])
 				}
 			}
-			want := Standing{Crashes: len(crashes), Quarantined: max(0, until-now)}
+			want := Status{Crashes: len(crashes), Quarantined: max(0, until-now)}
 			if got := table.Standing(now, request); got != want {
 				t.Fatalf("at %v: %+v, want %+v", now, got, want)
 			}
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -27,7 +27,7 @@
 // reply is what the keeper answers.
 type reply struct {
 	// standings are those of the requests of the evidence, in its order.
-	standings []Standing
+	standings []Status
 	// announced are all announcements, for a node that asked for them.
 	announced []Announcement
 }
@@ -80,7 +80,7 @@
 func decodeReply(encoded *peerpb.CrashStandings) reply {
 	var answer reply
 	for _, standing := range encoded.GetStandings() {
-		answer.standings = append(answer.standings, Standing{
+		answer.standings = append(answer.standings, Status{
 			Crashes: int(standing.GetCrashes()), Quarantined: peer.Millis(standing.GetQuarantinedMs()),
 		})
 	}
