--- a/completion/quarantine.go
+++ b/completion/quarantine.go
@@ -26,7 +26,7 @@
 	if known == nil || known.Empty() {
 		return nil
 	}
-	left := known.Standing(r.fingerprint()).Quarantined
+	left := known.Status(r.fingerprint()).Quarantined
 	if left == 0 {
 		return nil
 	}
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -41,7 +41,7 @@
 	if known == nil || known.Empty() {
 		return nil
 	}
-	if left := known.Standing(x.fingerprint()).Quarantined; left > 0 {
+	if left := known.Status(x.fingerprint()).Quarantined; left > 0 {
 		return notRun(ReasonQuarantined, left, nil)
 	}
 	return nil
@@ -56,7 +56,7 @@
 		return
 	}
 	broken := brokenSend{request: x.request.ID, service: x.service, content: x.fingerprint(), backend: entry.Backend(), age: age}
-	if known := x.handler.options.Quarantine; known != nil && known.Standing(broken.content).Crashes > 0 {
+	if known := x.handler.options.Quarantine; known != nil && known.Status(broken.content).Crashes > 0 {
 		x.handler.noteBreak(ctx, broken)
 		return
 	}
--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -90,8 +90,8 @@
 // Empty reports that nothing is known of any request, so that no fingerprint need be worked out.
 func (c *Client) Empty() bool { return !c.any.Load() }
 
-// Standing returns what is known of a request: by this node, or by what it was told.
-func (c *Client) Standing(request Fingerprint) Status {
+// Status returns what is known of a request: by this node, or by what it was told.
+func (c *Client) Status(request Fingerprint) Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.standing(request)
@@ -118,7 +118,7 @@
 	c.any.Store(true)
 	c.mu.Unlock()
 	c.tell(ctx, notice{evidence: []*ownEvidence{added}}, answerTimeout)
-	return c.Standing(request)
+	return c.Status(request)
 }
 
 // Answered notes that a back end has answered a request to its end: it does not end what runs it.
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -6,8 +6,8 @@
 type Judge interface {
 	// Empty reports that nothing is known of any request.
 	Empty() bool
-	// Standing returns what is known of a request.
-	Standing(request Fingerprint) Status
+	// Status returns what is known of a request.
+	Status(request Fingerprint) Status
 	// Crashed notes that a life of a back end ended with a request under way, and returns what is
 	// known of the request since.
 	Crashed(ctx context.Context, request Fingerprint, backend string) Status
