--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -100,7 +100,7 @@
 // standing is Standing with the lock held.
 func (c *Client) standing(request Fingerprint) Status {
 	now := c.options.Now()
-	known, heard := c.own.Standing(now, request), c.heard[request]
+	known, heard := c.own.Status(now, request), c.heard[request]
 	return Status{
 		Crashes:     max(known.Crashes, heard.crashes),
 		Quarantined: max(known.Quarantined, heard.quarantinedUntil-now, 0),
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -57,6 +57,6 @@
 	}
 	request := requestNumber(1)
 	for b.Loop() {
-		table.Standing(0, request)
+		table.Status(0, request)
 	}
 }
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -60,7 +60,7 @@
 			k.table.Add(evidence.At, evidence.Request, evidence.Backend)
 		}
 		k.announce(now, evidence.Request)
-		answer.standings[i] = k.table.Standing(now, evidence.Request)
+		answer.standings[i] = k.table.Status(now, evidence.Request)
 	}
 	if told.all {
 		for request := range k.announced {
@@ -123,14 +123,14 @@
 // announcement is what there is to tell of a request; the lock is held.
 func (k *Coordinator) announcement(now time.Duration, request Fingerprint) Announcement {
 	return Announcement{
-		Request: request, Backends: k.table.Backends(request), Quarantined: k.table.Standing(now, request).Quarantined,
+		Request: request, Backends: k.table.Backends(request), Quarantined: k.table.Status(now, request).Quarantined,
 	}
 }
 
 // announce tells all nodes of a request, where they do not know its standing; the lock is held. That
 // a quarantine has ended they find out by themselves.
 func (k *Coordinator) announce(now time.Duration, request Fingerprint) {
-	standing, current := k.table.Standing(now, request), k.table.toldNow(now, request)
+	standing, current := k.table.Status(now, request), k.table.toldNow(now, request)
 	told, known := k.announced[request]
 	switch {
 	case !standing.Suspect() && known:
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -103,8 +103,8 @@
 // before: what ends each back end that runs it is never answered.
 func (t *Table) Answered(request Fingerprint) { delete(t.requests, request) }
 
-// Standing returns what is known of a request.
-func (t *Table) Standing(now time.Duration, request Fingerprint) Status {
+// Status returns what is known of a request.
+func (t *Table) Status(now time.Duration, request Fingerprint) Status {
 	known := t.requests[request]
 	if known == nil {
 		return Status{}
@@ -114,7 +114,7 @@
 
 // toldNow returns what there is to tell of a request.
 func (t *Table) toldNow(now time.Duration, request Fingerprint) heardStanding {
-	standing := t.Standing(now, request)
+	standing := t.Status(now, request)
 	if standing.Quarantined == 0 {
 		return heardStanding{crashes: standing.Crashes}
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -21,7 +21,7 @@
 	g.Expect(table.Add(time.Second, request, "1")).To(Equal(Status{Crashes: 1}), "the same crash, told again")
 	g.Expect(table.Add(time.Second, request, "2")).To(Equal(Status{Crashes: 2, Quarantined: suspectLifetime}))
 	over := time.Second + suspectLifetime
-	g.Expect(table.Standing(over, request)).To(Equal(Status{Crashes: 2}))
+	g.Expect(table.Status(over, request)).To(Equal(Status{Crashes: 2}))
 	g.Expect(table.Add(over, request, "3")).To(Equal(Status{Crashes: 3, Quarantined: quarantineLifetime}))
 }
 
@@ -39,7 +39,7 @@
 	table.Add(0, request, "1")
 	g.Expect(table.Add(0, request, "2").Quarantined).To(BeNumerically(">", 0))
 	table.Answered(request)
-	g.Expect(table.Standing(0, request)).To(Equal(Status{}))
+	g.Expect(table.Status(0, request)).To(Equal(Status{}))
 }
 
 // TestAQuarantineBeginsAnewWithTheNextCrash: what crashed three back ends and was kept away for an
@@ -52,7 +52,7 @@
 	}
 	over := quarantineLifetime + time.Second
 	g.Expect(table.Expire(over)).To(BeEmpty())
-	g.Expect(table.Standing(over, request).Quarantined).To(BeZero())
+	g.Expect(table.Status(over, request).Quarantined).To(BeZero())
 	g.Expect(table.Add(over, request, "later").Quarantined).To(Equal(quarantineLifetime))
 	g.Expect(table.Expire(over + quarantineLifetime + evidenceLifetime)).To(Equal([]Fingerprint{request}))
 }
@@ -86,7 +86,7 @@
 				}
 			}
 			want := Status{Crashes: len(crashes), Quarantined: max(0, until-now)}
-			if got := table.Standing(now, request); got != want {
+			if got := table.Status(now, request); got != want {
 				t.Fatalf("at %v: %+v, want %+v", now, got, want)
 			}
 		}
@@ -105,6 +105,6 @@
 		table.Add(time.Duration(number)*time.Millisecond, requestNumber(number), "b")
 	}
 	g.Expect(table.requests).To(HaveLen(maxRequests))
-	g.Expect(table.Standing(time.Minute, requestNumber(-1)).Quarantined).To(BeNumerically(">", 0))
-	g.Expect(table.Standing(time.Minute, requestNumber(0)).Crashes).To(BeZero())
+	g.Expect(table.Status(time.Minute, requestNumber(-1)).Quarantined).To(BeNumerically(">", 0))
+	g.Expect(table.Status(time.Minute, requestNumber(0)).Crashes).To(BeZero())
 }
