--- a/quarantine/archive_test.go
+++ b/quarantine/archive_test.go
@@ -110,7 +110,7 @@
 	second.Expire()
 	second.archive.Reconcile(t.Context())
 	g.Expect(store.objects).To(BeEmpty(), "the quarantine is over")
-	g.Expect(second.announced[request].Standing()).To(Equal(Status{}))
+	g.Expect(second.announced[request].Status()).To(Equal(Status{}))
 }
 
 // TestAnotherWritersObjectsAreLeft: objects that cannot be read restore nothing, and stay.
@@ -137,7 +137,7 @@
 	g.Expect(first.announced).To(BeEmpty(), "one crash")
 	first.crash(request, "b")
 	told := first.announced[request]
-	g.Expect(told.Standing()).To(Equal(Status{Crashes: 2, Quarantined: suspectLifetime}))
+	g.Expect(told.Status()).To(Equal(Status{Crashes: 2, Quarantined: suspectLifetime}))
 	first.archive.Reconcile(t.Context())
 	g.Expect(store.objects).To(BeEmpty(), "over too soon")
 
@@ -147,9 +147,9 @@
 	second.crash(request, "a")
 	g.Expect(second.announced).To(BeEmpty())
 	second.crash(request, "c")
-	g.Expect(second.announced[request].Standing()).To(Equal(Status{Crashes: 3, Quarantined: quarantineLifetime}))
+	g.Expect(second.announced[request].Status()).To(Equal(Status{Crashes: 3, Quarantined: quarantineLifetime}))
 	second.take(report{answered: []Fingerprint{request}})
-	g.Expect(second.announced[request].Standing()).To(Equal(Status{}))
+	g.Expect(second.announced[request].Status()).To(Equal(Status{}))
 }
 
 // TestAnOperatorEndsAQuarantineByRemovingItsObject: the keeper looks once a minute, and also one that
@@ -169,6 +169,6 @@
 	g.Expect(keeper.announced[request].Quarantined).To(BeNumerically(">", 0), "not looked yet")
 	keeper.now += time.Second
 	keeper.archive.Reconcile(t.Context())
-	g.Expect(keeper.announced[request].Standing()).To(Equal(Status{}))
+	g.Expect(keeper.announced[request].Status()).To(Equal(Status{}))
 	g.Expect(store.objects).To(BeEmpty(), "not written again")
 }
--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -147,13 +147,13 @@
 func (c *Client) Announced(told Announcement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !told.Standing().Suspect() {
+	if !told.Status().Suspect() {
 		c.own.Answered(told.Request)
 		delete(c.heard, told.Request)
 		delete(c.evidence, told.Request)
 		return
 	}
-	c.hear(told.Request, told.Standing())
+	c.hear(told.Request, told.Status())
 }
 
 // hear takes note of a standing; the lock is held.
@@ -282,7 +282,7 @@
 		}
 	}
 	for _, announcement := range answer.announced {
-		c.hear(announcement.Request, announcement.Standing())
+		c.hear(announcement.Request, announcement.Status())
 	}
 }
 
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -23,8 +23,8 @@
 	Quarantined time.Duration
 }
 
-// Standing returns the standing that the announcement tells.
-func (a Announcement) Standing() Status {
+// Status returns the standing that the announcement tells.
+func (a Announcement) Status() Status {
 	return Status{Crashes: len(a.Backends), Quarantined: a.Quarantined}
 }
 
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -41,7 +41,7 @@
 		r.options.Logger.Error("quarantine not announced", "error", err.Error())
 		return
 	}
-	state, cleared := stateSuspect, !told.Standing().Suspect()
+	state, cleared := stateSuspect, !told.Status().Suspect()
 	switch {
 	case cleared:
 		state = stateCleared
