--- a/completion/service.go
+++ b/completion/service.go
@@ -22,7 +22,7 @@
 	Metrics *metrics.Set
 	Events  *timeline.Ring
 	// Quarantine knows which requests crash engines. Without it, nothing is remembered.
-	Quarantine quarantine.Judge
+	Quarantine quarantine.Tracker
 	// Now reads the clock. Default time.Now.
 	Now func() time.Time
 }
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -43,7 +43,7 @@
 	// Quotas charges requests to the limits of their tenants. Without it no limit is kept.
 	Quotas Quotas
 	// Quarantine knows which requests crash back ends. Without it, nothing is remembered.
-	Quarantine quarantine.Judge
+	Quarantine quarantine.Tracker
 	// Admission decides which requests to plain services are admitted, and where they go.
 	// Default: all are, by what this node has seen alone.
 	Admission *admission.Node
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// Judge keeps requests that crash back ends away from them, over all nodes. Client implements it.
-type Judge interface {
+// Tracker keeps requests that crash back ends away from them, over all nodes. Client implements it.
+type Tracker interface {
 	// Empty reports that nothing is known of any request.
 	Empty() bool
 	// Status returns what is known of a request.
@@ -15,4 +15,4 @@
 	Answered(request Fingerprint)
 }
 
-var _ Judge = (*Client)(nil)
+var _ Tracker = (*Client)(nil)
