--- a/completion/quarantine.go
+++ b/completion/quarantine.go
@@ -14,7 +14,7 @@
 
 // fingerprint names what is asked: the same for each arrival and each attempt.
 func (r *run) fingerprint() quarantine.Fingerprint {
-	return quarantine.Of(quarantine.Content{
+	return quarantine.NewFingerprint(quarantine.Content{
 		Tenant: r.exchange.Tenant.Name, Method: http.MethodPost, URI: "completions/" + r.request.class.Model, Body: []byte(r.request.prompt),
 	})
 }
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -16,7 +16,7 @@
 // has broken or is known of any request: 5 KB take 5 microseconds (quarantine.BenchmarkOf).
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if x.content == nil {
-		fingerprint := quarantine.Of(quarantine.Content{
+		fingerprint := quarantine.NewFingerprint(quarantine.Content{
 			Tenant: x.request.Tenant, Method: x.request.Method, Host: x.request.Host, URI: x.request.URI, Body: x.request.Body,
 		})
 		x.content = &fingerprint
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -27,8 +27,8 @@
 	Body []byte
 }
 
-// Of returns the fingerprint of a content.
-func Of(content Content) Fingerprint {
+// NewFingerprint returns the fingerprint of a content.
+func NewFingerprint(content Content) Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{content.Tenant, content.Method, content.Host, content.URI} {
 		writePart(digest, []byte(part))
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -21,7 +21,7 @@
 		first, second := draw(), draw()
 		same := first.Tenant == second.Tenant && first.Method == second.Method && first.Host == second.Host &&
 			first.URI == second.URI && string(first.Body) == string(second.Body)
-		if (Of(first) == Of(second)) != same {
+		if (NewFingerprint(first) == NewFingerprint(second)) != same {
 			t.Fatalf("%+v and %+v: same %t", first, second, same)
 		}
 	})
@@ -29,7 +29,7 @@
 
 // FuzzDecodeRecord reads objects of other writers.
 func FuzzDecodeRecord(f *testing.F) {
-	f.Add(Of(Content{}).String(), []byte(`{"backends":["a"],"untilMillis":1}`))
+	f.Add(NewFingerprint(Content{}).String(), []byte(`{"backends":["a"],"untilMillis":1}`))
 	f.Add("", []byte(`[]`))
 	f.Fuzz(func(t *testing.T, name string, spec []byte) {
 		told, err := DecodeRecord(time.Unix(0, 0), name, spec)
@@ -45,7 +45,7 @@
 	content := Content{Tenant: "a", Method: "POST", Host: "h", URI: "/p/x", Body: make([]byte, 5000)}
 	b.ReportAllocs()
 	for b.Loop() {
-		Of(content)
+		NewFingerprint(content)
 	}
 }
 
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -11,7 +11,7 @@
 )
 
 func requestNumber(number int) Fingerprint {
-	return Of(Content{URI: fmt.Sprintf("/%d", number)})
+	return NewFingerprint(Content{URI: fmt.Sprintf("/%d", number)})
 }
 
 func TestThreeBackEndsMayEndUnderARequest(t *testing.T) {
