--- a/quarantine/archive.go
+++ b/quarantine/archive.go
@@ -119,7 +119,7 @@
 // endRemoved ends the quarantines whose objects somebody else has removed.
 func (a *Archive) endRemoved(before map[string]int64) {
 	for name := range before {
-		request, valid := Parse(name)
+		request, valid := ParseFingerprint(name)
 		if _, stored := a.versions[name]; valid && !stored {
 			a.keeper.End(request)
 		}
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -50,8 +50,8 @@
 // String returns the fingerprint in hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse reads what String wrote.
-func Parse(text string) (Fingerprint, bool) {
+// ParseFingerprint reads what String wrote.
+func ParseFingerprint(text string) (Fingerprint, bool) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil {
 		return Fingerprint{}, false
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -32,7 +32,7 @@
 
 // DecodeRecord reads what EncodeRecord returned.
 func DecodeRecord(now time.Time, name string, spec json.RawMessage) (Announcement, error) {
-	request, valid := Parse(name)
+	request, valid := ParseFingerprint(name)
 	if !valid {
 		return Announcement{}, errors.Wrapf(ErrNoRecord, "name %q", name)
 	}
