--- a/quota/alone.go
+++ b/quota/alone.go
@@ -21,13 +21,13 @@
 	shortestRetryAfter = 500 * time.Millisecond
 )
 
-// Alone decides on the charges of one node that no coordinator answers, by the equal part of each
+// LocalLimiter decides on the charges of one node that no coordinator answers, by the equal part of each
 // limit that belongs to a single node. In a large fleet that part is less than a single request
 // costs: such a request is granted with the probability by which the nodes together use the limit.
 //
 // It answers the loss of a coordinator, which lasts about a second, and nodes that are cut off
 // for longer. It is safe for concurrent use.
-type Alone struct {
+type LocalLimiter struct {
 	// nodes returns how many nodes share a limit.
 	nodes func() int
 	// random returns numbers from 0 up to 1.
@@ -40,12 +40,12 @@
 }
 
 // NewAlone returns the decisions of a node that has used nothing.
-func NewAlone(nodes func() int, random func() float64) *Alone {
-	return &Alone{nodes: nodes, random: random, buckets: map[string]*bucket{}, unreported: map[string]float64{}}
+func NewAlone(nodes func() int, random func() float64) *LocalLimiter {
+	return &LocalLimiter{nodes: nodes, random: random, buckets: map[string]*bucket{}, unreported: map[string]float64{}}
 }
 
 // Take decides on a charge of a tenant, so long after the coordinator's last answer.
-func (a *Alone) Take(now time.Duration, charged *tenant.Tenant, units float64, sinceAnswer time.Duration) Grant {
+func (a *LocalLimiter) Take(now time.Duration, charged *tenant.Tenant, units float64, sinceAnswer time.Duration) Grant {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	part := 1 / float64(max(1, a.nodes()))
@@ -67,7 +67,7 @@
 
 // draw grants units that are there, and a larger request by chance: the level is the expected use
 // either way, and is used up by the draw.
-func (a *Alone) draw(kept *bucket, units float64) bool {
+func (a *LocalLimiter) draw(kept *bucket, units float64) bool {
 	if kept.level >= units {
 		return true
 	}
@@ -83,7 +83,7 @@
 }
 
 // Note notes units that were used without asking, or given back where they are negative.
-func (a *Alone) Note(name string, units float64) {
+func (a *LocalLimiter) Note(name string, units float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.unreported[name] += units
@@ -91,7 +91,7 @@
 
 // TakeUnreported returns what was used of a tenant's limit that no coordinator knows of, and
 // forgets it. The result is empty where there is nothing.
-func (a *Alone) TakeUnreported(name string) []Use {
+func (a *LocalLimiter) TakeUnreported(name string) []Use {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	units := a.unreported[name]
@@ -103,7 +103,7 @@
 }
 
 // TakeAllUnreported is TakeUnreported for all tenants.
-func (a *Alone) TakeAllUnreported() []Use {
+func (a *LocalLimiter) TakeAllUnreported() []Use {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var uses []Use
@@ -117,7 +117,7 @@
 }
 
 // PutBack notes uses whose report was not answered.
-func (a *Alone) PutBack(uses []Use) {
+func (a *LocalLimiter) PutBack(uses []Use) {
 	for _, use := range uses {
 		a.Note(use.Tenant, use.Unreported)
 	}
--- a/quota/client.go
+++ b/quota/client.go
@@ -36,7 +36,7 @@
 	// Local decides where this node is the coordinator.
 	Local *Coordinator
 	// Alone decides where none answers.
-	Alone *Alone
+	Alone *LocalLimiter
 	// Limited reports whether any tenant has a limit: without one nothing is said.
 	Limited func() bool
 	// Now reads a monotonic clock.
--- a/quota/replay_test.go
+++ b/quota/replay_test.go
@@ -35,7 +35,7 @@
 	tenants []*tenant.Tenant
 	// coordinators are the nodes that others may belong to; alone are the decisions of each node.
 	coordinators []*Coordinator
-	alone        []*Alone
+	alone        []*LocalLimiter
 	// coordinatorOf is the coordinator that each node calls; negative for none.
 	coordinatorOf []int
 	// grantedBy is the coordinator whose grants recent holds.
