--- a/quota/alone.go
+++ b/quota/alone.go
@@ -39,8 +39,8 @@
 	unreported map[string]float64
 }
 
-// NewAlone returns the decisions of a node that has used nothing.
-func NewAlone(nodes func() int, random func() float64) *LocalLimiter {
+// NewLocalLimiter returns the decisions of a node that has used nothing.
+func NewLocalLimiter(nodes func() int, random func() float64) *LocalLimiter {
 	return &LocalLimiter{nodes: nodes, random: random, buckets: map[string]*bucket{}, unreported: map[string]float64{}}
 }
 
--- a/quota/replay_test.go
+++ b/quota/replay_test.go
@@ -68,7 +68,7 @@
 		}))
 	}
 	for range nodes {
-		r.alone = append(r.alone, NewAlone(func() int { return nodes }, r.random.Float64))
+		r.alone = append(r.alone, NewLocalLimiter(func() int { return nodes }, r.random.Float64))
 		r.answeredAt = append(r.answeredAt, -time.Hour)
 		r.coordinatorOf, r.grantedBy = append(r.coordinatorOf, -1), append(r.grantedBy, -1)
 		r.recent = append(r.recent, &recentUse{})
