--- a/quota/client.go
+++ b/quota/client.go
@@ -35,8 +35,8 @@
 	Peers        *peer.Client
 	// Local decides where this node is the coordinator.
 	Local *Coordinator
-	// Alone decides where none answers.
-	Alone *LocalLimiter
+	// LocalLimiter decides where none answers.
+	LocalLimiter *LocalLimiter
 	// Limited reports whether any tenant has a limit: without one nothing is said.
 	Limited func() bool
 	// Now reads a monotonic clock.
@@ -80,7 +80,7 @@
 func (c *Client) Charge(ctx context.Context, charged *tenant.Tenant, units float64) Decision {
 	address := *c.coordinator.Load()
 	if address != "" {
-		uses := c.options.Alone.TakeUnreported(charged.Name)
+		uses := c.options.LocalLimiter.TakeUnreported(charged.Name)
 		grant, err := c.take(ctx, address, Charge{Tenant: charged.Name, Units: units, Uses: uses}, answerTimeout)
 		if err == nil && grant.Known {
 			if grant.Granted {
@@ -88,30 +88,30 @@
 			}
 			return Decision{Grant: grant, Source: SourceCoordinator}
 		}
-		c.options.Alone.PutBack(uses)
+		c.options.LocalLimiter.PutBack(uses)
 		if err != nil && ctx.Err() == nil {
 			c.options.Coordinators.Missed(address, err)
 		}
 	}
 	now := c.options.Now()
-	grant := c.options.Alone.Take(now, charged, units, now-time.Duration(c.answeredAt.Load()))
+	grant := c.options.LocalLimiter.Take(now, charged, units, now-time.Duration(c.answeredAt.Load()))
 	return Decision{Grant: grant, Source: SourceAlone}
 }
 
 // GiveBack returns the units of a request that did not run. It does not wait for the answer; what
 // is not heard is reported with a later charge.
 func (c *Client) GiveBack(charged *tenant.Tenant, units float64) {
-	c.options.Alone.Note(charged.Name, -units)
+	c.options.LocalLimiter.Note(charged.Name, -units)
 	c.recent.add(c.options.Now(), charged.Name, -units)
 	if address := *c.coordinator.Load(); address != "" {
-		go c.report(context.Background(), address, c.options.Alone.TakeUnreported(charged.Name))
+		go c.report(context.Background(), address, c.options.LocalLimiter.TakeUnreported(charged.Name))
 	}
 }
 
 // report tells a coordinator that this node belongs to it, and what it does not know of.
 func (c *Client) report(ctx context.Context, address string, uses []Use) {
 	if _, err := c.take(ctx, address, Charge{Uses: uses}, noticeTimeout); err != nil {
-		c.options.Alone.PutBack(uses)
+		c.options.LocalLimiter.PutBack(uses)
 		c.options.Coordinators.Missed(address, err)
 	}
 }
@@ -132,7 +132,7 @@
 		if address == "" || !changed && now-time.Duration(c.answeredAt.Load()) < presenceInterval {
 			return
 		}
-		uses := c.options.Alone.TakeAllUnreported()
+		uses := c.options.LocalLimiter.TakeAllUnreported()
 		if address != grantedBy && grantedBy != "" {
 			uses = append(uses, c.recent.take(now)...)
 		}
