--- a/quota/client.go
+++ b/quota/client.go
@@ -33,8 +33,8 @@
 type ClientOptions struct {
 	Coordinators coordinator.Choice
 	Peers        *peer.Client
-	// Local decides where this node is the coordinator.
-	Local *Coordinator
+	// LocalCoordinator decides where this node is the coordinator.
+	LocalCoordinator *Coordinator
 	// LocalLimiter decides where none answers.
 	LocalLimiter *LocalLimiter
 	// Limited reports whether any tenant has a limit: without one nothing is said.
@@ -147,7 +147,7 @@
 	charge.Holder = c.options.Coordinators.Own()
 	if address == charge.Holder {
 		c.answered()
-		return c.options.Local.Take(c.options.Now(), charge), nil
+		return c.options.LocalCoordinator.Take(c.options.Now(), charge), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -171,6 +171,6 @@
 	if !isCharge {
 		return nil, ErrNoCharge
 	}
-	grant := c.options.Local.Take(c.options.Now(), decodeCharge(body.ChargeQuota))
+	grant := c.options.LocalCoordinator.Take(c.options.Now(), decodeCharge(body.ChargeQuota))
 	return &peerpb.Response{Body: &peerpb.Response_QuotaGrant{QuotaGrant: encodeGrant(grant)}}, nil
 }
--- a/router/router.go
+++ b/router/router.go
@@ -202,7 +202,7 @@
 	r.admissions = admission.NewClient(r.admission, r.controller, r.client, r.assigner)
 	r.quotaKeeper = quota.NewCoordinator(quota.Options{Tenant: r.tenantNamed, Nodes: r.nodeCount, Tolerance: quota.Tolerance(options.Settings.QuotaTolerance)})
 	r.quotas = quota.NewClient(quota.ClientOptions{
-		Coordinators: r.assigner, Peers: r.client, Local: r.quotaKeeper, LocalLimiter: quota.NewLocalLimiter(r.nodeCount, rand.Float64),
+		Coordinators: r.assigner, Peers: r.client, LocalCoordinator: r.quotaKeeper, LocalLimiter: quota.NewLocalLimiter(r.nodeCount, rand.Float64),
 		Limited: r.anyTenantLimited, Now: r.now,
 	})
 	r.newQuarantines()
