--- a/quota/client.go
+++ b/quota/client.go
@@ -67,7 +67,7 @@
 // The sources.
 const (
 	SourceCoordinator Source = "coordinator"
-	SourceAlone       Source = "alone"
+	SourceLocal       Source = "alone"
 )
 
 // Decision is whether a request may be served, and by whose word.
@@ -95,7 +95,7 @@
 	}
 	now := c.options.Now()
 	grant := c.options.LocalLimiter.Take(now, charged, units, now-time.Duration(c.answeredAt.Load()))
-	return Decision{Grant: grant, Source: SourceAlone}
+	return Decision{Grant: grant, Source: SourceLocal}
 }
 
 // GiveBack returns the units of a request that did not run. It does not wait for the answer; what
