--- a/quota/coordinator.go
+++ b/quota/coordinator.go
@@ -156,8 +156,8 @@
 	return c.part
 }
 
-// Present returns how many nodes have called lately.
-func (c *Coordinator) Present() int {
+// ActiveNodes returns how many nodes have called lately.
+func (c *Coordinator) ActiveNodes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.calledAt)
