--- a/quota/alone.go
+++ b/quota/alone.go
@@ -58,11 +58,11 @@
 	}
 	kept.refill(now, limit, part)
 	if sinceAnswer > briefLoss && !a.draw(kept, units) {
-		return Grant{Known: true, Level: kept.level, RetryAfter: max(shortestRetryAfter, kept.wait(0, part))}
+		return Grant{TenantKnown: true, Level: kept.level, RetryAfter: max(shortestRetryAfter, kept.wait(0, part))}
 	}
 	kept.level -= units
 	a.unreported[charged.Name] += units
-	return Grant{Granted: true, Known: true, Level: kept.level}
+	return Grant{Granted: true, TenantKnown: true, Level: kept.level}
 }
 
 // draw grants units that are there, and a larger request by chance: the level is the expected use
--- a/quota/client.go
+++ b/quota/client.go
@@ -82,7 +82,7 @@
 	if address != "" {
 		uses := c.options.LocalLimiter.TakeUnreported(charged.Name)
 		grant, err := c.take(ctx, address, Charge{Tenant: charged.Name, Units: units, Uses: uses}, answerTimeout)
-		if err == nil && grant.Known {
+		if err == nil && grant.TenantKnown {
 			if grant.Granted {
 				c.recent.add(c.options.Now(), charged.Name, units)
 			}
--- a/quota/coordinator.go
+++ b/quota/coordinator.go
@@ -48,9 +48,9 @@
 // Grant answers a Charge.
 type Grant struct {
 	Granted bool
-	// Known is set where the coordinator knows the tenant. One with an older configuration may
+	// TenantKnown is set where the coordinator knows the tenant. One with an older configuration may
 	// not; the node decides alone then.
-	Known bool
+	TenantKnown bool
 	// RetryAfter is when the credit of the tenant suffices, where it does not now.
 	RetryAfter time.Duration
 	// Level is the credit that the tenant has left.
@@ -106,13 +106,13 @@
 		return Grant{}
 	}
 	if !found.Quota.Limited() {
-		return Grant{Granted: true, Known: true}
+		return Grant{Granted: true, TenantKnown: true}
 	}
 	kept, part := c.current(now, found), c.currentPart(now)
 	if kept.take(charge.Units, part) {
-		return Grant{Granted: true, Known: true, Level: kept.level, AboveUsual: kept.level < aboveUsualShare*kept.limit.Burst*part}
+		return Grant{Granted: true, TenantKnown: true, Level: kept.level, AboveUsual: kept.level < aboveUsualShare*kept.limit.Burst*part}
 	}
-	return Grant{Known: true, Level: kept.level, RetryAfter: kept.wait(charge.Units, part)}
+	return Grant{TenantKnown: true, Level: kept.level, RetryAfter: kept.wait(charge.Units, part)}
 }
 
 // note takes over what was used without this coordinator; the lock is held.
--- a/quota/wire.go
+++ b/quota/wire.go
@@ -23,13 +23,13 @@
 
 func encodeGrant(grant Grant) *peerpb.QuotaGrant {
 	return &peerpb.QuotaGrant{
-		Granted: grant.Granted, Known: grant.Known, RetryAfterMs: grant.RetryAfter.Milliseconds(), Level: grant.Level, AboveUsual: grant.AboveUsual,
+		Granted: grant.Granted, Known: grant.TenantKnown, RetryAfterMs: grant.RetryAfter.Milliseconds(), Level: grant.Level, AboveUsual: grant.AboveUsual,
 	}
 }
 
 func decodeGrant(encoded *peerpb.QuotaGrant) Grant {
 	return Grant{
-		Granted: encoded.GetGranted(), Known: encoded.GetKnown(), Level: encoded.GetLevel(), AboveUsual: encoded.GetAboveUsual(),
+		Granted: encoded.GetGranted(), TenantKnown: encoded.GetKnown(), Level: encoded.GetLevel(), AboveUsual: encoded.GetAboveUsual(),
 		RetryAfter: peer.Millis(encoded.GetRetryAfterMs()),
 	}
 }
