--- a/admission/client.go
+++ b/admission/client.go
@@ -13,14 +13,13 @@
 )
 
 const (
-	// lookInterval is how often a node looks whether a report is due: well below busyInterval.
-	lookInterval = 100 * time.Millisecond
-	// reportTimeout bounds one report. A plan that comes later is replaced by the next one.
+	// checkInterval is how often a node checks whether a report is due: well below busyInterval.
+	checkInterval = 100 * time.Millisecond
+	// reportTimeout bounds one report. A plan that arrives later is replaced by the next one.
 	reportTimeout = 300 * time.Millisecond
 )
 
-// Client reports what a node saw to the coordinators of the services, and puts their plans in
-// force.
+// Client reports a node's counts to the coordinators of the services, and applies their plans.
 type Client struct {
 	node         *Node
 	controller   *Controller
@@ -28,14 +27,14 @@
 	coordinators coordinator.Choice
 }
 
-// NewClient returns a client that asks the local controller where this node coordinates itself.
+// NewClient returns a client that calls the local controller for the services that this node coordinates.
 func NewClient(node *Node, controller *Controller, peers *peer.Client, coordinators coordinator.Choice) *Client {
 	return &Client{node: node, controller: controller, peers: peers, coordinators: coordinators}
 }
 
-// Run reports until the context ends.
+// Run sends reports until the context ends.
 func (c *Client) Run(ctx context.Context) {
-	periodic.Run(ctx, lookInterval, func(ctx context.Context) {
+	periodic.Run(ctx, checkInterval, func(ctx context.Context) {
 		now := c.node.now()
 		interval := func(service string) time.Duration { return c.node.gate.Interval(now, service) }
 		for _, report := range c.node.meter.Due(now, interval) {
@@ -44,7 +43,7 @@
 	})
 }
 
-// report sends one report. One that is lost is not sent again: the next one says more.
+// report sends one report. A lost report is not resent: the next one replaces it.
 func (c *Client) report(ctx context.Context, report Report) {
 	address, found := c.coordinators.Coordinator(report.Service)
 	if !found {
@@ -67,14 +66,14 @@
 	}
 }
 
-// ErrNoPlan is returned for a request that asks for no plan.
-var ErrNoPlan = errors.New("admission: not a report")
+// ErrNotReport is returned for a peer request that is not a load report.
+var ErrNotReport = errors.New("admission: not a report")
 
 // Handle answers the report of another node.
 func (c *Client) Handle(request *peerpb.Request) (*peerpb.Response, error) {
 	body, isReport := request.GetBody().(*peerpb.Request_ReportLoad)
 	if !isReport {
-		return nil, ErrNoPlan
+		return nil, ErrNotReport
 	}
 	plan := c.controller.HandleReport(c.node.now(), decodeReport(body.ReportLoad))
 	return &peerpb.Response{Body: &peerpb.Response_LoadPlan{LoadPlan: encodePlan(plan)}}, nil
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	// calmInterval is how often nodes report while a service has spare capacity. With 410 nodes
-	// that is 410 short calls a second at the coordinator.
-	calmInterval = time.Second
-	// busyInterval is the same under load: a third of a burst's first second, so that a queue
-	// of 24 requests does not fill before the nodes know.
+	// normalInterval is how often nodes report while a service has spare capacity. With 410 nodes that is 410
+	// short calls a second at the coordinator.
+	normalInterval = time.Second
+	// busyInterval is the report interval under load: a third of a burst's first second, so that a queue of 24
+	// requests does not fill before the nodes learn of it.
 	busyInterval = 250 * time.Millisecond
-	// mostReports bounds the reports that a coordinator takes in a second. Under load 295 nodes
-	// report each 0.5 s by it.
-	mostReports = 600
+	// maxReportsPerSecond bounds the reports that a coordinator receives. Under load it makes 295 nodes report
+	// every 0.5 s.
+	maxReportsPerSecond = 600
 	// replanInterval is the least time between two plans.
 	replanInterval = 50 * time.Millisecond
-	// reportLifetime is how long the last report of a node counts. A node that is lost sends no
-	// report that says so.
+	// reportLifetime is how long a node's last report counts. A node that fails sends no final report.
 	reportLifetime = 2500 * time.Millisecond
-	// busyFullness is how full a service must be for nodes to report at the interval for load.
-	busyFullness = 0.8
-	// entryFullness is the mean fullness from which requests may be refused. At 0.8 of what back
-	// ends can do, chosen by weight alone, it is about 1; each refusal below is one for nothing.
-	entryFullness = 1.5
-	// notableFullness is the fullness from which a plan names a back end.
-	notableFullness = 0.5
-	// mostNamed is how many back ends a plan names at most. Where each of a thousand has few requests, all seem
-	// to differ, and plans that name them all grow with the service, for each node and second.
-	mostNamed = 32
-	// notableWeight is how far from 1 a weight is that a plan names.
-	notableWeight = 0.1
-	// shortestRetryAfter and longestRetryAfter bound when a caller comes back. The first is
-	// above the age of a plan, the second above what callers wait.
-	shortestRetryAfter = 500 * time.Millisecond
-	longestRetryAfter  = 5 * time.Second
+	// busyUtilization is the utilization of a backend from which nodes report at the interval for load.
+	busyUtilization = 0.8
+	// overloadUtilization is the mean utilization from which requests may be rejected. At 0.8 of what backends
+	// can do, chosen by weight alone, it is about 1; rejecting below that has no benefit.
+	overloadUtilization = 1.5
+	// notableUtilization is the utilization from which a plan lists a backend.
+	notableUtilization = 0.5
+	// maxNamedBackends bounds the backends that a plan lists. In a service of a thousand backends with few
+	// requests each, all seem to differ, and plans that listed them all would grow with the service, for each
+	// node and second.
+	maxNamedBackends = 32
+	// notableWeightDeviation is the difference of a weight from 1 from which a plan lists a backend.
+	notableWeightDeviation = 0.1
+	// minRetryAfter and maxRetryAfter bound the delay that rejected callers are given. The minimum is above the
+	// age of a plan, the maximum above what callers wait.
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
-// Options are the parts of a Controller.
+// Options configures a Controller.
 type Options struct {
-	// Slots returns how many requests each back end of a service that takes new work works on
-	// at once, by identifier.
+	// Slots returns the number of concurrent requests of each backend of a service that takes new work, by
+	// identifier.
 	Slots func(service string) map[string]int
 	// Nodes returns how many nodes may report.
 	Nodes func() int
 }
 
-// Controller makes the plans of the services that its node coordinates. It answers a load above
-// what the back ends can do, by which every request would wait in their queues until all of
-// them are late. It is safe for concurrent use.
+// Controller computes the plans of the services that its node coordinates. It protects against a load above
+// what the backends can serve, under which every request would wait in their queues until all of them are late.
+// It is safe for concurrent use.
 type Controller struct {
 	options Options
 
@@ -61,101 +61,101 @@
 	services map[string]*serviceState
 }
 
-// serviceState is what is known of one service.
+// serviceState is the state of one service.
 type serviceState struct {
-	reports  map[string]heldReport
-	backends map[string]*backendModel
-	repeats  repeats
-	plan     Plan
-	planned  bool
-	// capacity is how many requests a second the back ends together are to be given, offered
-	// how many callers sent, and fullness the mean fullness, all as of the plan.
-	capacity, offered, fullness float64
-	// plannedAt is when the plan was made.
+	reports         map[string]receivedReport
+	backends        map[string]*backendModel
+	upstreamRetries upstreamRetries
+	plan            Plan
+	planned         bool
+	// capacity is the requests a second that the backends together should receive, offered those that callers
+	// send, and utilization the mean utilization of the backends, all as of the plan.
+	capacity, offered, utilization float64
+	// plannedAt is when the plan was computed.
 	plannedAt time.Duration
 	// overloaded is set while not all requests are admitted, since overloadedSince.
 	overloaded      bool
 	overloadedSince time.Duration
 }
 
-// heldReport is the last report of a node.
-type heldReport struct {
+// receivedReport is the last report of a node.
+type receivedReport struct {
 	report Report
 	at     time.Duration
 }
 
-// NewController returns a controller that has seen no report.
+// NewController returns a controller without reports.
 func NewController(options Options) *Controller {
 	return &Controller{options: options, services: map[string]*serviceState{}}
 }
 
-// HandleReport takes a report in and returns the plan for its sender.
+// HandleReport records a report and returns the plan for its sender.
 func (c *Controller) HandleReport(now time.Duration, report Report) Plan {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := c.services[report.Service]
 	if state == nil {
-		state = &serviceState{reports: map[string]heldReport{}, backends: map[string]*backendModel{}}
+		state = &serviceState{reports: map[string]receivedReport{}, backends: map[string]*backendModel{}}
 		c.services[report.Service] = state
 	}
-	state.reports[report.Holder] = heldReport{report, now}
+	state.reports[report.Holder] = receivedReport{report, now}
 	if !state.planned || now-state.plannedAt >= replanInterval {
 		state.replan(now, c.options.Slots(report.Service), c.options.Nodes())
 	}
 	return state.plan
 }
 
-// State is how a service stands, as of its last plan.
+// State is the state of a service as of its last plan.
 type State struct {
 	Plan Plan
-	// Offered and Capacity are requests a second: what callers send, and what is admitted at most.
+	// Offered and Capacity are requests a second: those that callers send, and the most that are admitted.
 	Offered, Capacity float64
-	// Utilization is how many requests the back ends have, as a share of their slots.
+	// Utilization is the number of requests at the backends, as a fraction of their slots.
 	Utilization float64
-	// Holders is how many nodes have reported lately.
+	// Holders is the number of nodes that reported recently.
 	Holders int
 }
 
-// States returns how the services stand whose load is notable, by their names.
+// States returns the states of the services under load, by service name.
 func (c *Controller) States(now time.Duration) map[string]State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	states := map[string]State{}
 	for name, known := range c.services {
-		if now-known.plannedAt <= reportLifetime && known.plan.Interval < calmInterval {
+		if now-known.plannedAt <= reportLifetime && known.plan.Interval < normalInterval {
 			states[name] = State{
-				Plan: known.plan, Offered: known.offered, Capacity: known.capacity, Utilization: known.fullness, Holders: len(known.reports),
+				Plan: known.plan, Offered: known.offered, Capacity: known.capacity, Utilization: known.utilization, Holders: len(known.reports),
 			}
 		}
 	}
 	return states
 }
 
-// replan makes a new plan.
+// replan computes a new plan.
 func (s *serviceState) replan(now time.Duration, slots map[string]int, nodes int) {
 	sum := s.totals(now)
 	elapsed := now - s.plannedAt
 	weight := 1 - math.Exp(-elapsed.Seconds()/smoothing.Seconds())
-	s.repeats.observe(&sum, elapsed)
+	s.upstreamRetries.observe(&sum, elapsed)
 	s.plannedAt, s.planned = now, true
 	shares := make(map[string]float64, len(slots))
-	fullness := make(map[string]float64, len(slots))
+	utilization := make(map[string]float64, len(slots))
 	capacity, share := 0.0, 0.0
 	for _, id := range slices.Sorted(maps.Keys(slots)) {
-		places := float64(max(1, slots[id]))
+		slotCount := float64(max(1, slots[id]))
 		seen := sum.backends[id]
 		if seen == nil {
 			seen = &backendTotals{}
 		}
 		model := s.model(id)
-		model.observe(*seen, places, weight)
-		fullness[id] = seen.load(places) / places
+		model.observe(*seen, slotCount, weight)
+		utilization[id] = seen.load(slotCount) / slotCount
 		if model.perRequest > 0 {
-			rate := model.rate(*seen, places, sum.objective)
+			rate := model.rate(*seen, slotCount, sum.objective)
 			capacity += rate
-			// What fails at one back end may be answered by another.
-			sound := (1 - model.failing) * (1 - model.failing)
-			shares[id] = rate * max(leastShare, sound)
+			// Squared because a request that fails at one backend may be answered by another.
+			successRate := (1 - model.failing) * (1 - model.failing)
+			shares[id] = rate * max(minCapacityShare, successRate)
 			share += shares[id]
 		}
 	}
@@ -166,14 +166,14 @@
 	}
 	known := float64(len(shares))
 	if known == 0 {
-		s.plan = openPlan()
+		s.plan = admitAllPlan()
 		return
 	}
-	// A back end of which nothing is known is taken for an average one.
-	s.capacity = capacity / known * float64(len(slots)) / s.repeats.perRequest()
-	s.offered, s.fullness = sum.firstTries+sum.retries, meanOf(fullness)
+	// A backend without data counts as an average one.
+	s.capacity = capacity / known * float64(len(slots)) / s.upstreamRetries.perRequest()
+	s.offered, s.utilization = sum.firstAttempts+sum.retries, meanOf(utilization)
 	s.admit(now, sum)
-	s.weigh(shares, fullness, share/known, nodes)
+	s.weigh(shares, utilization, share/known, nodes)
 }
 
 // meanOf returns the mean of the values.
@@ -185,7 +185,7 @@
 	return sum / float64(len(values))
 }
 
-// model returns what is learned of a back end.
+// model returns the model of a backend, which it creates if needed.
 func (s *serviceState) model(id string) *backendModel {
 	known := s.backends[id]
 	if known == nil {
@@ -195,12 +195,11 @@
 	return known
 }
 
-// admit decides which shares of the requests are admitted: first tries before retries, because
-// only a first try can still be in time. Nothing is refused before requests queue: the mean
-// fullness of the back ends tells.
+// admit sets the admitted shares: first attempts before client retries, because only a first attempt can still
+// be in time. Nothing is rejected before requests queue, which the mean utilization of the backends shows.
 func (s *serviceState) admit(now time.Duration, sum totals) {
 	s.plan.FirstAttempts, s.plan.Retries, s.plan.RetryAfter = 1, 1, 0
-	queued := s.overloaded || s.fullness >= entryFullness
+	queued := s.overloaded || s.utilization >= overloadUtilization
 	if !queued || s.offered <= s.capacity {
 		s.overloaded = false
 		return
@@ -208,53 +207,53 @@
 	if !s.overloaded {
 		s.overloaded, s.overloadedSince = true, now
 	}
-	if sum.firstTries > 0 {
-		s.plan.FirstAttempts = min(1, s.capacity/sum.firstTries)
+	if sum.firstAttempts > 0 {
+		s.plan.FirstAttempts = min(1, s.capacity/sum.firstAttempts)
 	}
 	if sum.retries > 0 {
-		left := s.capacity - s.plan.FirstAttempts*sum.firstTries
-		s.plan.Retries = min(1, max(0, left/sum.retries))
+		remaining := s.capacity - s.plan.FirstAttempts*sum.firstAttempts
+		s.plan.Retries = min(1, max(0, remaining/sum.retries))
 	}
-	// Nobody knows how long an overload lasts. One that has lasted for some time is expected
-	// to last as long again.
-	s.plan.RetryAfter = min(max(now-s.overloadedSince, shortestRetryAfter), longestRetryAfter)
+	// The length of an overload is unknown. One that has lasted for some time is expected to last as long
+	// again.
+	s.plan.RetryAfter = min(max(now-s.overloadedSince, minRetryAfter), maxRetryAfter)
 }
 
-// weigh states how the back ends differ, and when nodes report again.
-func (s *serviceState) weigh(shares, fullness map[string]float64, mean float64, nodes int) {
+// weigh sets the backends' weights and the report interval.
+func (s *serviceState) weigh(shares, utilization map[string]float64, mean float64, nodes int) {
 	s.plan.Backends, s.plan.RestUtilization = nil, 0
-	fullest := 0.0
-	for _, id := range slices.Sorted(maps.Keys(fullness)) {
-		full, weight := fullness[id], 1.0
+	maxUtilization := 0.0
+	for _, id := range slices.Sorted(maps.Keys(utilization)) {
+		current, weight := utilization[id], 1.0
 		if share, known := shares[id]; known {
 			weight = share / mean
 		}
-		fullest = max(fullest, full)
-		if math.Abs(weight-1) >= notableWeight || full >= notableFullness {
-			s.plan.Backends = append(s.plan.Backends, BackendPlan{ID: id, Weight: weight, Utilization: full})
+		maxUtilization = max(maxUtilization, current)
+		if math.Abs(weight-1) >= notableWeightDeviation || current >= notableUtilization {
+			s.plan.Backends = append(s.plan.Backends, BackendPlan{ID: id, Weight: weight, Utilization: current})
 		}
 	}
-	if len(s.plan.Backends) > mostNamed {
-		s.plan.Backends = mostProminent(s.plan.Backends)
-		s.plan.RestUtilization = meanOfRest(fullness, s.plan.Backends)
+	if len(s.plan.Backends) > maxNamedBackends {
+		s.plan.Backends = mostDeviating(s.plan.Backends)
+		s.plan.RestUtilization = meanOfUnnamed(utilization, s.plan.Backends)
 	}
-	s.plan.Interval = calmInterval
-	if s.overloaded || fullest >= busyFullness {
-		s.plan.Interval = max(busyInterval, time.Duration(nodes)*time.Second/mostReports)
+	s.plan.Interval = normalInterval
+	if s.overloaded || maxUtilization >= busyUtilization {
+		s.plan.Interval = max(busyInterval, time.Duration(nodes)*time.Second/maxReportsPerSecond)
 	}
 }
 
-// mostProminent returns those that differ most, in the order of their identifiers.
-func mostProminent(backends []BackendPlan) []BackendPlan {
-	slices.SortStableFunc(backends, func(a, b BackendPlan) int { return cmp.Compare(b.prominence(), a.prominence()) })
-	named := slices.Clone(backends[:mostNamed])
+// mostDeviating returns the backends that deviate most, in the order of their identifiers.
+func mostDeviating(backends []BackendPlan) []BackendPlan {
+	slices.SortStableFunc(backends, func(a, b BackendPlan) int { return cmp.Compare(b.deviation(), a.deviation()) })
+	named := slices.Clone(backends[:maxNamedBackends])
 	slices.SortFunc(named, func(a, b BackendPlan) int { return cmp.Compare(a.ID, b.ID) })
 	return named
 }
 
-// meanOfRest returns the mean fullness of the back ends that are not named.
-func meanOfRest(fullness map[string]float64, named []BackendPlan) float64 {
-	rest := maps.Clone(fullness)
+// meanOfUnnamed returns the mean utilization of the backends that the plan does not list.
+func meanOfUnnamed(utilization map[string]float64, named []BackendPlan) float64 {
+	rest := maps.Clone(utilization)
 	for _, described := range named {
 		delete(rest, described.ID)
 	}
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -9,9 +9,9 @@
 	"github.com/reelrun/reelrun/admission"
 )
 
-// TestABackEndThatStoodStillIsUsedAgain has one of two back ends answer nothing for 5 s. It gets
-// less meanwhile, and half as much as the other one at least 2 s after it works again.
-func TestABackEndThatStoodStillIsUsedAgain(t *testing.T) {
+// TestStalledBackendRecovers has one of two backends answer nothing for 5 s. It gets less meanwhile, and at
+// least half as much as the other one 2 s after it works again.
+func TestStalledBackendRecovers(t *testing.T) {
 	g := NewWithT(t)
 	const interval = 100 * time.Millisecond
 	controller := admission.NewController(admission.Options{
@@ -42,7 +42,7 @@
 	g.Expect(weightOf(plan, "a")).To(BeNumerically(">", 0.5))
 }
 
-// weightOf returns the weight of a back end; one that a plan does not name has 1.
+// weightOf returns the weight of a backend; one that a plan does not list has 1.
 func weightOf(plan admission.Plan, id string) float64 {
 	for _, described := range plan.Backends {
 		if described.ID == id {
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,17 +1,16 @@
-// Package admission bounds what a fleet of nodes sends to a plain service, and spreads it over
-// the service's back ends.
+// Package admission limits the requests that a fleet of nodes sends to a plain service, and balances them over
+// the service's backends.
 //
-// A single node of a large fleet sees about one request a second. What it has under way at a
-// back end says nothing of how full that back end is, and no bound that a node could keep by
-// itself is both fair and small enough. So every node reports what it saw to the coordinator of
-// the service, once a second and more often under load, and receives a Plan: which share of the
-// requests to admit, and how to weigh the back ends. Its decisions follow the plan alone. They
-// cost no call, and a plan too old counts for nothing.
+// A single node of a large fleet sees about one request a second. Its own requests in flight at a backend say
+// nothing about the backend's utilization, and no limit that a node could apply locally is both fair and small
+// enough. So each node reports its counts to the service's coordinator, once a second and more often under
+// load, and receives a Plan: the share of the requests to admit, and the weights of the backends. Nodes decide
+// by the plan alone, without a call per request, and ignore a plan that is too old.
 //
-// Meter counts what a node sees, Controller makes plans of all reports, Gate applies a plan.
-// All three are free of input and output; Client carries reports and plans between nodes.
+// Meter counts what a node sees, Controller computes plans from all reports, and Gate applies a plan. All three
+// do no I/O; Client carries reports and plans between nodes.
 //
-// The admitted share is one number for all nodes, as in the adaptive sampling of overload
-// control by collaborating services (Zhou et al., Overload Control for Scaling WeChat
-// Microservices, SoCC 2018): it does not depend on how many nodes share the load.
+// The admitted share is one number for all nodes, as in the adaptive sampling of overload control by
+// collaborating services (Zhou et al., Overload Control for Scaling WeChat Microservices, SoCC 2018): it does
+// not depend on how many nodes share the load.
 package admission
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -6,30 +6,29 @@
 )
 
 const (
-	// planLifetime is how long a plan counts: a coordinator that is lost is replaced in about
-	// that time.
+	// planLifetime is how long a plan is valid: about the time in which a failed coordinator is replaced.
 	planLifetime = 2500 * time.Millisecond
-	// awayFullness and homeFullness bound the choice between zones: below the one requests stay
-	// in their zone, above the other all zones are alike. Bytes between zones cost, and a wait
-	// in a queue costs more.
-	homeFullness = 0.5
-	awayFullness = 1.0
-	// retryAfterSpread is by how much, as a share, callers that are refused together come back
+	// localUtilization and remoteUtilization bound the choice between zones: below the first, requests stay in
+	// their zone; above the second, all zones are equal. Traffic between zones is costly, and a wait in a
+	// queue costs more.
+	localUtilization  = 0.5
+	remoteUtilization = 1.0
+	// retryAfterJitter is the jitter of the retry delay, as a fraction, so that callers rejected together retry
 	// at different times.
-	retryAfterSpread = 0.5
-	// fullFactor is what is left of the weight of a back end that has just rejected a request.
-	fullFactor = 0.05
+	retryAfterJitter = 0.5
+	// rejectedFactor reduces the weight of a backend that has just rejected a request.
+	rejectedFactor = 0.05
 )
 
-// Random returns numbers from 0 up to 1.
+// Random returns numbers in [0, 1).
 type Random func() float64
 
-// Decision is whether a request is admitted, and by what.
+// Decision is the result of Gate.Admit.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when the caller is to come back, where it is not admitted.
+	// RetryAfter is when a caller that is not admitted should retry.
 	RetryAfter time.Duration
-	// Share is the share of such requests that is admitted, by a plan of this age.
+	// Share is the admitted share of such requests, by a plan of age PlanAge.
 	Share   float64
 	PlanAge time.Duration
 }
@@ -37,22 +36,22 @@
 // Gate applies the plans of services on one node. It is safe for concurrent use.
 type Gate struct {
 	mu    sync.RWMutex
-	plans map[string]heldPlan
+	plans map[string]receivedPlan
 }
 
-// heldPlan is a plan and when it came.
-type heldPlan struct {
+// receivedPlan is a plan and when it arrived.
+type receivedPlan struct {
 	plan     Plan
 	at       time.Duration
 	backends map[string]BackendPlan
 }
 
-// NewGate returns a gate without plans: it admits everything.
-func NewGate() *Gate { return &Gate{plans: map[string]heldPlan{}} }
+// NewGate returns a gate without plans, which admits everything.
+func NewGate() *Gate { return &Gate{plans: map[string]receivedPlan{}} }
 
-// Put puts a plan in force.
+// Put applies a plan.
 func (g *Gate) Put(now time.Duration, service string, plan Plan) {
-	held := heldPlan{plan: plan, at: now, backends: make(map[string]BackendPlan, len(plan.Backends))}
+	held := receivedPlan{plan: plan, at: now, backends: make(map[string]BackendPlan, len(plan.Backends))}
 	for _, described := range plan.Backends {
 		held.backends[described.ID] = described
 	}
@@ -61,13 +60,13 @@
 	g.plans[service] = held
 }
 
-// plan returns the plan in force.
-func (g *Gate) plan(now time.Duration, service string) heldPlan {
+// plan returns the plan in force, or one that admits everything.
+func (g *Gate) plan(now time.Duration, service string) receivedPlan {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	held, known := g.plans[service]
 	if !known || now-held.at > planLifetime {
-		return heldPlan{plan: openPlan()}
+		return receivedPlan{plan: admitAllPlan()}
 	}
 	return held
 }
@@ -77,7 +76,7 @@
 	return g.plan(now, service).plan.Interval
 }
 
-// Admit decides on a request.
+// Admit decides on a request; retry is set for a client retry.
 func (g *Gate) Admit(now time.Duration, service string, retry bool, random Random) Decision {
 	held := g.plan(now, service)
 	share := held.plan.FirstAttempts
@@ -87,38 +86,38 @@
 	if share >= 1 || random() < share {
 		return Decision{Admitted: true, Share: share, PlanAge: now - held.at}
 	}
-	spread := 1 - retryAfterSpread + 2*retryAfterSpread*random()
-	return Decision{RetryAfter: time.Duration(float64(held.plan.RetryAfter) * spread), Share: share, PlanAge: now - held.at}
+	jitter := 1 - retryAfterJitter + 2*retryAfterJitter*random()
+	return Decision{RetryAfter: time.Duration(float64(held.plan.RetryAfter) * jitter), Share: share, PlanAge: now - held.at}
 }
 
-// Candidate is a back end that a request may be sent to, as its node sees it.
+// Candidate is a backend that a request may be sent to, as its node sees it.
 type Candidate struct {
 	ID string
-	// SameZone is set where it is in the zone of the node.
+	// SameZone is set if the backend is in the node's zone.
 	SameZone bool
-	// ZoneOnly is set where it was drawn because of its zone. A choice among all zones passes it over:
-	// the zone would have more than its share.
+	// ZoneOnly is set if the backend was sampled for its zone. A choice among all zones ignores it: its zone
+	// would receive more than its share.
 	ZoneOnly bool
-	// Pending is how many requests of this node are under way there.
+	// Pending is the number of this node's requests in flight there.
 	Pending int
-	// FailureRate is the share of this node's requests that failed there of late.
+	// FailureRate is the share of this node's requests that failed there recently.
 	FailureRate float64
-	// Full is set where it has just rejected a request of this node.
+	// Full is set if it has just rejected a request of this node.
 	Full bool
 }
 
-// Choose returns the index of the back end that a request is sent to. It draws two by their
-// weights and takes the one at which the node itself has less under way: a fixed order of
-// back ends would send all nodes that hold the same plan to the same one.
+// Choose returns the index of the backend that a request is sent to. It draws two by their weights and takes
+// the one with fewer requests in flight from this node: with a fixed order, all nodes that have the same plan
+// would choose the same backend.
 func (g *Gate) Choose(now time.Duration, service string, candidates []Candidate, random Random) int {
 	held := g.plan(now, service)
 	weights := make([]float64, len(candidates))
 	for i, candidate := range candidates {
 		weights[i] = held.weight(candidate)
 	}
-	isHome := random() < held.homeShare(candidates, weights)
+	isLocal := random() < held.localShare(candidates, weights)
 	for i, candidate := range candidates {
-		if isHome && !candidate.SameZone || !isHome && candidate.ZoneOnly {
+		if isLocal && !candidate.SameZone || !isLocal && candidate.ZoneOnly {
 			weights[i] = 0
 		}
 	}
@@ -129,63 +128,63 @@
 	return first
 }
 
-// weight returns the weight of a back end by the plan and by what the node has just seen.
-func (h heldPlan) weight(candidate Candidate) float64 {
+// weight returns the weight of a backend by the plan and by this node's own recent requests.
+func (h receivedPlan) weight(candidate Candidate) float64 {
 	weight := 1.0
 	if described, known := h.backends[candidate.ID]; known {
 		weight = described.Weight
 	}
-	sound := 1 - candidate.FailureRate
-	weight *= sound * sound
+	successRate := 1 - candidate.FailureRate
+	weight *= successRate * successRate
 	if candidate.Full {
-		weight *= fullFactor
+		weight *= rejectedFactor
 	}
-	return max(weight, leastShare*leastShare)
+	return max(weight, minCapacityShare*minCapacityShare)
 }
 
-// fullness returns how full a back end is by the plan.
-func (h heldPlan) fullness(id string) float64 {
+// utilization returns the utilization of a backend by the plan.
+func (h receivedPlan) utilization(id string) float64 {
 	if described, known := h.backends[id]; known {
 		return described.Utilization
 	}
 	return h.plan.RestUtilization
 }
 
-// homeShare returns the probability with which a request stays in its zone: 1 while the back
-// ends there are less than half full and as sound as usual, 0 where they are full.
-func (h heldPlan) homeShare(candidates []Candidate, weights []float64) float64 {
-	count, fullness, weight := 0, 0.0, 0.0
+// localShare returns the probability that a request stays in its zone: 1 while the backends there are less than
+// half utilized and as healthy as usual, 0 when they are full.
+func (h receivedPlan) localShare(candidates []Candidate, weights []float64) float64 {
+	count, utilization, weight := 0, 0.0, 0.0
 	for i, candidate := range candidates {
 		if candidate.SameZone {
 			count++
-			fullness += h.fullness(candidate.ID)
+			utilization += h.utilization(candidate.ID)
 			weight += weights[i]
 		}
 	}
 	if count == 0 {
 		return 0
 	}
-	fullness /= float64(count)
+	utilization /= float64(count)
 	weight /= float64(count)
-	stay := (awayFullness - fullness) / (awayFullness - homeFullness)
+	stay := (remoteUtilization - utilization) / (remoteUtilization - localUtilization)
 	return min(1, max(0, stay)) * min(1, weight)
 }
 
-// draw returns an index with a probability that goes by its weight.
+// draw returns a random index, weighted.
 func draw(weights []float64, random Random) int {
 	sum := 0.0
 	for _, weight := range weights {
 		sum += weight
 	}
-	left := random() * sum
+	remaining := random() * sum
 	last := 0
 	for i, weight := range weights {
 		if weight == 0 {
 			continue
 		}
 		last = i
-		left -= weight
-		if left < 0 {
+		remaining -= weight
+		if remaining < 0 {
 			return i
 		}
 	}
--- a/admission/meter.go
+++ b/admission/meter.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Meter counts what one node sees of plain services. It is safe for concurrent use.
+// Meter counts the requests of one node to plain services. It is safe for concurrent use.
 type Meter struct {
 	holder string
 
@@ -14,21 +14,20 @@
 	services map[string]*serviceMeter
 }
 
-// serviceMeter counts for one service since its last report.
+// serviceMeter holds the counts of one service since its last report.
 type serviceMeter struct {
-	since               time.Duration
-	objective           time.Duration
-	firstTries, retries int
-	admitted            int
-	backends            map[string]*BackendCounts
-	// urgent is set where something calls for a report at once.
+	since                  time.Duration
+	objective              time.Duration
+	firstAttempts, retries int
+	admitted               int
+	backends               map[string]*BackendCounts
+	// urgent is set if a report should be sent early.
 	urgent bool
-	// reported is set where the last report was not empty, so that the coordinator must learn
-	// that this has changed.
+	// reported is set if the last report was not empty: the coordinator must learn of the change.
 	reported bool
 }
 
-// NewMeter returns a meter of the node at an address.
+// NewMeter returns a meter of the node at the address holder.
 func NewMeter(holder string) *Meter {
 	return &Meter{holder: holder, services: map[string]*serviceMeter{}}
 }
@@ -60,7 +59,7 @@
 	if retry {
 		known.retries++
 	} else {
-		known.firstTries++
+		known.firstAttempts++
 	}
 	if admitted {
 		known.admitted++
@@ -70,8 +69,8 @@
 	}
 }
 
-// Begin counts a request that is sent to a back end. The function that it returns must be
-// called with the time and the outcome, once.
+// Begin counts a request that is sent to a backend. The returned function must be called once, with the time
+// and the outcome.
 func (m *Meter) Begin(now time.Duration, service, backend string) func(ended time.Duration, outcome Outcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,8 +101,8 @@
 	}
 }
 
-// Due returns the reports that are due, given how often each service is reported on, and
-// begins their next interval.
+// Due returns the reports that are due, given the report interval of each service, and begins their next
+// intervals.
 func (m *Meter) Due(now time.Duration, interval func(service string) time.Duration) []Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,11 +126,11 @@
 	return due
 }
 
-// report returns what has been counted.
+// report returns the counts.
 func (s *serviceMeter) report(service, holder string, interval time.Duration) Report {
 	report := Report{
 		Service: service, Holder: holder, Interval: interval, Objective: s.objective,
-		FirstAttempts: s.firstTries, Retries: s.retries, Admitted: s.admitted,
+		FirstAttempts: s.firstAttempts, Retries: s.retries, Admitted: s.admitted,
 	}
 	for _, counts := range s.backends {
 		report.Backends = append(report.Backends, *counts)
@@ -140,10 +139,10 @@
 	return report
 }
 
-// begin starts a new interval. Only requests that are under way stay counted.
+// begin starts a new interval. Only requests in flight stay counted.
 func (s *serviceMeter) begin(now time.Duration, reported bool) {
 	s.since, s.reported, s.urgent = now, reported, false
-	s.objective, s.firstTries, s.retries, s.admitted = 0, 0, 0, 0
+	s.objective, s.firstAttempts, s.retries, s.admitted = 0, 0, 0, 0
 	for id, counts := range s.backends {
 		if counts.Pending == 0 {
 			delete(s.backends, id)
--- a/admission/meter_test.go
+++ b/admission/meter_test.go
@@ -11,9 +11,9 @@
 
 func everySecond(string) time.Duration { return time.Second }
 
-// TestReportsAreDue counts for an interval, reports at once what is urgent, and says once that
-// there is nothing more.
-func TestReportsAreDue(t *testing.T) {
+// TestMeterReportsWhenDue checks that counts are reported once an interval, rejections early, and an empty
+// report once after the last request.
+func TestMeterReportsWhenDue(t *testing.T) {
 	g := NewWithT(t)
 	meter := admission.NewMeter("n")
 	meter.Offered(0, "s", 300*time.Millisecond, false, true)
@@ -37,8 +37,9 @@
 	g.Expect(meter.Due(4*time.Second, everySecond)).To(BeEmpty())
 }
 
-// TestGateFollowsAPlanForALimitedTime refuses by the plan in force, and nothing once that is old.
-func TestGateFollowsAPlanForALimitedTime(t *testing.T) {
+// TestGateIgnoresExpiredPlan checks that the gate rejects by the plan in force, and nothing once the plan is
+// too old.
+func TestGateIgnoresExpiredPlan(t *testing.T) {
 	g := NewWithT(t)
 	gate := admission.NewGate()
 	half := func() float64 { return 0.5 }
@@ -51,10 +52,10 @@
 	g.Expect(gate.Admit(3*time.Second, "s", true, half).Admitted).To(BeTrue())
 }
 
-// TestRequestsStayInTheirZone chooses the back end of the zone while it has spare capacity, and
-// any one where it is full, failing or rejecting.
-func TestRequestsStayInTheirZone(t *testing.T) {
-	for name, scene := range map[string]struct {
+// TestChoosePrefersSameZone checks that the zone's own backend is chosen while it has spare capacity, and any
+// backend when it is full, failing or rejecting.
+func TestChoosePrefersSameZone(t *testing.T) {
+	for name, test := range map[string]struct {
 		plan  admission.Plan
 		home  admission.Candidate
 		stays bool
@@ -68,13 +69,13 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			gate := admission.NewGate()
-			if scene.plan.Interval > 0 {
-				gate.Put(0, "s", scene.plan)
+			if test.plan.Interval > 0 {
+				gate.Put(0, "s", test.plan)
 			}
-			home := scene.home
+			home := test.home
 			home.SameZone = true
 			candidates := []admission.Candidate{{ID: "away1"}, {ID: "away2"}, home}
-			g.Expect(gate.Choose(0, "s", candidates, func() float64 { return 0.5 }) == 2).To(Equal(scene.stays))
+			g.Expect(gate.Choose(0, "s", candidates, func() float64 { return 0.5 }) == 2).To(Equal(test.stays))
 		})
 	}
 }
--- a/admission/named_test.go
+++ b/admission/named_test.go
@@ -11,8 +11,8 @@
 	"github.com/reelrun/reelrun/admission"
 )
 
-// planOfMany returns the plan of a service of so many back ends, each of which has one request in some seconds
-// of varying length. One of them fails all it gets, and one has a queue.
+// planOfMany returns the plan of a service with many backends, each of which has one request every few seconds
+// of varying length. One of them fails all requests, and one has a queue.
 func planOfMany(count int) admission.Plan {
 	slots := map[string]int{}
 	for i := range count {
@@ -40,9 +40,9 @@
 	return plan
 }
 
-// TestAPlanNamesFewOfManyBackEnds wants a plan of the same size for 1,350 and 2,700 back ends, which each node
-// gets once a second, and those in it that other nodes have to know of.
-func TestAPlanNamesFewOfManyBackEnds(t *testing.T) {
+// TestPlanSizeIsBounded checks that plans for 1,350 and 2,700 backends, which each node gets once a second,
+// have the same size and list the backends that other nodes have to know of.
+func TestPlanSizeIsBounded(t *testing.T) {
 	for _, count := range []int{1350, 2700} {
 		g := NewWithT(t)
 		plan := planOfMany(count)
--- a/admission/property_test.go
+++ b/admission/property_test.go
@@ -11,9 +11,9 @@
 	"github.com/reelrun/reelrun/admission"
 )
 
-// TestPlansAreSane takes in reports of any kind, as a node of another version may send them:
-// shares stay between 0 and 1, and weights are numbers above 0.
-func TestPlansAreSane(t *testing.T) {
+// TestPlansAreValid feeds the controller arbitrary reports, as a node of another version may send them: shares
+// stay between 0 and 1, and weights are numbers above 0.
+func TestPlansAreValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		backends := rapid.IntRange(0, 5).Draw(t, "backends")
 		slots := map[string]int{}
@@ -26,7 +26,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
-			check(t, controller.HandleReport(now, drawReport(t)))
+			checkPlan(t, controller.HandleReport(now, drawReport(t)))
 		}
 	})
 }
@@ -49,21 +49,21 @@
 	return report
 }
 
-func check(t *rapid.T, plan admission.Plan) {
+func checkPlan(t *rapid.T, plan admission.Plan) {
 	for _, share := range []float64{plan.FirstAttempts, plan.Retries} {
 		if math.IsNaN(share) || share < 0 || share > 1 {
 			t.Fatalf("share %v", share)
 		}
 	}
 	if plan.FirstAttempts < 1 && plan.RetryAfter <= 0 {
-		t.Fatalf("refused without a time to come back")
+		t.Fatalf("rejected without a retry delay")
 	}
 	if plan.Interval <= 0 {
 		t.Fatalf("interval %v", plan.Interval)
 	}
 	for _, described := range plan.Backends {
 		if !(described.Weight > 0) || math.IsInf(described.Weight, 0) || math.IsNaN(described.Utilization) {
-			t.Fatalf("back end %+v", described)
+			t.Fatalf("backend %+v", described)
 		}
 	}
 }
--- a/admission/replay_test.go
+++ b/admission/replay_test.go
@@ -13,8 +13,8 @@
 	"github.com/reelrun/reelrun/sim/eventqueue"
 )
 
-// replay plays callers, nodes and the back ends of one plain service in virtual time. Back ends
-// work on some requests at once, queue some more, and reject the rest.
+// replay simulates callers, nodes and the backends of one plain service in virtual time. Backends run some
+// requests at once, queue some more, and reject the rest.
 type replay struct {
 	queue  eventqueue.Queue
 	random *rand.Rand
@@ -26,39 +26,39 @@
 	counts     replayCounts
 }
 
-// load is what is played.
+// load describes the simulated load.
 type load struct {
 	nodes    int
 	backends int
-	// blind has nodes send each request to any back end, and admit all.
-	blind bool
-	// rate is how many requests a second come, burst how many during the burst.
+	// ungated makes nodes send each request to any backend, and admit all.
+	ungated bool
+	// rate is the requests a second, burst those during the burst.
 	rate, burst float64
-	// slowness is how much longer the first back end works; failing the share of its requests
-	// that it answers by a failure.
+	// slowness multiplies the first backend's run time; failing is the share of its requests that it answers
+	// with a failure.
 	slowness, failing float64
-	// losing is how many back ends lose the answers of a share of their requests after they
-	// have run. Nodes send such a request once more.
-	losing int
-	lost   float64
+	// lossy is how many backends lose the responses of a share (lossRate) of their requests after running them.
+	// Nodes retry such a request once.
+	lossy    int
+	lossRate float64
 }
 
 const (
-	replayLength     = 24 * time.Second
-	replayBurstStart = 6 * time.Second
-	replayBurstEnd   = 18 * time.Second
-	replaySlots      = 6
-	replayQueue      = 24
-	replayWork       = 60 * time.Millisecond
-	replayObjective  = 300 * time.Millisecond
-	replayWait       = 4 * time.Second
-	replayLink       = time.Millisecond
-	replayLook       = 50 * time.Millisecond
+	replayLength         = 24 * time.Second
+	replayBurstStart     = 6 * time.Second
+	replayBurstEnd       = 18 * time.Second
+	replaySlots          = 6
+	replayQueue          = 24
+	replayWork           = 60 * time.Millisecond
+	replayObjective      = 300 * time.Millisecond
+	replayWait           = 4 * time.Second
+	replayLink           = time.Millisecond
+	replayReportInterval = 50 * time.Millisecond
 )
 
-// replayCounts are how callers' requests ended, from their first try.
+// replayCounts counts the outcomes of callers' requests, from their first attempt.
 type replayCounts struct {
-	asked, inTime, late, refused, failed, arrivals, notAdmitted int
+	asked, inTime, late, rejected, failed, arrivals, notAdmitted int
 }
 
 func (c replayCounts) inTimeShare() float64 { return float64(c.inTime) / float64(c.asked) }
@@ -68,7 +68,7 @@
 	zone  int
 	meter *admission.Meter
 	gate  *admission.Gate
-	// pending is what the node has under way at each back end.
+	// pending is the node's requests in flight at each backend.
 	pending []int
 }
 
@@ -81,10 +81,10 @@
 	failing  float64
 }
 
-// caller is one request of a caller, over its tries.
+// caller is one request of a caller, over its attempts.
 type caller struct {
-	asked time.Duration
-	tries int
+	asked    time.Duration
+	attempts int
 }
 
 const replayZones = 3
@@ -95,7 +95,7 @@
 	return world.counts
 }
 
-// build plans the first events of a load.
+// build schedules the first events of a load.
 func build(plan load) *replay {
 	world := &replay{random: rand.New(rand.NewPCG(1, uint64(plan.nodes))), plan: plan}
 	for i := range plan.backends {
@@ -103,8 +103,8 @@
 		if i == 0 {
 			backend.slowness, backend.failing = max(1, plan.slowness), plan.failing
 		}
-		if i < plan.losing {
-			backend.failing = plan.lost
+		if i < plan.lossy {
+			backend.failing = plan.lossRate
 		}
 		world.backends = append(world.backends, backend)
 	}
@@ -123,12 +123,12 @@
 	})
 	world.arrive()
 	for _, node := range world.nodes {
-		world.queue.After(time.Duration(world.random.Int64N(int64(replayLook))), node.look)
+		world.queue.After(time.Duration(world.random.Int64N(int64(replayReportInterval))), node.sendReports)
 	}
 	return world
 }
 
-// arrive plans the arrival of the next caller.
+// arrive schedules the arrival of the next caller.
 func (w *replay) arrive() {
 	rate := w.plan.rate
 	if now := w.queue.Now(); now >= replayBurstStart && now < replayBurstEnd {
@@ -144,17 +144,17 @@
 	})
 }
 
-// ask has a caller ask any node.
+// ask sends a caller's request to a random node.
 func (w *replay) ask(from *caller) {
 	node := w.nodes[w.random.IntN(len(w.nodes))]
 	w.queue.After(replayLink, func() { node.serve(from) })
 }
 
-// look sends the reports that are due and puts the plans in force.
-func (n *replayNode) look() {
+// sendReports sends the reports that are due and applies the plans.
+func (n *replayNode) sendReports() {
 	w := n.world
-	w.queue.After(replayLook, n.look)
-	if w.plan.blind {
+	w.queue.After(replayReportInterval, n.sendReports)
+	if w.plan.ungated {
 		return
 	}
 	now := w.queue.Now()
@@ -168,23 +168,23 @@
 
 func (n *replayNode) serve(from *caller) {
 	w := n.world
-	retry := from.tries > 0
-	from.tries++
+	retry := from.attempts > 0
+	from.attempts++
 	decision := n.gate.Admit(w.queue.Now(), "s", retry, w.random.Float64)
 	n.meter.Offered(w.queue.Now(), "s", replayObjective, retry, decision.Admitted)
 	if !decision.Admitted {
 		w.counts.notAdmitted++
-		n.refuse(from, decision.RetryAfter)
+		n.reject(from, decision.RetryAfter)
 		return
 	}
 	n.send(from, map[int]bool{})
 }
 
-// refuse has a caller come back once, within a third of the time that it still waits.
-func (n *replayNode) refuse(from *caller, after time.Duration) {
+// reject makes a caller retry once, within a third of its remaining wait.
+func (n *replayNode) reject(from *caller, after time.Duration) {
 	w := n.world
-	if from.tries > 1 {
-		w.counts.refused++
+	if from.attempts > 1 {
+		w.counts.rejected++
 		return
 	}
 	left := replayWait - (w.queue.Now() - from.asked)
@@ -193,11 +193,11 @@
 
 const replaySends = 3
 
-// send sends a request to a back end that has not refused it.
+// send sends a request to a backend that has not rejected it.
 func (n *replayNode) send(from *caller, tried map[int]bool) {
 	w := n.world
 	if len(tried) >= replaySends {
-		n.refuse(from, 400*time.Millisecond)
+		n.reject(from, 400*time.Millisecond)
 		return
 	}
 	at := n.choose(tried)
@@ -206,7 +206,7 @@
 	ended := n.meter.Begin(w.queue.Now(), "s", w.backends[at].id)
 	w.counts.arrivals++
 	w.queue.After(replayLink, func() {
-		w.backends[at].take(w, func(outcome admission.Outcome) {
+		w.backends[at].handle(w, func(outcome admission.Outcome) {
 			w.queue.After(replayLink, func() {
 				n.pending[at]--
 				ended(w.queue.Now(), outcome)
@@ -225,7 +225,7 @@
 			indices = append(indices, i)
 		}
 	}
-	if n.world.plan.blind {
+	if n.world.plan.ungated {
 		return indices[n.world.random.IntN(len(indices))]
 	}
 	return indices[n.gate.Choose(n.world.queue.Now(), "s", candidates, n.world.random.Float64)]
@@ -237,7 +237,7 @@
 	case admission.OutcomeRejected:
 		n.send(from, tried)
 	case admission.OutcomeFailed:
-		if n.world.plan.losing > 0 && len(tried) == 1 {
+		if n.world.plan.lossy > 0 && len(tried) == 1 {
 			n.send(from, tried)
 			return
 		}
@@ -251,8 +251,8 @@
 	}
 }
 
-// take works on a request, or queues or rejects it.
-func (b *replayBackend) take(w *replay, done func(admission.Outcome)) {
+// handle runs a request, or queues or rejects it.
+func (b *replayBackend) handle(w *replay, done func(admission.Outcome)) {
 	work := func() {
 		b.busy++
 		took := time.Duration(float64(replayWork) * b.slowness * math.Exp(0.5*w.random.NormFloat64()-0.125))
@@ -283,24 +283,23 @@
 // fleets are the numbers of nodes at which a load is replayed.
 var fleets = []int{8, 58, 295, 410}
 
-// TestOverload replays a burst of 12 s at 1.27 times what six back ends can do. Of the callers
-// of the whole time 0.85 could be in time. Without admission 0.46 to 0.47 were, at all sizes.
+// TestOverload replays a burst of 12 s at 1.27 times the capacity of six backends. Of all callers, 0.85 could
+// be in time. Without admission 0.46 to 0.47 were, at all fleet sizes.
 func TestOverload(t *testing.T) {
 	for _, nodes := range fleets {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			g := NewWithT(t)
-			blind := play(load{nodes: nodes, backends: 6, rate: 220, burst: 760, blind: true})
+			ungated := play(load{nodes: nodes, backends: 6, rate: 220, burst: 760, ungated: true})
 			counts := play(load{nodes: nodes, backends: 6, rate: 220, burst: 760})
-			t.Logf("blind %.3f %+v", blind.inTimeShare(), blind)
+			t.Logf("ungated %.3f %+v", ungated.inTimeShare(), ungated)
 			t.Logf("gate  %.3f %+v", counts.inTimeShare(), counts)
 			g.Expect(counts.inTimeShare()).To(BeNumerically(">=", 0.75))
-			g.Expect(counts.late).To(BeNumerically("<", blind.late/3))
+			g.Expect(counts.late).To(BeNumerically("<", ungated.late/3))
 		})
 	}
 }
 
-// TestSpareCapacity replays loads with spare capacity: nothing is refused, whatever the size of
-// the fleet.
+// TestSpareCapacity checks that nothing is rejected while capacity is left, whatever the size of the fleet.
 func TestSpareCapacity(t *testing.T) {
 	for _, nodes := range fleets {
 		for _, burst := range []float64{220, 480} {
@@ -318,43 +317,43 @@
 // extremes are the smallest and the largest fleet.
 var extremes = []int{8, 410}
 
-// TestSlowBackend replays a back end that takes five times as long as the others: it gets less.
+// TestSlowBackend checks that a backend that takes five times as long as the others gets fewer requests.
 func TestSlowBackend(t *testing.T) {
 	for _, nodes := range extremes {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			g := NewWithT(t)
-			blind := play(load{nodes: nodes, backends: 6, rate: 220, burst: 400, slowness: 5, blind: true})
+			ungated := play(load{nodes: nodes, backends: 6, rate: 220, burst: 400, slowness: 5, ungated: true})
 			counts := play(load{nodes: nodes, backends: 6, rate: 220, burst: 400, slowness: 5})
-			t.Logf("blind %.3f %+v", blind.inTimeShare(), blind)
+			t.Logf("ungated %.3f %+v", ungated.inTimeShare(), ungated)
 			t.Logf("gate  %.3f %+v", counts.inTimeShare(), counts)
 			g.Expect(counts.inTimeShare()).To(BeNumerically(">=", 0.93))
 		})
 	}
 }
 
-// TestFailingBackend replays a back end that fails most of its requests at once: all nodes know
-// by what some have seen.
+// TestFailingBackend checks that all nodes avoid a backend that fails most of its requests at once, though each
+// has seen few of the failures.
 func TestFailingBackend(t *testing.T) {
 	for _, nodes := range extremes {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			g := NewWithT(t)
-			blind := play(load{nodes: nodes, backends: 6, rate: 220, burst: 300, failing: 0.8, blind: true})
+			ungated := play(load{nodes: nodes, backends: 6, rate: 220, burst: 300, failing: 0.8, ungated: true})
 			counts := play(load{nodes: nodes, backends: 6, rate: 220, burst: 300, failing: 0.8})
-			t.Logf("blind %.3f %+v", blind.inTimeShare(), blind)
+			t.Logf("ungated %.3f %+v", ungated.inTimeShare(), ungated)
 			t.Logf("gate  %.3f %+v", counts.inTimeShare(), counts)
-			g.Expect(counts.failed).To(BeNumerically("<", blind.failed/3))
+			g.Expect(counts.failed).To(BeNumerically("<", ungated.failed/3))
 		})
 	}
 }
 
-// TestLostAnswersAreNotOverload replays back ends of which six in ten lose two in five answers
-// of what they have run, at 0.7 of what all can do, each sent once more: hardly anything is
-// refused. Counting lost answers as lost capacity refused 0.03 of the callers at 8 nodes and 0.15 at 410.
-func TestLostAnswersAreNotOverload(t *testing.T) {
+// TestLostResponsesAreNotOverload replays ten backends at 0.7 of their capacity, six of which lose two in five
+// responses after running the request; each is retried once. Hardly anything may be rejected. Counting lost
+// responses as lost capacity rejected 0.03 of the callers at 8 nodes and 0.15 at 410.
+func TestLostResponsesAreNotOverload(t *testing.T) {
 	for _, nodes := range extremes {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			g := NewWithT(t)
-			counts := play(load{nodes: nodes, backends: 10, rate: 386, burst: 700, losing: 6, lost: 0.4})
+			counts := play(load{nodes: nodes, backends: 10, rate: 386, burst: 700, lossy: 6, lossRate: 0.4})
 			t.Logf("gate  %.3f %+v", counts.inTimeShare(), counts)
 			g.Expect(counts.notAdmitted).To(BeNumerically("<", counts.asked/33))
 		})
--- a/admission/report.go
+++ b/admission/report.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Outcome is how a request to a back end ended.
+// Outcome is how a request to a backend ended.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a request to a backend.
 const (
-	// OutcomeAbandoned is that of a request whose caller left: it says nothing of the back end.
+	// OutcomeAbandoned is a request whose caller disconnected: it carries no information about the backend.
 	OutcomeAbandoned Outcome = iota
-	// OutcomeAnswered is that of a good answer.
+	// OutcomeAnswered is a successful answer.
 	OutcomeAnswered
-	// OutcomeFailed is that of a request that may have run and has no good answer.
+	// OutcomeFailed is a request that may have run and has no successful answer.
 	OutcomeFailed
-	// OutcomeRejected is that of a request that the back end did not accept.
+	// OutcomeRejected is a request that the backend did not accept.
 	OutcomeRejected
 )
 
-// BackendCounts is what a node saw of one back end in the interval of a report.
+// BackendCounts holds a node's counts of one backend over a report's interval.
 type BackendCounts struct {
 	ID string
-	// Answered counts good answers, Failed requests that may have run and have none, and Busy is
-	// how long all of these took together.
+	// Answered counts successful answers, Failed requests that may have run and have none, and Busy is the
+	// total duration of both.
 	Answered, Failed int
 	Busy             time.Duration
-	// Rejected counts requests that the back end did not accept.
+	// Rejected counts requests that the backend did not accept.
 	Rejected int
-	// Pending is how many requests of the node are under way there at the end of the interval.
+	// Pending is the number of the node's requests in flight at the end of the interval.
 	Pending int
 }
 
-// Report is what a node saw of a service.
+// Report holds a node's counts of a service.
 type Report struct {
 	Service string
 	// Holder is the address of the node.
 	Holder string
-	// Interval is the time that the counts are of.
+	// Interval is the time over which the counts were taken.
 	Interval time.Duration
-	// Objective is the shortest objective of the requests, zero where there was none.
+	// Objective is the shortest latency objective of the requests, zero if none has one.
 	Objective time.Duration
-	// FirstAttempts and Retries count the callers' requests, also those that were not admitted.
-	// A retry is that of a caller that was refused before.
+	// FirstAttempts and Retries count the callers' requests, including those not admitted. A retry is a client
+	// retry: its caller was rejected before.
 	FirstAttempts, Retries int
-	// Admitted is how many of them were sent to back ends, some of them more than once.
+	// Admitted is how many of them were sent to backends, some of them more than once.
 	Admitted int
 	Backends []BackendCounts
 }
 
-// BackendPlan is how a back end differs from the others of its service.
+// BackendPlan is how a backend differs from the others of its service.
 type BackendPlan struct {
 	ID string
-	// Weight is its share of the requests, as a multiple of the mean of all back ends.
+	// Weight is its share of the requests, as a multiple of the mean of all backends.
 	Weight float64
-	// Utilization is how many requests it has, as a share of its slots.
+	// Utilization is the number of its requests, as a fraction of its slots.
 	Utilization float64
 }
 
@@ -60,20 +60,20 @@
 type Plan struct {
 	// FirstAttempts and Retries are the shares of the callers' requests to admit, from 0 to 1.
 	FirstAttempts, Retries float64
-	// RetryAfter is when a caller that is not admitted is to come back.
+	// RetryAfter is when a caller that is not admitted should retry.
 	RetryAfter time.Duration
-	// Interval is when the node is to report again.
+	// Interval is when the node should report again.
 	Interval time.Duration
-	// Backends are those that differ from the usual: of weight 1 and less than half full. Of many they are
-	// those that differ most.
+	// Backends are those that differ from the usual, which is a weight of 1 and a utilization below one half.
+	// If too many differ, they are those that deviate most.
 	Backends []BackendPlan
-	// RestUtilization is the mean fullness of the others, where not all that differ are named.
+	// RestUtilization is the mean utilization of the others, if not all that differ are listed.
 	RestUtilization float64
 }
 
-// prominence is how much a back end differs: one with half the usual weight as much as one with twice, and one
-// that is full as much as either.
-func (p BackendPlan) prominence() float64 {
+// deviation is how much a backend differs: half the usual weight counts as much as twice, and a full backend as
+// much as either.
+func (p BackendPlan) deviation() float64 {
 	difference := p.Weight - 1
 	if p.Weight > 0 && p.Weight < 1 {
 		difference = 1/p.Weight - 1
@@ -81,7 +81,7 @@
 	return max(difference, p.Utilization)
 }
 
-// openPlan admits everything and weighs all back ends alike.
-func openPlan() Plan {
-	return Plan{FirstAttempts: 1, Retries: 1, Interval: calmInterval}
+// admitAllPlan admits everything and weighs all backends alike.
+func admitAllPlan() Plan {
+	return Plan{FirstAttempts: 1, Retries: 1, Interval: normalInterval}
 }
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// repeatSmoothing is the time constant of how often requests are sent again: longer than
-	// queues take to fill or to empty, which look like repeats.
-	repeatSmoothing = 3 * time.Second
-	// maxSendsPerRequest bounds how much less is admitted because requests are sent again.
-	maxSendsPerRequest = 2.0
+	// retrySmoothing is the time constant of the upstream retry rate: longer than queues take to fill or to
+	// empty, which looks like retries.
+	retrySmoothing = 3 * time.Second
+	// maxRunsPerRequest bounds how much less is admitted because of upstream retries.
+	maxRunsPerRequest = 2.0
 )
 
-// totals is what all nodes together see of a service, in requests a second.
+// totals sums the reports of all nodes on a service, in requests a second.
 type totals struct {
-	firstTries, retries, admitted float64
-	objective                     time.Duration
-	backends                      map[string]*backendTotals
+	firstAttempts, retries, admitted float64
+	objective                        time.Duration
+	backends                         map[string]*backendTotals
 }
 
-// backendTotals is the part of one back end.
+// backendTotals is the part of one backend.
 type backendTotals struct {
 	answered, failed, rejected float64
-	// busy is how many requests it had on average, and pending how many it has now.
+	// busy is the mean number of requests it had, and pending the number it has now.
 	busy, pending float64
 }
 
 // totals adds up the last reports of all nodes. Each gives rates over its own interval.
 func (s *serviceState) totals(now time.Duration) totals {
 	sum := totals{backends: map[string]*backendTotals{}}
-	// In a fixed order, because a sum of fractions depends on it.
+	// A fixed order, because a floating-point sum depends on it.
 	for _, holder := range slices.Sorted(maps.Keys(s.reports)) {
 		held := s.reports[holder]
 		if now-held.at > reportLifetime {
@@ -40,7 +40,7 @@
 			continue
 		}
 		seconds := max(held.report.Interval, busyInterval/2).Seconds()
-		sum.firstTries += float64(held.report.FirstAttempts) / seconds
+		sum.firstAttempts += float64(held.report.FirstAttempts) / seconds
 		sum.retries += float64(held.report.Retries) / seconds
 		sum.admitted += float64(held.report.Admitted) / seconds
 		if objective := held.report.Objective; objective > 0 && (sum.objective == 0 || objective < sum.objective) {
@@ -53,7 +53,7 @@
 	return sum
 }
 
-// runs returns how many requests a second end at all back ends, each as often as it was sent.
+// runs returns how many runs a second end at all backends; each upstream retry is a run.
 func (t *totals) runs() float64 {
 	sum := 0.0
 	for _, id := range slices.Sorted(maps.Keys(t.backends)) {
@@ -62,29 +62,28 @@
 	return sum
 }
 
-// repeats is how often requests are sent that are admitted, smoothed: those that are admitted
-// now end later. The zero value has seen none.
-type repeats struct {
+// upstreamRetries measures how often admitted requests are sent, smoothed because requests admitted now end
+// later. The zero value has no data.
+type upstreamRetries struct {
 	runs, admitted float64
 }
 
-// observe takes in what was seen over a time.
-func (r *repeats) observe(sum *totals, elapsed time.Duration) {
-	weight := 1 - math.Exp(-elapsed.Seconds()/repeatSmoothing.Seconds())
+// observe adds the totals of a time span.
+func (r *upstreamRetries) observe(sum *totals, elapsed time.Duration) {
+	weight := 1 - math.Exp(-elapsed.Seconds()/retrySmoothing.Seconds())
 	r.runs += weight * (sum.runs() - r.runs)
 	r.admitted += weight * (sum.admitted - r.admitted)
 }
 
-// perRequest returns how many runs a request takes: more than one where runs fail and are
-// repeated.
-func (r *repeats) perRequest() float64 {
+// perRequest returns the runs per request: more than one if runs fail and are retried.
+func (r *upstreamRetries) perRequest() float64 {
 	if r.admitted == 0 {
 		return 1
 	}
-	return min(maxSendsPerRequest, max(1, r.runs/r.admitted))
+	return min(maxRunsPerRequest, max(1, r.runs/r.admitted))
 }
 
-// add takes in what one node saw of a back end.
+// add adds a node's counts of a backend.
 func (t *totals) add(counts BackendCounts, seconds float64) {
 	known := t.backends[counts.ID]
 	if known == nil {
@@ -98,7 +97,7 @@
 	known.pending += float64(counts.Pending)
 }
 
-// load returns how many requests a back end has: on average, or now where that is above its
+// load returns the number of requests at a backend: the mean, or the current one if that is not below its
 // slots.
 func (t backendTotals) load(slots float64) float64 {
 	if t.pending >= slots {
--- a/admission/wire_test.go
+++ b/admission/wire_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestReportsAndPlansSurviveTheWire encodes and decodes each field.
-func TestReportsAndPlansSurviveTheWire(t *testing.T) {
+// TestReportAndPlanRoundTrip encodes and decodes each field.
+func TestReportAndPlanRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	report := Report{
 		Service: "s", Holder: "n", Interval: time.Second, Objective: 300 * time.Millisecond, FirstAttempts: 1, Retries: 2, Admitted: 8,
