--- a/retrybudget/account.go
+++ b/retrybudget/account.go
@@ -3,58 +3,58 @@
 import "math"
 
 const (
-	// bucketsPerWindow is into how many buckets a window is split.
+	// bucketsPerWindow is the number of buckets that a window is split into.
 	bucketsPerWindow = 40
-	// bucketsKept is how many buckets are remembered: those of a window, and of the one before it.
+	// bucketsKept is the number of buckets stored: those of a window, and of the one before it.
 	bucketsKept = 2*bucketsPerWindow + 1
 )
 
-// account counts one service's requests and repeats in buckets of a window. Buckets are numbered from the start
-// of the process.
+// account counts one service's requests and upstream retries in buckets, each a fraction of a window. Buckets
+// are numbered from the start of the process.
 type account struct {
 	newest   int64
 	requests [bucketsKept]int
-	repeats  [bucketsKept]int
-	// held are the repeats that were granted and have not arrived.
-	held int
-	// granted and refused count repeats since the last report.
+	retries  [bucketsKept]int
+	// reserved counts the retries that were granted and have not arrived at a backend.
+	reserved int
+	// granted and refused count retries since the last report.
 	granted, refused int
 }
 
-// advance begins the bucket with a number, and forgets those that are too old.
+// advance begins the bucket with a number, and clears those that are too old.
 func (a *account) advance(bucket int64) {
 	a.newest = max(a.newest, bucket-bucketsKept)
 	for a.newest < bucket {
 		a.newest++
 		a.requests[position(a.newest)] = 0
-		a.repeats[position(a.newest)] = 0
+		a.retries[position(a.newest)] = 0
 	}
 }
 
-// position is where a bucket is kept. Numbers below zero are those of buckets before the start, which are empty.
+// position is a bucket's index in the ring. Negative numbers are buckets before the start, which are empty.
 func position(bucket int64) int { return int((bucket%bucketsKept + bucketsKept) % bucketsKept) }
 
-// left returns how many repeats may be sent now, so that no window holds more than the burst and a ratio of
-// its requests.
+// remaining returns how many retries may be sent now, so that no window holds more than the burst and a ratio
+// of its requests.
 //
-// A window's repeats may be set against its own requests or those of the window before it, whichever are more,
-// and thus against half of both together. All nodes take this mean: had each node its own choice, callers that
-// move from one node to another would count at both. Requests of the window that are still to come only add
-// to it. A window that begins within a bucket has a piece of that and of the one a window earlier: the repeats
-// of the first count whole, and the requests of the second not at all.
-func (a *account) left(burst, ratio float64) float64 {
-	left := math.Inf(1)
-	repeats, requests := a.held, a.requestsFrom(a.newest-bucketsPerWindow+1)
+// A window's retries may count against its own requests or those of the window before it, whichever are more,
+// and thus against half of both together. All nodes use this mean: if each node chose for itself, callers that
+// move from one node to another would count at both. Requests that the window will still receive only add to
+// it. A window that begins within a bucket includes a part of that bucket and of the one a window earlier: the
+// retries of the first count whole, and the requests of the second not at all.
+func (a *account) remaining(burst, ratio float64) float64 {
+	remaining := math.Inf(1)
+	retries, requests := a.reserved, a.requestsFrom(a.newest-bucketsPerWindow+1)
 	for begins := a.newest; begins >= a.newest-bucketsPerWindow; begins-- {
-		repeats += a.repeats[position(begins)]
-		// The window is not over: all requests since it began are its own.
+		retries += a.retries[position(begins)]
+		// The window is not over: all requests since it began count towards it.
 		meanRequests := float64(requests) / 2 //nolint:mnd // a window and the one before it
-		left = min(left, burst+ratio*meanRequests-float64(repeats))
+		remaining = min(remaining, burst+ratio*meanRequests-float64(retries))
 		if earlier := begins - bucketsPerWindow; earlier > a.newest-bucketsKept {
 			requests += a.requests[position(earlier)]
 		}
 	}
-	return left
+	return remaining
 }
 
 // requestsFrom adds up the requests since a bucket.
--- a/retrybudget/allocation.go
+++ b/retrybudget/allocation.go
@@ -9,18 +9,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Allocation says how many repeats beside the ratio each node may send in a window, for each service. It is
-// one object in the platform's store, so that the shares of all nodes never add up to more than there is,
-// whatever the nodes know of each other.
+// Allocation holds how many retries beyond the ratio each node may send per window, for each service. It is one
+// object in the platform's store, so that the shares of all nodes never add up to more than the total, whatever
+// the nodes know of each other.
 type Allocation struct {
-	// Generation counts the versions.
+	// Generation counts the versions of the allocation.
 	Generation int64 `json:"generation"`
-	// Shares are by the nodes' names.
+	// Shares maps node names to shares.
 	Shares map[string]Share `json:"shares"`
 }
 
-// DecodeAllocation decodes the content of the object. It returns an error where that is no allocation, or one of
-// more than the total.
+// DecodeAllocation decodes the content of the object. It returns an error if that is not an allocation, or
+// allocates more than the total.
 func DecodeAllocation(content []byte, total int) (Allocation, error) {
 	var allocation Allocation
 	if err := json.Unmarshal(content, &allocation); err != nil {
@@ -32,25 +32,25 @@
 		}
 	}
 	if allocation.Generation < 1 || allocation.free(total) < 0 {
-		return Allocation{}, errors.Newf("generation %d with more than %d repeats", allocation.Generation, total)
+		return Allocation{}, errors.Newf("generation %d with more than %d retries", allocation.Generation, total)
 	}
 	return allocation, nil
 }
 
 // Share is how much one node may send.
 type Share struct {
-	// Incarnation names the start of the node that has it. The next start is another one: how much the earlier
-	// one has spent is not known.
+	// Incarnation names the start of the node that has the share. The next start has another name: how much the
+	// earlier one has spent is unknown.
 	Incarnation string `json:"start"`
-	// Units is how many repeats the node may send in a window.
+	// Units is how many retries the node may send per window.
 	Units int `json:"units"`
-	// Unconfirmed is how many more it may still be sending, because it has not confirmed that its share is
-	// smaller now, and Lowered the generation that made it smaller.
+	// Unconfirmed is how many more it may still be sending, because it has not confirmed the reduction of its
+	// share, and Lowered is the generation that reduced it.
 	Unconfirmed int   `json:"unconfirmed,omitempty"`
 	Lowered     int64 `json:"lowered,omitempty"`
-	// Initial is set where no other node has ever had any of it: the very first shares, which go on to the next
-	// starts of their nodes. One that has become larger since was another node's, perhaps until a moment
-	// after this start began.
+	// Initial is set if no other node has ever had any of the share: it was assigned by the first generation,
+	// and passes on to the next starts of its node. A share increased since then was partly another node's,
+	// perhaps until after this start began.
 	Initial bool `json:"own,omitempty"`
 }
 
@@ -58,22 +58,21 @@
 type Member struct {
 	Name        string
 	Incarnation string
-	// Confirmed is the newest generation that this start has put into force.
+	// Confirmed is the newest generation that this start has applied.
 	Confirmed int64
 }
 
-// leastRaise is by what part of a share its target must lie above it for the share to become larger. A node
-// that starts again is away for a moment; without this, all others would have a little more for that time,
-// and each of them would have to confirm that it has given it back.
-const leastRaise = 0.25
+// minRaise is the smallest increase of a share, as a fraction of it. A restarting node is away for a moment;
+// without this threshold, all others would get slightly more for that time, and each of them would have to
+// confirm that it has given it back.
+const minRaise = 0.25
 
-// Next returns the allocation for the nodes that there are, and whether it is to be written. All have about the
-// same share of the total. A share becomes smaller first, and another one larger only once the node has
-// confirmed that.
+// Next returns the allocation for the given nodes, and whether it must be written. All nodes get about the same
+// share of the total. A share is increased only with units that other nodes have confirmed to have given up.
 func (a Allocation) Next(members []Member, total int) (next Allocation, changed bool) {
 	next = Allocation{Generation: a.Generation + 1, Shares: a.remaining(members)}
-	targets := targetsOf(members, total)
-	if next.wanted(targets) > next.free(total) {
+	targets := targetUnits(members, total)
+	if next.shortfall(targets) > next.free(total) {
 		for name, share := range next.Shares {
 			next.Shares[name] = share.lowered(targets[name], next.Generation)
 		}
@@ -82,8 +81,8 @@
 	return next, next.changes(a)
 }
 
-// changes reports whether the share of a node that is there differs. Those of nodes that are gone need no
-// write until somebody is to have them.
+// changes reports whether the share of a current node differs. Shares of removed nodes need no write until
+// another node is to have them.
 func (a Allocation) changes(earlier Allocation) bool {
 	for name, share := range a.Shares {
 		if share != earlier.Shares[name] {
@@ -93,9 +92,9 @@
 	return false
 }
 
-// targetsOf divides the total among the nodes. What is left over goes to one node each, by a hash of their
-// names, so that a node which comes or goes changes the shares of few others.
-func targetsOf(members []Member, total int) map[string]int {
+// targetUnits divides the total among the nodes. The remainder goes to one node each, by a hash of their names,
+// so that a node which joins or leaves changes the shares of few others.
+func targetUnits(members []Member, total int) map[string]int {
 	if len(members) == 0 {
 		return nil
 	}
@@ -116,7 +115,7 @@
 	return targets
 }
 
-// free returns how much of the total nobody may be spending.
+// free returns how much of the total no node may be spending.
 func (a Allocation) free(total int) int {
 	for _, share := range a.Shares {
 		total -= share.Units + share.Unconfirmed
@@ -124,26 +123,26 @@
 	return total
 }
 
-// wanted returns by how much shares are to become larger.
-func (a Allocation) wanted(targets map[string]int) int {
-	wanted := 0
+// shortfall returns the sum by which shares should increase.
+func (a Allocation) shortfall(targets map[string]int) int {
+	shortfall := 0
 	for name, target := range targets {
-		wanted += a.Shares[name].missing(target)
+		shortfall += a.Shares[name].shortfall(target)
 	}
-	return wanted
+	return shortfall
 }
 
-// missing returns by how much the share is to become larger.
-func (s Share) missing(target int) int {
-	missing := target - s.Units
-	if missing <= 0 || float64(missing) < leastRaise*float64(s.Units) {
+// shortfall returns by how much the share should increase.
+func (s Share) shortfall(target int) int {
+	shortfall := target - s.Units
+	if shortfall <= 0 || float64(shortfall) < minRaise*float64(s.Units) {
 		return 0
 	}
-	return missing
+	return shortfall
 }
 
-// remaining returns the shares of the nodes that are still there. The next start of a node takes over the share
-// of the one before.
+// remaining returns the shares of the current nodes. The next start of a node inherits the share of its
+// previous start.
 func (a Allocation) remaining(members []Member) map[string]Share {
 	shares := make(map[string]Share, len(members))
 	for _, member := range members {
@@ -161,7 +160,7 @@
 	return shares
 }
 
-// lowered returns the share with at most so many units.
+// lowered returns the share reduced to at most target units.
 func (s Share) lowered(target int, generation int64) Share {
 	if s.Units <= target {
 		return s
@@ -171,11 +170,11 @@
 	return s
 }
 
-// raise gives what is free to the nodes that have less than their targets.
+// raise distributes the free units to the nodes below their targets.
 func (a *Allocation) raise(members []Member, targets map[string]int, free int) {
 	for _, member := range slices.SortedFunc(slices.Values(members), byName) {
 		share := a.Shares[member.Name]
-		more := min(share.missing(targets[member.Name]), free)
+		more := min(share.shortfall(targets[member.Name]), free)
 		if more <= 0 || share.Unconfirmed > 0 {
 			continue
 		}
--- a/retrybudget/allocation_test.go
+++ b/retrybudget/allocation_test.go
@@ -30,8 +30,8 @@
 	return held
 }
 
-// TestPartsGrowOnceOthersHaveConfirmed follows a fleet that grows and shrinks.
-func TestPartsGrowOnceOthersHaveConfirmed(t *testing.T) {
+// TestSharesGrowAfterOthersConfirm follows a fleet that grows and shrinks.
+func TestSharesGrowAfterOthersConfirm(t *testing.T) {
 	g := NewWithT(t)
 	const total = 12
 	first, changed := retrybudget.Allocation{}.Next(members("a", "b"), total)
@@ -54,8 +54,8 @@
 	g.Expect(units(shrunk)).To(Equal(map[string]int{"a": 12}))
 }
 
-// TestWhatIsLeftOverIsDivided has more nodes than a part for each, and less.
-func TestWhatIsLeftOverIsDivided(t *testing.T) {
+// TestRemainderIsDistributed has totals above and below the number of nodes, none of them a multiple of it.
+func TestRemainderIsDistributed(t *testing.T) {
 	g := NewWithT(t)
 	for _, total := range []int{2, 5, 13} {
 		allocation, _ := retrybudget.Allocation{}.Next(members("a", "b", "c", "d"), total)
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestANodeThatIsAwayForAMomentChangesNoOthersPart: with eight nodes the others would have a seventh more.
-func TestANodeThatIsAwayForAMomentChangesNoOthersPart(t *testing.T) {
+// TestBriefAbsenceChangesNoOtherShare: with eight nodes, the others would get a seventh more.
+func TestBriefAbsenceChangesNoOtherShare(t *testing.T) {
 	g := NewWithT(t)
 	all := members("a", "b", "c", "d", "e", "f", "g", "h")
 	before, _ := retrybudget.Allocation{}.Next(all, 48)
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestTheNextStartTakesOverThePart, which no other node has had meanwhile.
-func TestTheNextStartTakesOverThePart(t *testing.T) {
+// TestNextIncarnationInheritsShare: no other node has had the share meanwhile.
+func TestNextIncarnationInheritsShare(t *testing.T) {
 	g := NewWithT(t)
 	first, _ := retrybudget.Allocation{}.Next(members("a"), 4)
 	again, changed := first.Next([]retrybudget.Member{{Name: "a", Incarnation: "2"}}, 4)
@@ -93,8 +93,9 @@
 	g.Expect(again.Shares["a"]).To(Equal(retrybudget.Share{Incarnation: "2", Units: 4, Initial: true}))
 }
 
-// TestALargerPartIsUsableAWindowLater, and a smaller one is smaller at once.
-func TestALargerPartIsUsableAWindowLater(t *testing.T) {
+// TestIncreaseIsUsableOneWindowLater checks that an increase is usable one window later, and a reduction applies
+// immediately.
+func TestIncreaseIsUsableOneWindowLater(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	holder := retrybudget.NewHolder(window, func() time.Time { return now })
@@ -114,24 +115,25 @@
 	g.Expect(holder.Usable()).To(Equal(8))
 }
 
-// TestSpoiltAllocationsAreRefused: another writer must not raise what nodes spend.
-func TestSpoiltAllocationsAreRefused(t *testing.T) {
+// TestDecodeRejectsInvalidAllocations: another writer must not raise what nodes spend.
+func TestDecodeRejectsInvalidAllocations(t *testing.T) {
 	g := NewWithT(t)
 	const total = 8
-	sound, err := retrybudget.DecodeAllocation([]byte(`{"generation":3,"shares":{"a":{"start":"1","units":5},"b":{"start":"1","units":2,"unconfirmed":1}}}`), total)
+	valid, err := retrybudget.DecodeAllocation([]byte(`{"generation":3,"shares":{"a":{"start":"1","units":5},"b":{"start":"1","units":2,"unconfirmed":1}}}`), total)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(units(sound)).To(Equal(map[string]int{"a": 5, "b": 2}))
-	for _, spoilt := range []string{
+	g.Expect(units(valid)).To(Equal(map[string]int{"a": 5, "b": 2}))
+	for _, invalid := range []string{
 		``, `[]`, `{}`, `{"generation":3,"shares":{"a":{"units":"5"}}}`, `{"generation":3,"shares":{"a":{"start":"1","units":9}}}`,
 		`{"generation":3,"shares":{"a":{"start":"1","units":9},"b":{"start":"1","units":-5}}}`, "\xff",
 	} {
-		_, err := retrybudget.DecodeAllocation([]byte(spoilt), total)
-		g.Expect(err).To(HaveOccurred(), spoilt)
+		_, err := retrybudget.DecodeAllocation([]byte(invalid), total)
+		g.Expect(err).To(HaveOccurred(), invalid)
 	}
 }
 
-// TestTheFirstPartIsUsableAtOnce, and stays usable while the same part is heard of again.
-func TestTheFirstPartIsUsableAtOnce(t *testing.T) {
+// TestInitialShareIsUsableImmediately checks that an initial share is usable immediately, stays usable when
+// another node's share is added, and is no longer usable once given up.
+func TestInitialShareIsUsableImmediately(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	holder := retrybudget.NewHolder(window, func() time.Time { return now })
@@ -163,8 +165,8 @@
 	}
 }
 
-// hear puts the node's part of an allocation into force.
-func (s *spender) hear(allocation retrybudget.Allocation) {
+// receive applies the node's share of an allocation.
+func (s *spender) receive(allocation retrybudget.Allocation) {
 	share := allocation.Shares[s.member.Name]
 	if share.Incarnation != s.member.Incarnation {
 		share = retrybudget.Share{}
@@ -173,13 +175,13 @@
 	s.member.Confirmed = allocation.Generation
 }
 
-// TestAllPartsTogetherStayWithinTheTotal has nodes start, start again and leave while they spend all they
-// may. They hear of allocations late, and miss some; the one that allocates hears of nodes as the store
-// tells. What all spend in any window stays within the total.
-func TestAllPartsTogetherStayWithinTheTotal(t *testing.T) {
+// TestAllSharesStayWithinTotal has nodes start, restart and leave while they spend all they may. They receive
+// allocations late and miss some, and the allocating node learns of nodes from the store. The retries of all
+// nodes in any window stay within the total.
+func TestAllSharesStayWithinTotal(t *testing.T) {
 	const total, nodes = 9, 5
 	rapid.Check(t, func(t *rapid.T) {
-		// The library draws small numbers more often than others, so that it draws the seed alone.
+		// rapid draws small numbers more often than others, so only the seed is drawn.
 		seed := rapid.Uint64().Draw(t, "seed")
 		random := rand.New(rand.NewPCG(seed, seed))
 		chance := func(share float64) bool { return random.Float64() < share }
@@ -202,12 +204,12 @@
 			for _, name := range slices.Sorted(maps.Keys(live)) {
 				node := live[name]
 				if chance(0.1) {
-					node.hear(allocation)
+					node.receive(allocation)
 				}
-				for spends := chance(0.5); spends && repeat(node.budget, 1); {
+				for spends := chance(0.5); spends && sendRetries(node.budget, 1); {
 					spent = append(spent, now)
 				}
-				// A start registers some time after it began, in the place of the one before.
+				// A start registers some time after it began, in place of the previous one.
 				if registered[name].Incarnation == node.member.Incarnation || chance(0.4) {
 					registered[name] = node.member
 				}
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -1,6 +1,5 @@
-// Package retrybudget bounds how many requests are sent a second time, as a
-// share of the requests that callers send, so that retries cannot multiply the
-// load of a service that is in trouble.
+// Package retrybudget limits upstream retries to a share of the requests that callers send, so that retries
+// cannot multiply the load of a service that is in trouble.
 package retrybudget
 
 import (
@@ -10,12 +9,12 @@
 	"time"
 )
 
-// Options describe a budget.
+// Options configures a Budget.
 type Options struct {
-	// Ratio is how many repeats are allowed for each request.
+	// Ratio is how many retries are allowed per request.
 	Ratio float64
-	// Burst is how many repeats are allowed beside the ratio, within one window. It is this node's share of
-	// what all may spend.
+	// Burst returns how many retries are allowed beyond the ratio within one window. It is this node's share of
+	// the total of all nodes.
 	Burst func() float64
 	// Window is the time over which requests count.
 	Window time.Duration
@@ -23,8 +22,7 @@
 	Now func() time.Time
 }
 
-// Budget is this node's share of the budget of all services. It is safe for
-// concurrent use.
+// Budget is this node's share of the retry budgets of all services. It is safe for concurrent use.
 type Budget struct {
 	options Options
 	started time.Time
@@ -46,17 +44,19 @@
 	current.requests[position(current.newest)]++
 }
 
-// Remaining returns how many repeats of a service the budget still has.
+// Remaining returns how many retries to a service the budget still allows.
 func (b *Budget) Remaining(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left(b.account(service))
+	return b.remaining(b.account(service))
 }
 
-func (b *Budget) left(current *account) float64 { return current.left(b.burst(), b.options.Ratio) }
+func (b *Budget) remaining(current *account) float64 {
+	return current.remaining(b.burst(), b.options.Ratio)
+}
 
-// burst returns how many repeats a window may hold beside the ratio. An earlier start of this process may have
-// spent its share just before it ended, so that this one has none in its first window.
+// burst returns how many retries a window may hold beyond the ratio. A previous start of this process may have
+// spent its share just before it ended, so this one has none in its first window.
 func (b *Budget) burst() float64 {
 	if b.options.Now().Sub(b.started) < b.options.Window {
 		return 0
@@ -76,18 +76,19 @@
 	return current
 }
 
-// Report is how the budget of one service stands.
+// Report is the state of one service's budget.
 type Report struct {
 	Service string
-	// Granted and Refused are the repeats since the last report.
+	// Granted and Refused count retries since the last report.
 	Granted, Refused int
 	// Requests and Retries are those of the last window.
 	Requests, Retries int
-	// Remaining is how many repeats may be sent now, and Burst how many a window may hold beside the ratio.
+	// Remaining is how many retries may be sent now, and Burst how many a window may hold beyond the ratio.
 	Remaining, Burst float64
 }
 
-// Report tells of the services of which repeats were wanted since the last call, by name.
+// Report returns the budgets of the services for which retries were requested since the last call, sorted by
+// name.
 func (b *Budget) Report() []Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,8 +100,8 @@
 		}
 		reports = append(reports, Report{
 			Service: service, Granted: current.granted, Refused: current.refused,
-			Requests: current.sumOfWindow(&current.requests), Retries: current.sumOfWindow(&current.repeats),
-			Remaining: b.left(current), Burst: b.burst(),
+			Requests: current.sumOfWindow(&current.requests), Retries: current.sumOfWindow(&current.retries),
+			Remaining: b.remaining(current), Burst: b.burst(),
 		})
 		current.granted, current.refused = 0, 0
 	}
--- a/retrybudget/grant.go
+++ b/retrybudget/grant.go
@@ -1,40 +1,40 @@
 package retrybudget
 
-// Grant is what the budget has granted to one request. A repeat counts in each window from when it is granted
-// until it has arrived, and from then on in those that hold that moment: in between a request may wait for
-// seconds, and a link may hold it up. It is not safe for concurrent use.
+// Grant holds the upstream retries that the budget has granted to one request. A retry counts in every window
+// from when it is granted until it has arrived at a backend, and then in those that include its arrival: in
+// between, the request may wait for seconds, and the network may delay it. It is not safe for concurrent use.
 type Grant struct {
 	budget  *Budget
 	service string
-	// held is how many repeats were granted and have not arrived, and arrived how many have.
-	held, arrived int
+	// reserved is how many retries were granted and have not arrived, and arrived how many have.
+	reserved, arrived int
 }
 
 // Grant returns an empty grant for a request to a service. Release must be called once the request has ended.
 func (b *Budget) Grant(service string) *Grant { return &Grant{budget: b, service: service} }
 
-// Reserve has the grant hold a number of repeats, those that have arrived included. It reports false, and adds
+// Reserve makes the grant cover total retries, including those that have arrived. It returns false, and adds
 // none, if the budget does not have them.
 func (g *Grant) Reserve(total int) bool {
-	missing := total - g.held - g.arrived
+	missing := total - g.reserved - g.arrived
 	if missing <= 0 {
 		return true
 	}
 	g.budget.mu.Lock()
 	defer g.budget.mu.Unlock()
 	current := g.budget.account(g.service)
-	if float64(missing) > g.budget.left(current) {
+	if float64(missing) > g.budget.remaining(current) {
 		current.refused += missing
 		return false
 	}
 	current.granted += missing
-	current.held += missing
-	g.held += missing
+	current.reserved += missing
+	g.reserved += missing
 	return true
 }
 
-// MaySend reports whether repeats may be sent until so many have. It is false where they are not held, or
-// where the windows of this moment have less than those of the moment when they were granted.
+// MaySend reports whether retries may be sent up to total. It is false if they are not reserved, or if the
+// current windows allow fewer than those at the time of the reservation.
 func (g *Grant) MaySend(total int) bool {
 	more := total - g.arrived
 	if more <= 0 {
@@ -43,35 +43,35 @@
 	g.budget.mu.Lock()
 	defer g.budget.mu.Unlock()
 	current := g.budget.account(g.service)
-	if more > g.held || g.budget.left(current) < 0 {
+	if more > g.reserved || g.budget.remaining(current) < 0 {
 		current.refused += more
 		return false
 	}
 	return true
 }
 
-// Arrived counts repeats as arrived by now, until so many have. All of them must be held.
+// Arrived counts retries as arrived now, up to total. All of them must be reserved.
 func (g *Grant) Arrived(total int) {
-	more := min(total-g.arrived, g.held)
+	more := min(total-g.arrived, g.reserved)
 	if more <= 0 {
 		return
 	}
 	g.budget.mu.Lock()
 	defer g.budget.mu.Unlock()
 	current := g.budget.account(g.service)
-	current.repeats[position(current.newest)] += more
-	current.held -= more
-	g.held -= more
+	current.retries[position(current.newest)] += more
+	current.reserved -= more
+	g.reserved -= more
 	g.arrived += more
 }
 
-// Release gives back what has not been sent.
+// Release returns unsent retries to the budget.
 func (g *Grant) Release() {
-	if g.held == 0 {
+	if g.reserved == 0 {
 		return
 	}
 	g.budget.mu.Lock()
 	defer g.budget.mu.Unlock()
-	g.budget.account(g.service).held -= g.held
-	g.held = 0
+	g.budget.account(g.service).reserved -= g.reserved
+	g.reserved = 0
 }
--- a/retrybudget/property_test.go
+++ b/retrybudget/property_test.go
@@ -16,32 +16,32 @@
 	burst  = 7.0
 )
 
-// TestNoWindowHoldsMoreThanAllowed wants every span of a window to hold at most what the platform allows for
-// it, with requests and repeats close together.
+// TestNoWindowHoldsMoreThanAllowed checks that every span of a window holds at most what the platform allows,
+// with requests and retries close together.
 func TestNoWindowHoldsMoreThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		budget := retrybudget.New(retrybudget.Options{
 			Ratio: ratio, Burst: func() float64 { return burst }, Window: window, Now: func() time.Time { return now },
 		})
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "pause")) * time.Millisecond)
 			budget.Request("s")
 			requests = append(requests, now)
 			count := rapid.IntRange(1, 2).Draw(t, "count")
-			if repeat(budget, count) {
+			if sendRetries(budget, count) {
 				for range count {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 			}
 		}
-		expectNoWindowAbove(t, requests, repeats, burst)
+		expectNoWindowAbove(t, requests, retries, burst)
 	})
 }
 
-// repeat sends repeats at once, if the budget has them.
-func repeat(budget *retrybudget.Budget, count int) bool {
+// sendRetries sends retries immediately, if the budget has them.
+func sendRetries(budget *retrybudget.Budget, count int) bool {
 	grant := budget.Grant("s")
 	defer grant.Release()
 	if !grant.Reserve(count) || !grant.MaySend(count) {
@@ -61,25 +61,25 @@
 	return count
 }
 
-// TestAStartedNodeBeginsWithoutABurst: an earlier start may have spent all of it just before.
-func TestAStartedNodeBeginsWithoutABurst(t *testing.T) {
+// TestStartHasNoBurst: a previous start may have spent all of it just before.
+func TestStartHasNoBurst(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	budget := retrybudget.New(retrybudget.Options{
 		Ratio: 0, Burst: func() float64 { return 10 }, Window: window, Now: func() time.Time { return now },
 	})
-	g.Expect(repeat(budget, 1)).To(BeFalse())
+	g.Expect(sendRetries(budget, 1)).To(BeFalse())
 	now = now.Add(window - 1)
 	g.Expect(budget.Remaining("s")).To(BeZero())
-	g.Expect(repeat(budget, 1)).To(BeFalse())
+	g.Expect(sendRetries(budget, 1)).To(BeFalse())
 	now = now.Add(1)
-	g.Expect(repeat(budget, 11)).To(BeFalse())
-	g.Expect(repeat(budget, 10)).To(BeTrue())
-	g.Expect(repeat(budget, 1)).To(BeFalse())
+	g.Expect(sendRetries(budget, 11)).To(BeFalse())
+	g.Expect(sendRetries(budget, 10)).To(BeTrue())
+	g.Expect(sendRetries(budget, 1)).To(BeFalse())
 }
 
-// allowedInWindow is how the platform counts: the repeats of a window against the requests of that window, of the
-// one before it or of the one half a window before it, whichever holds the most.
+// allowedInWindow is how the platform counts: the retries of a window against the requests of that window, of
+// the one before it or of the one half a window before it, whichever has the most.
 func allowedInWindow(requests []time.Time, from time.Time, slack float64) float64 {
 	most := 0
 	for _, earlier := range []time.Duration{0, window, window / 2} {
@@ -89,28 +89,28 @@
 	return slack + ratio*float64(most)
 }
 
-// expectNoWindowAbove looks at all windows that begin or end at a repeat.
-func expectNoWindowAbove(t interface{ Fatalf(string, ...any) }, requests, repeats []time.Time, slack float64) {
-	for _, at := range repeats {
+// expectNoWindowAbove checks all windows that begin or end at a retry.
+func expectNoWindowAbove(t interface{ Fatalf(string, ...any) }, requests, retries []time.Time, slack float64) {
+	for _, at := range retries {
 		for _, from := range []time.Time{at, at.Add(1 - window)} {
-			held := within(repeats, from.Add(-1), from.Add(window-1))
+			held := within(retries, from.Add(-1), from.Add(window-1))
 			if allowed := allowedInWindow(requests, from, slack); float64(held) > allowed+1e-9 {
-				t.Fatalf("%d repeats in the window from %v, %.1f allowed", held, from.Sub(time.Unix(0, 0)), allowed)
+				t.Fatalf("%d retries in the window from %v, %.1f allowed", held, from.Sub(time.Unix(0, 0)), allowed)
 			}
 		}
 	}
 }
 
-// Requests came in two bursts, 10.9 s apart. The second one's repeats were measured against both, since
-// eleven parts of a window were added up, while no window of ten seconds holds both: "164 repeats in the
-// window from 10.9s, 105.0 allowed".
-func TestOneWindowsRequestsAllowItsRepeats(t *testing.T) {
+// TestRetriesCountAgainstOneWindow has requests in two bursts, 10.9 s apart. When eleven parts of a window were
+// summed, the second burst's retries counted against both bursts, although no window of ten seconds holds both:
+// "164 retries in the window from 10.9s, 105.0 allowed".
+func TestRetriesCountAgainstOneWindow(t *testing.T) {
 	const slack, margin, bursts = 5.0, 0.8, 500
 	now := time.Unix(0, 0)
 	budget := retrybudget.New(retrybudget.Options{
 		Ratio: ratio * margin, Burst: func() float64 { return slack * margin }, Window: window, Now: func() time.Time { return now },
 	})
-	var requests, repeats []time.Time
+	var requests, retries []time.Time
 	request := func() {
 		for range bursts {
 			budget.Request("s")
@@ -121,17 +121,18 @@
 	now = now.Add(window + 9*window/100)
 	request()
 	for range bursts {
-		if repeat(budget, 1) {
-			repeats = append(repeats, now)
+		if sendRetries(budget, 1) {
+			retries = append(retries, now)
 		}
 	}
-	expectNoWindowAbove(t, requests, repeats, slack)
+	expectNoWindowAbove(t, requests, retries, slack)
 }
 
-// The same for several nodes with a part of the burst each, and requests and repeats as they happen to come.
-// Callers move from one node to another. Each node set its repeats against the window that ended with them,
-// so that the nodes together counted requests of nearly two: "11 repeats in the window from 6.142s, 10.8 allowed".
-func TestTheRepeatsOfAllNodesStayWithinEachWindow(t *testing.T) {
+// TestRetriesOfAllNodesStayWithinEachWindow has several nodes with a share of the burst each, random requests
+// and retries, and callers that move between nodes. When each node counted its retries against the window that
+// ended with them, the nodes together counted the requests of nearly two windows: "11 retries in the window
+// from 6.142s, 10.8 allowed".
+func TestRetriesOfAllNodesStayWithinEachWindow(t *testing.T) {
 	const slack, nodes = 8.0, 4
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -141,7 +142,7 @@
 				Ratio: ratio, Burst: func() float64 { return slack / nodes }, Window: window, Now: func() time.Time { return now },
 			}))
 		}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "pause")) * time.Millisecond)
 			node := budgets[rapid.IntRange(0, nodes-1).Draw(t, "node")]
@@ -150,32 +151,32 @@
 				requests = append(requests, now)
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "repeats") {
-				if repeat(node, 1) {
-					repeats = append(repeats, now)
+				if sendRetries(node, 1) {
+					retries = append(retries, now)
 				}
 			}
 		}
-		expectNoWindowAbove(t, requests, repeats, slack)
+		expectNoWindowAbove(t, requests, retries, slack)
 	})
 }
 
-// waitingGrant is a repeat that is not sent yet, or is on its way.
+// waitingGrant is a retry that is not sent yet, or is in flight.
 type waitingGrant struct {
 	grant    *retrybudget.Grant
 	reserved int
-	onItsWay bool
+	inFlight bool
 }
 
-// TestGrantsThatAreSentLater has requests wait with what they were granted, send it and have a part of it
-// arrive at any moment until its end is known. No window may hold more that have arrived than it is allowed.
-func TestGrantsThatAreSentLater(t *testing.T) {
+// TestDelayedGrants has requests wait with what they were granted, send it and have it arrive at any time
+// before their end. No window may hold more arrived retries than allowed.
+func TestDelayedGrants(t *testing.T) {
 	const slack, most = 6.0, 4
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		budget := retrybudget.New(retrybudget.Options{
 			Ratio: ratio, Burst: func() float64 { return slack }, Window: window, Now: func() time.Time { return now },
 		})
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		var waiting []*waitingGrant
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond)
@@ -194,15 +195,15 @@
 				switch {
 				case rapid.Bool().Draw(t, "waits"):
 					later = append(later, one)
-				case one.onItsWay:
+				case one.inFlight:
 					one.grant.Arrived(one.reserved)
 					one.grant.Release()
 				case one.grant.MaySend(one.reserved):
-					// It arrives at once, and its end is heard of later.
+					// It arrives immediately, and the sender learns of it later.
 					for range one.reserved {
-						repeats = append(repeats, now)
+						retries = append(retries, now)
 					}
-					one.onItsWay = true
+					one.inFlight = true
 					later = append(later, one)
 				default:
 					one.grant.Release()
@@ -210,6 +211,6 @@
 			}
 			waiting = later
 		}
-		expectNoWindowAbove(t, requests, repeats, slack)
+		expectNoWindowAbove(t, requests, retries, slack)
 	})
 }
--- a/retrybudget/share.go
+++ b/retrybudget/share.go
@@ -5,67 +5,67 @@
 	"time"
 )
 
-// Holder knows how much of an allocation this start of a node may spend. A share that has become larger was
-// another node's, which may have spent it until it was given up, so that it is usable a window later. One that
-// has become smaller is smaller at once. A share that no other node has had is usable at once, as far as the
-// budget of a start is in its first window. It is safe for concurrent use.
+// Holder tracks how much of an allocation this start of a node may spend. An increase of a share belonged to
+// another node, which may have spent it until it gave it up, so it becomes usable a window later. A reduction
+// applies immediately. A share that no other node has had is usable immediately, as far as the budget allows in
+// a start's first window. It is safe for concurrent use.
 type Holder struct {
 	window time.Duration
 	now    func() time.Time
 
 	mu     sync.Mutex
 	closed bool
-	// held are the shares of the last window and the one before these, the oldest first.
-	held []heldUnits
+	// history holds the shares of the last window and the one before these, the oldest first.
+	history []shareChange
 }
 
-// heldUnits is a share from a moment on.
-type heldUnits struct {
+// shareChange is a share from a point in time.
+type shareChange struct {
 	since time.Time
 	units int
 }
 
-// NewHolder returns a holder that has nothing. The clock is a monotonic one.
+// NewHolder returns a holder without a share. The clock is monotonic.
 func NewHolder(window time.Duration, now func() time.Time) *Holder {
-	return &Holder{window: window, now: now, held: []heldUnits{{since: now()}}}
+	return &Holder{window: window, now: now, history: []shareChange{{since: now()}}}
 }
 
-// SetShare puts a share into force, unless the holder is closed.
+// SetShare applies a share, unless the holder is closed.
 func (h *Holder) SetShare(share Share) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case h.closed:
-	case share.Initial && len(h.held) == 1:
-		h.held[0].units = share.Units
+	case share.Initial && len(h.history) == 1:
+		h.history[0].units = share.Units
 	default:
-		h.hold(share.Units)
+		h.record(share.Units)
 	}
 }
 
-func (h *Holder) hold(units int) {
-	if units != h.held[len(h.held)-1].units {
-		h.held = append(h.held, heldUnits{since: h.now(), units: units})
+func (h *Holder) record(units int) {
+	if units != h.history[len(h.history)-1].units {
+		h.history = append(h.history, shareChange{since: h.now(), units: units})
 	}
 }
 
-// Close gives the share up for good.
+// Close gives the share up permanently.
 func (h *Holder) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hold(0)
+	h.record(0)
 	h.closed = true
 }
 
-// Usable returns how many repeats may be sent in a window: the least that was held within the last one.
+// Usable returns how many retries may be sent per window: the smallest share within the last one.
 func (h *Holder) Usable() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for len(h.held) > 1 && h.now().Sub(h.held[1].since) >= h.window {
-		h.held = h.held[1:]
+	for len(h.history) > 1 && h.now().Sub(h.history[1].since) >= h.window {
+		h.history = h.history[1:]
 	}
-	usable := h.held[0].units
-	for _, later := range h.held[1:] {
+	usable := h.history[0].units
+	for _, later := range h.history[1:] {
 		usable = min(usable, later.units)
 	}
 	return usable
