--- a/quarantine/archive.go
+++ b/quarantine/archive.go
@@ -17,61 +17,61 @@
 const (
 	// storeTimeout bounds one call to the store.
 	storeTimeout = 2 * time.Second
-	// reloadInterval is how often the store's objects are read: an operator ends a quarantine by
-	// removing its object. One call a minute over the whole fleet.
+	// reloadInterval is how often the store's objects are read: an operator ends a quarantine by removing its
+	// object. One call a minute over the whole fleet.
 	reloadInterval = time.Minute
 )
 
-// Archive keeps the quarantines of a keeper in the platform's store, so that they outlive all nodes:
-// without it, a request that has ended three back ends may end three more after each loss of all.
-// Its methods are called by one goroutine.
+// Archive persists a coordinator's quarantines in the platform's store, so that they survive the loss of all
+// nodes: without it, a request that has crashed three backends could crash three more after each such loss. Its
+// methods are called by one goroutine.
 type Archive struct {
-	store  objectapi.Store
-	keeper *Coordinator
-	logger *slog.Logger
-	// wall reads the time of day.
+	store       objectapi.Store
+	coordinator *Coordinator
+	logger      *slog.Logger
+	// wall reads the wall clock.
 	wall func() time.Time
-	// loaded is set once the store's objects have been read since this node became the keeper.
+	// loaded is set once the store's objects have been read since this node became the coordinator.
 	loaded bool
-	// loadedAt is when that was, by the keeper's clock.
+	// loadedAt is when that was, by the coordinator's clock.
 	loadedAt time.Duration
 	// unread is set while the store's objects cannot be read.
 	unread bool
-	// versions are those of the store's objects by their names.
+	// versions are those of the store's objects, by name.
 	versions map[string]int64
 }
 
 // NewArchive returns an archive that has read nothing.
-func NewArchive(store objectapi.Store, keeper *Coordinator, logger *slog.Logger, wall func() time.Time) *Archive {
-	return &Archive{store: store, keeper: keeper, logger: logger, wall: wall}
+func NewArchive(store objectapi.Store, coordinator *Coordinator, logger *slog.Logger, wall func() time.Time) *Archive {
+	return &Archive{store: store, coordinator: coordinator, logger: logger, wall: wall}
 }
 
-// Reset has the store's objects read once more: another node may have changed them.
+// Reset makes the next Reconcile read the store's objects again: another node may have changed them.
 func (a *Archive) Reset() { a.loaded = false }
 
-// Reconcile brings the store's objects to what the keeper keeps away. It costs no call where nothing
-// has changed.
+// Reconcile makes the store's objects match the coordinator's quarantines. It makes no call if nothing has
+// changed.
 func (a *Archive) Reconcile(ctx context.Context) {
-	if !a.loaded || a.keeper.options.Now()-a.loadedAt >= reloadInterval {
+	if !a.loaded || a.coordinator.options.Now()-a.loadedAt >= reloadInterval {
 		err := a.load(ctx)
 		a.noteRead(err)
 		if err != nil {
 			return
 		}
 	}
-	kept := map[string]bool{}
-	for _, announcement := range a.keeper.Quarantined() {
-		if len(announcement.Backends) < crashesAllowed {
-			// It is over before it could be read again.
+	active := map[string]bool{}
+	for _, announcement := range a.coordinator.Quarantined() {
+		if len(announcement.Backends) < quarantineCrashes {
+			// It ends before another coordinator could read it.
 			continue
 		}
-		kept[announcement.Request.String()] = true
+		active[announcement.Request.String()] = true
 		if err := a.write(ctx, announcement); err != nil {
 			a.logger.Warn("quarantine not written", "content", announcement.Request.String(), "error", err.Error())
 		}
 	}
 	for name := range a.versions {
-		if kept[name] {
+		if active[name] {
 			continue
 		}
 		if err := a.remove(ctx, name); err != nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// noteRead logs where the store's objects cannot be read any more, and where they can again.
+// noteRead logs when the store's objects become unreadable, and when they can be read again.
 func (a *Archive) noteRead(err error) {
 	if failed := err != nil; failed != a.unread {
 		a.unread = failed
@@ -88,7 +88,7 @@
 	}
 }
 
-// load reads the store's objects, and restores the quarantines that last.
+// load reads the store's objects, and restores the quarantines that are still active.
 func (a *Archive) load(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -106,29 +106,29 @@
 		}
 		a.versions[object.Name] = object.Version
 		if earlier.Quarantined > 0 {
-			a.keeper.Restore(earlier)
+			a.coordinator.Restore(earlier)
 		}
 	}
 	if a.loaded {
 		a.endRemoved(before)
 	}
-	a.loaded, a.loadedAt = true, a.keeper.options.Now()
+	a.loaded, a.loadedAt = true, a.coordinator.options.Now()
 	return nil
 }
 
-// endRemoved ends the quarantines whose objects somebody else has removed.
+// endRemoved ends the quarantines whose objects were removed by another writer.
 func (a *Archive) endRemoved(before map[string]int64) {
 	for name := range before {
 		request, valid := ParseFingerprint(name)
 		if _, stored := a.versions[name]; valid && !stored {
-			a.keeper.End(request)
+			a.coordinator.End(request)
 		}
 	}
 }
 
-// write writes a quarantine, unless the store has it.
-func (a *Archive) write(ctx context.Context, kept Announcement) error {
-	name, spec, err := EncodeRecord(a.wall(), kept)
+// write writes a quarantine, unless it is in the store already.
+func (a *Archive) write(ctx context.Context, active Announcement) error {
+	name, spec, err := EncodeRecord(a.wall(), active)
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	defer cancel()
 	written, err := a.store.Put(ctx, objectapi.Object{Kind: Kind, Name: name, Spec: spec})
 	if errors.Is(err, objectapi.ErrConflict) {
-		// An earlier keeper has written it, or this one without hearing so.
+		// An earlier coordinator has written it, or this one without receiving the answer.
 		a.loaded = false
 		return nil
 	}
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// remove removes an object whose quarantine is over.
+// remove removes the object of a quarantine that has ended.
 func (a *Archive) remove(ctx context.Context, name string) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -16,159 +16,159 @@
 )
 
 const (
-	// answerTimeout is how long the keeper may take for an answer. A request that has broken off
-	// waits for it before it is sent anywhere else.
+	// answerTimeout is how long the coordinator may take to answer. A request whose backend failed waits for it
+	// before it is sent anywhere else.
 	answerTimeout = 60 * time.Millisecond
-	// lookInterval is how often a node looks whether there is another keeper, and tells it what it
-	// does not know.
-	lookInterval = 250 * time.Millisecond
+	// checkInterval is how often a node checks for another coordinator, and sends it what it does not know.
+	checkInterval = 250 * time.Millisecond
 	// noticeTimeout bounds a call that no request waits for.
 	noticeTimeout = 300 * time.Millisecond
 )
 
-// Scope is what the keeper is chosen for.
+// Scope is the scope for which the quarantine coordinator is chosen.
 const Scope = "quarantines"
 
-// ClientOptions are the parts of a Client.
+// ClientOptions configures a Client.
 type ClientOptions struct {
 	Coordinators coordinator.Choice
 	Peers        *peer.Client
-	// Local is the keeper where this node is chosen for it.
+	// Local is the coordinator used when this node is chosen.
 	Local *Coordinator
 	// BecameCoordinator is called when this node has been chosen. Default: nothing.
 	BecameCoordinator func(ctx context.Context)
-	// Now reads a clock that counts on while the machine is suspended.
+	// Now reads a clock that also advances while the machine is suspended.
 	Now func() time.Duration
 }
 
-// Client is one node's part: what it saw, and what it knows of requests. It is safe for concurrent
-// use.
+// Client is one node's part: the crashes that it saw, and the quarantine status of requests. It is safe for
+// concurrent use.
 type Client struct {
 	options ClientOptions
-	// any is set while anything is known of any request.
-	any atomic.Bool
+	// hasRecords is set while any request has a record.
+	hasRecords atomic.Bool
 
 	mu sync.Mutex
-	// own counts what this node saw, and decides where no keeper answers.
-	own *Table
-	// evidence is what this node saw, by request; a keeper that is chosen later is told all of it.
-	evidence map[Fingerprint][]*ownEvidence
-	// answered are the requests whose answer the keeper has not heard of.
+	// local counts the crashes that this node saw, and decides while no coordinator answers.
+	local *Table
+	// evidence holds the crashes that this node saw, by request; a coordinator chosen later is sent all of
+	// them.
+	evidence map[Fingerprint][]*localEvidence
+	// answered are the requests whose answer the coordinator has not been sent.
 	answered []Fingerprint
-	// heard is what the keeper said of requests.
-	heard map[Fingerprint]heardStanding
-	// keeper is the address of the node that was told last.
-	keeper string
-	// missing is set while this node has not heard all announcements of that keeper.
-	missing bool
+	// received is the coordinator's status of requests.
+	received map[Fingerprint]receivedStatus
+	// coordinator is the address of the coordinator at the last check.
+	coordinator string
+	// needsAll is set while this node has not received all announcements of that coordinator.
+	needsAll bool
 }
 
-// ownEvidence is evidence of this node, and whether the keeper knows of it.
-type ownEvidence struct {
+// localEvidence is evidence of this node, and whether the coordinator has it.
+type localEvidence struct {
 	Evidence
-	told bool
+	reported bool
 }
 
-// heardStanding is a standing as the keeper told it.
-type heardStanding struct {
+// receivedStatus is a quarantine status as the coordinator sent or announced it.
+type receivedStatus struct {
 	crashes          int
 	quarantinedUntil time.Duration
 }
 
-// NewClient returns a client that knows of nothing.
+// NewClient returns a client without records.
 func NewClient(options ClientOptions) *Client {
 	if options.BecameCoordinator == nil {
 		options.BecameCoordinator = func(context.Context) {}
 	}
-	client := &Client{options: options, own: NewTable(), evidence: map[Fingerprint][]*ownEvidence{}, heard: map[Fingerprint]heardStanding{}}
-	// Evidence goes with its entry in the table: callers with a new body each time would fill the
-	// memory otherwise while nobody is chosen to be told.
-	client.own.forgotten = func(request Fingerprint) { delete(client.evidence, request) }
+	client := &Client{options: options, local: NewTable(), evidence: map[Fingerprint][]*localEvidence{}, received: map[Fingerprint]receivedStatus{}}
+	// Evidence is removed with its entry in the table: otherwise callers with a new body each time would fill
+	// the memory while no coordinator is chosen.
+	client.local.onForget = func(request Fingerprint) { delete(client.evidence, request) }
 	return client
 }
 
-// Empty reports that nothing is known of any request, so that no fingerprint need be worked out.
-func (c *Client) Empty() bool { return !c.any.Load() }
+// Empty reports that there is no record of any request, so that no fingerprint need be computed.
+func (c *Client) Empty() bool { return !c.hasRecords.Load() }
 
-// Status returns what is known of a request: by this node, or by what it was told.
+// Status returns the quarantine status of a request, from this node's records and those received.
 func (c *Client) Status(request Fingerprint) Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.standing(request)
+	return c.status(request)
 }
 
-// standing is Standing with the lock held.
-func (c *Client) standing(request Fingerprint) Status {
+// status is Status with the lock held.
+func (c *Client) status(request Fingerprint) Status {
 	now := c.options.Now()
-	known, heard := c.own.Status(now, request), c.heard[request]
+	known, received := c.local.Status(now, request), c.received[request]
 	return Status{
-		Crashes:     max(known.Crashes, heard.crashes),
-		Quarantined: max(known.Quarantined, heard.quarantinedUntil-now, 0),
+		Crashes:     max(known.Crashes, received.crashes),
+		Quarantined: max(known.Quarantined, received.quarantinedUntil-now, 0),
 	}
 }
 
-// Crashed notes that a life of a back end ended with a request under way, tells the keeper, and
-// returns what is known of the request since.
+// Crashed records that a backend incarnation ended with a request in flight, reports it to the coordinator, and
+// returns the request's status.
 func (c *Client) Crashed(ctx context.Context, request Fingerprint, backend string) Status {
 	c.mu.Lock()
 	now := c.options.Now()
-	added := &ownEvidence{Evidence: Evidence{Request: request, Backend: backend, At: now}}
-	c.own.Add(now, request, backend)
+	added := &localEvidence{Evidence: Evidence{Request: request, Backend: backend, At: now}}
+	c.local.Add(now, request, backend)
 	c.evidence[request] = append(c.evidence[request], added)
-	c.any.Store(true)
+	c.hasRecords.Store(true)
 	c.mu.Unlock()
-	c.tell(ctx, notice{evidence: []*ownEvidence{added}}, answerTimeout)
+	c.deliver(ctx, notice{evidence: []*localEvidence{added}}, answerTimeout)
 	return c.Status(request)
 }
 
-// Answered notes that a back end has answered a request to its end: it does not end what runs it.
+// Answered records that a backend has answered a request to its end: the request does not crash what runs it.
 func (c *Client) Answered(request Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.standing(request).Crashes == 0 {
+	if c.status(request).Crashes == 0 {
 		return
 	}
-	c.own.Answered(request)
+	c.local.Answered(request)
 	delete(c.evidence, request)
-	delete(c.heard, request)
-	c.noteAnswered(request)
+	delete(c.received, request)
+	c.queueAnswered(request)
 }
 
-// noteAnswered keeps answered requests of which the keeper has not heard, the latest of them; the lock is
-// held. A keeper that does not hear of an answer holds the request responsible until its crashes lapse.
-func (c *Client) noteAnswered(requests ...Fingerprint) {
+// queueAnswered queues answered requests for the coordinator and keeps the latest of them; the lock is held. A
+// coordinator that misses an answer counts the request's crashes until they expire.
+func (c *Client) queueAnswered(requests ...Fingerprint) {
 	c.answered = append(c.answered, requests...)
 	if excess := len(c.answered) - maxRequests; excess > 0 {
 		c.answered = slices.Delete(c.answered, 0, excess)
 	}
 }
 
-// Announced takes note of what the keeper has told all nodes of a request.
-func (c *Client) Announced(told Announcement) {
+// Announced applies an announcement that the coordinator sent to all nodes.
+func (c *Client) Announced(announcement Announcement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !told.Status().Suspect() {
-		c.own.Answered(told.Request)
-		delete(c.heard, told.Request)
-		delete(c.evidence, told.Request)
+	if !announcement.Status().Suspect() {
+		c.local.Answered(announcement.Request)
+		delete(c.received, announcement.Request)
+		delete(c.evidence, announcement.Request)
 		return
 	}
-	c.hear(told.Request, told.Status())
+	c.receive(announcement.Request, announcement.Status())
 }
 
-// hear takes note of a standing; the lock is held.
-func (c *Client) hear(request Fingerprint, standing Status) {
-	c.heard[request] = heardStanding{crashes: standing.Crashes, quarantinedUntil: c.options.Now() + standing.Quarantined}
-	c.any.Store(true)
+// receive stores a received status; the lock is held.
+func (c *Client) receive(request Fingerprint, status Status) {
+	c.received[request] = receivedStatus{crashes: status.Crashes, quarantinedUntil: c.options.Now() + status.Quarantined}
+	c.hasRecords.Store(true)
 }
 
-// Run tells the keeper what it does not know, and all that this node saw where there is another
-// one, until the context ends.
+// Run sends the coordinator what it does not know, and everything that this node saw when there is another one,
+// until the context ends.
 func (c *Client) Run(ctx context.Context) {
-	periodic.Run(ctx, lookInterval, func(ctx context.Context) {
+	periodic.Run(ctx, checkInterval, func(ctx context.Context) {
 		address, _ := c.options.Coordinators.Coordinator(Scope)
 		c.expire()
-		changed := c.follow(address)
+		changed := c.setCoordinator(address)
 		if address == "" {
 			return
 		}
@@ -178,93 +178,93 @@
 			}
 			c.options.Local.Expire()
 		}
-		if untold, due := c.untold(); due {
-			c.tell(ctx, untold, noticeTimeout)
+		if unreported, due := c.unreported(); due {
+			c.deliver(ctx, unreported, noticeTimeout)
 		}
 	})
 }
 
-// follow notes who is the keeper. Another one than before has been told nothing.
-func (c *Client) follow(address string) (changed bool) {
+// setCoordinator records the coordinator's address. A new coordinator has been sent nothing.
+func (c *Client) setCoordinator(address string) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if address == c.keeper {
+	if address == c.coordinator {
 		return false
 	}
-	c.keeper, c.missing = address, true
+	c.coordinator, c.needsAll = address, true
 	for _, seen := range c.evidence {
 		for _, one := range seen {
-			one.told = false
+			one.reported = false
 		}
 	}
 	return true
 }
 
-// IsCoordinator reports whether this node is the keeper.
+// IsCoordinator reports whether this node is the coordinator.
 func (c *Client) IsCoordinator() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.keeper != "" && c.keeper == c.options.Coordinators.Own()
+	return c.coordinator != "" && c.coordinator == c.options.Coordinators.Own()
 }
 
-// notice is what a node is about to tell the keeper.
+// notice is what a node is about to send to the coordinator.
 type notice struct {
-	evidence []*ownEvidence
+	evidence []*localEvidence
 	answered []Fingerprint
 	all      bool
 }
 
-// report returns the notice as it is sent.
+// report returns the notice in the form sent.
 func (n notice) report() report {
-	told := report{answered: n.answered, all: n.all}
+	reported := report{answered: n.answered, all: n.all}
 	for _, one := range n.evidence {
-		told.evidence = append(told.evidence, one.Evidence)
+		reported.evidence = append(reported.evidence, one.Evidence)
 	}
-	return told
+	return reported
 }
 
-// untold returns what the keeper does not know, and whether there is anything to say.
-func (c *Client) untold() (untold notice, due bool) {
+// unreported returns what the coordinator has not been sent, and whether there is anything to send.
+func (c *Client) unreported() (unreported notice, due bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, seen := range c.evidence {
 		for _, one := range seen {
-			if !one.told {
-				untold.evidence = append(untold.evidence, one)
+			if !one.reported {
+				unreported.evidence = append(unreported.evidence, one)
 			}
 		}
 	}
-	untold.all = c.missing
-	untold.answered, c.answered = c.answered, nil
-	return untold, untold.all || len(untold.evidence)+len(untold.answered) > 0
+	unreported.all = c.needsAll
+	unreported.answered, c.answered = c.answered, nil
+	return unreported, unreported.all || len(unreported.evidence)+len(unreported.answered) > 0
 }
 
-// expire forgets what no longer counts.
+// expire removes what no longer counts.
 func (c *Client) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.options.Now()
-	c.own.Expire(now)
-	for request, heard := range c.heard {
-		// The keeper takes it back; this is for the case that nobody could.
-		if now >= heard.quarantinedUntil+evidenceLifetime {
-			delete(c.heard, request)
+	c.local.Expire(now)
+	for request, received := range c.received {
+		// The coordinator revokes it; this covers the case that none could.
+		if now >= received.quarantinedUntil+evidenceLifetime {
+			delete(c.received, request)
 		}
 	}
-	c.any.Store(!c.own.Empty() || len(c.heard) > 0)
+	c.hasRecords.Store(!c.local.Empty() || len(c.received) > 0)
 }
 
-// tell tells the keeper, this node perhaps, and takes note of what it says. What it does not hear is
-// told again.
-func (c *Client) tell(ctx context.Context, untold notice, timeout time.Duration) {
+// deliver sends a notice to the coordinator, possibly this node, and applies its answer. What was not delivered
+// is sent again.
+func (c *Client) deliver(ctx context.Context, unreported notice, timeout time.Duration) {
 	address, found := c.options.Coordinators.Coordinator(Scope)
 	if !found {
-		c.putBack(untold.answered)
+		c.requeueAnswered(unreported.answered)
 		return
 	}
-	answer, err := c.send(ctx, address, untold.report(), timeout)
+	answer, err := c.send(ctx, address, unreported.report(), timeout)
 	if err != nil {
-		c.putBack(untold.answered)
+		c.requeueAnswered(unreported.answered)
 		if ctx.Err() == nil {
 			c.options.Coordinators.Missed(address, err)
 		}
@@ -272,36 +272,36 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if untold.all && address == c.keeper {
-		c.missing = false
+	if unreported.all && address == c.coordinator {
+		c.needsAll = false
 	}
-	for i, one := range untold.evidence {
-		one.told = true
-		if i < len(answer.standings) && answer.standings[i].Suspect() {
-			c.hear(one.Request, answer.standings[i])
+	for i, one := range unreported.evidence {
+		one.reported = true
+		if i < len(answer.statuses) && answer.statuses[i].Suspect() {
+			c.receive(one.Request, answer.statuses[i])
 		}
 	}
 	for _, announcement := range answer.announced {
-		c.hear(announcement.Request, announcement.Status())
+		c.receive(announcement.Request, announcement.Status())
 	}
 }
 
-// putBack keeps answered requests of which no keeper has heard.
-func (c *Client) putBack(answered []Fingerprint) {
+// requeueAnswered queues answered requests that no coordinator has received.
+func (c *Client) requeueAnswered(answered []Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noteAnswered(answered...)
+	c.queueAnswered(answered...)
 }
 
-// send sends a report to a keeper, this node perhaps.
-func (c *Client) send(ctx context.Context, address string, told report, timeout time.Duration) (reply, error) {
+// send sends a report to a coordinator, possibly this node.
+func (c *Client) send(ctx context.Context, address string, reported report, timeout time.Duration) (reply, error) {
 	if address == c.options.Coordinators.Own() {
-		return c.options.Local.take(told), nil
+		return c.options.Local.handle(reported), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	response, err := c.options.Peers.Call(ctx, address, &peerpb.Request{Body: &peerpb.Request_ReportCrashes{
-		ReportCrashes: encodeReport(c.options.Now(), told),
+		ReportCrashes: encodeReport(c.options.Now(), reported),
 	}})
 	if err != nil {
 		return reply{}, err
@@ -309,23 +309,23 @@
 	return decodeReply(response.GetCrashStandings()), nil
 }
 
-// ErrNoReport is returned for a call that is neither a report nor an announcement.
-var ErrNoReport = errors.New("quarantine: not a report")
+// ErrNotReport is returned for a call that is neither a report nor an announcement.
+var ErrNotReport = errors.New("quarantine: not a report")
 
-// Handle answers the report of another node, or takes note of an announcement.
+// Handle answers the report of another node, or applies an announcement.
 func (c *Client) Handle(request *peerpb.Request) (*peerpb.Response, error) {
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_ReportCrashes:
-		answer := c.options.Local.take(decodeReport(c.options.Now(), body.ReportCrashes))
+		answer := c.options.Local.handle(decodeReport(c.options.Now(), body.ReportCrashes))
 		return &peerpb.Response{Body: &peerpb.Response_CrashStandings{CrashStandings: encodeReply(answer)}}, nil
 	case *peerpb.Request_AnnounceCrashes:
-		told, valid := decodeAnnouncement(body.AnnounceCrashes)
+		announcement, valid := decodeAnnouncement(body.AnnounceCrashes)
 		if !valid {
-			return nil, ErrNoReport
+			return nil, ErrNotReport
 		}
-		c.Announced(told)
+		c.Announced(announcement)
 		return &peerpb.Response{Body: &peerpb.Response_Done{Done: &peerpb.Done{}}}, nil
 	default:
-		return nil, ErrNoReport
+		return nil, ErrNotReport
 	}
 }
--- /dev/null
+++ b/quarantine/coordinator.go
@@ -0,0 +1,143 @@
+package quarantine
+
+import (
+	"sync"
+	"time"
+)
+
+// CoordinatorOptions configures a Coordinator.
+type CoordinatorOptions struct {
+	// Announce sends an announcement to all nodes. It must not call the coordinator.
+	Announce func(announcement Announcement)
+	// Now reads a clock that also advances while the machine is suspended.
+	Now func() time.Duration
+}
+
+// Announcement is the record of a request that is sent to all nodes.
+type Announcement struct {
+	Request Fingerprint
+	// Backends are the incarnations of backends that ended while running the request. An announcement without
+	// backends and quarantine clears the request.
+	Backends []string
+	// Quarantined is how long the request is still quarantined; zero if it is not.
+	Quarantined time.Duration
+}
+
+// Status returns the status that the announcement carries.
+func (a Announcement) Status() Status {
+	return Status{Crashes: len(a.Backends), Quarantined: a.Quarantined}
+}
+
+// Coordinator combines the crashes that all nodes saw, on the node that is chosen for it. This covers requests
+// that are retried at one node after the other, each of which sees fewer crashes than a quarantine needs. It is
+// safe for concurrent use.
+type Coordinator struct {
+	options CoordinatorOptions
+
+	mu    sync.Mutex
+	table *Table
+	// announced is the last announced status of each request with an announcement.
+	announced map[Fingerprint]receivedStatus
+}
+
+// NewCoordinator returns a coordinator without records.
+func NewCoordinator(options CoordinatorOptions) *Coordinator {
+	return &Coordinator{options: options, table: NewTable(), announced: map[Fingerprint]receivedStatus{}}
+}
+
+// handle applies a node's report, and answers it.
+func (c *Coordinator) handle(reported report) reply {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.options.Now()
+	for _, request := range reported.answered {
+		c.table.Answered(request)
+		c.announce(now, request)
+	}
+	answer := reply{statuses: make([]Status, len(reported.evidence))}
+	for i, evidence := range reported.evidence {
+		if now-evidence.At < evidenceLifetime {
+			c.table.Add(evidence.At, evidence.Request, evidence.Backend)
+		}
+		c.announce(now, evidence.Request)
+		answer.statuses[i] = c.table.Status(now, evidence.Request)
+	}
+	if reported.all {
+		for request := range c.announced {
+			answer.announced = append(answer.announced, c.announcement(now, request))
+		}
+	}
+	return answer
+}
+
+// Adopt applies an earlier coordinator's announcement without sending it again. The nodes whose evidence it
+// contains may have terminated.
+func (c *Coordinator) Adopt(earlier Announcement) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.options.Now()
+	c.table.Restore(now, earlier)
+	c.announced[earlier.Request] = c.table.announcedStatus(now, earlier.Request)
+}
+
+// Restore applies a stored quarantine that the nodes may not know, and announces it.
+func (c *Coordinator) Restore(earlier Announcement) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.options.Now()
+	c.table.Restore(now, earlier)
+	c.announce(now, earlier.Request)
+}
+
+// End clears a request.
+func (c *Coordinator) End(request Fingerprint) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.table.Answered(request)
+	c.announce(c.options.Now(), request)
+}
+
+// Expire removes what no longer counts, and revokes its announcements.
+func (c *Coordinator) Expire() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.options.Now()
+	c.table.Expire(now)
+	for request := range c.announced {
+		c.announce(now, request)
+	}
+}
+
+// Quarantined returns the quarantined requests.
+func (c *Coordinator) Quarantined() []Announcement {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.options.Now()
+	var quarantined []Announcement
+	for _, request := range c.table.Quarantined(now) {
+		quarantined = append(quarantined, c.announcement(now, request))
+	}
+	return quarantined
+}
+
+// announcement returns a request's current record; the lock is held.
+func (c *Coordinator) announcement(now time.Duration, request Fingerprint) Announcement {
+	return Announcement{
+		Request: request, Backends: c.table.Backends(request), Quarantined: c.table.Status(now, request).Quarantined,
+	}
+}
+
+// announce announces a request if its status differs from the last announcement; the lock is held. Nodes detect
+// the end of a quarantine themselves.
+func (c *Coordinator) announce(now time.Duration, request Fingerprint) {
+	status, current := c.table.Status(now, request), c.table.announcedStatus(now, request)
+	previous, known := c.announced[request]
+	switch {
+	case !status.Suspect() && known:
+		delete(c.announced, request)
+		c.options.Announce(Announcement{Request: request})
+	case status.Suspect() && (!known || current.crashes != previous.crashes || current.quarantinedUntil > previous.quarantinedUntil):
+		c.announced[request] = current
+		c.options.Announce(c.announcement(now, request))
+	}
+}
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,7 +1,7 @@
-// Package quarantine remembers which requests were under way at back ends that ended, over all
-// nodes and all attempts, and keeps a request from the back ends once it has ended three.
+// Package quarantine records which requests were in flight at backends that ended, over all nodes and all
+// attempts, and quarantines a request once it has ended three: it is no longer sent to backends.
 //
-// A request that crashes whatever runs it comes again and again, at any node and under a new
-// identifier each time. To each node alone, each return is a new request. What the attempts have in
-// common is their content; a Fingerprint names it.
+// A request that crashes whatever runs it is retried by its caller again and again, at any node and with a new
+// identifier each time. To a single node, each retry is a new request. What the attempts have in common is
+// their content; a Fingerprint identifies it.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -7,18 +7,18 @@
 	"hash"
 )
 
-// fingerprintBytes is the length of a Fingerprint. Nobody finds two contents with the same 128 bits
-// of SHA-256, so that no caller can have another one's request taken for its own.
+// fingerprintBytes is the length of a Fingerprint. Finding two contents with the same 128 bits of SHA-256 is
+// infeasible, so no caller can have another caller's request taken for its own.
 const fingerprintBytes = 16
 
-// Fingerprint names the content of a request: two attempts at the same request have the same one.
-// It is a digest, so that logs and nodes can name a request without its content.
+// Fingerprint identifies the content of a request: attempts at the same request have the same one. It is a
+// digest, so that logs and nodes can name a request without its content.
 type Fingerprint [fingerprintBytes]byte
 
 // Content is what attempts at the same request have in common.
 type Content struct {
-	// Tenant is the caller's tenant. Callers of other tenants that send the same have another
-	// fingerprint: no tenant can have another one's requests refused.
+	// Tenant is the caller's tenant. The same request of another tenant has another fingerprint: no tenant can
+	// have another one's requests rejected.
 	Tenant string
 	Method string
 	Host   string
@@ -39,7 +39,7 @@
 	return fingerprint
 }
 
-// writePart writes a part behind its length, so that no two contents are written alike.
+// writePart writes a part prefixed by its length, so that no two contents have the same encoding.
 func writePart(digest hash.Hash, part []byte) {
 	var length [8]byte
 	binary.LittleEndian.PutUint64(length[:], uint64(len(part)))
@@ -50,7 +50,7 @@
 // String returns the fingerprint in hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the result of String.
 func ParseFingerprint(text string) (Fingerprint, bool) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return fromBytes(decoded)
 }
 
-// fromBytes returns the fingerprint of so many bytes, if they are one.
+// fromBytes returns the fingerprint with the given bytes, if their number is right.
 func fromBytes(encoded []byte) (Fingerprint, bool) {
 	var fingerprint Fingerprint
 	if len(encoded) != fingerprintBytes {
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestFingerprintsTellContentsApart draws two contents: their fingerprints are equal only if all
-// their parts are.
-func TestFingerprintsTellContentsApart(t *testing.T) {
+// TestFingerprintsDistinguishContents draws two contents: their fingerprints are equal only if all their parts
+// are.
+func TestFingerprintsDistinguishContents(t *testing.T) {
 	part := rapid.StringMatching(`[a/]{0,3}`)
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() Content {
@@ -27,21 +27,21 @@
 	})
 }
 
-// FuzzDecodeRecord reads objects of other writers.
+// FuzzDecodeRecord decodes arbitrary objects.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add(NewFingerprint(Content{}).String(), []byte(`{"backends":["a"],"untilMillis":1}`))
 	f.Add("", []byte(`[]`))
 	f.Fuzz(func(t *testing.T, name string, spec []byte) {
-		told, err := DecodeRecord(time.Unix(0, 0), name, spec)
-		if err == nil && (told.Quarantined < 0 || told.Quarantined > quarantineLifetime) {
-			t.Fatalf("quarantined for %v", told.Quarantined)
+		announcement, err := DecodeRecord(time.Unix(0, 0), name, spec)
+		if err == nil && (announcement.Quarantined < 0 || announcement.Quarantined > quarantineDuration) {
+			t.Fatalf("quarantined for %v", announcement.Quarantined)
 		}
 	})
 }
 
-// BenchmarkOf names a request of 5,000 bytes: 4.7 µs. It is paid where something has broken, and by every
-// request while anything is known of any.
-func BenchmarkOf(b *testing.B) {
+// BenchmarkNewFingerprint computes the fingerprint of a request of 5,000 bytes: 4.7 µs. It is computed when a
+// backend failed, and for every request while any request has a record.
+func BenchmarkNewFingerprint(b *testing.B) {
 	content := Content{Tenant: "a", Method: "POST", Host: "h", URI: "/p/x", Body: make([]byte, 5000)}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -49,13 +49,13 @@
 	}
 }
 
-// BenchmarkStanding looks a request up in a full table: 12 ns.
-func BenchmarkStanding(b *testing.B) {
+// BenchmarkStatus looks a request up in a full table: 12 ns.
+func BenchmarkStatus(b *testing.B) {
 	table := NewTable()
 	for number := range maxRequests {
-		table.Add(0, requestNumber(number), "b")
+		table.Add(0, testRequest(number), "b")
 	}
-	request := requestNumber(1)
+	request := testRequest(1)
 	for b.Loop() {
 		table.Status(0, request)
 	}
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -7,43 +7,43 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNoRecord is returned for an object that names no request, or cannot be read: another writer may
-// have made it, or spoilt it.
-var ErrNoRecord = errors.New("quarantine: not a record of a request")
+// ErrInvalidRecord is returned for an object whose name is not a fingerprint, or whose content cannot be
+// decoded: another writer may have created or corrupted it.
+var ErrInvalidRecord = errors.New("quarantine: invalid record of a request")
 
-// record is an announcement as it is kept and passed between nodes. Its name is the fingerprint.
+// record is the stored form of an announcement. Its name is the fingerprint.
 type record struct {
-	// Backends are the lives of the back ends that ended under the request.
+	// Backends are the incarnations of backends that ended while running the request.
 	Backends []string `json:"backends,omitempty"`
-	// UntilMillis is when the quarantine ends, as a Unix millisecond; zero if there is none. An hour
-	// is long beside the seconds by which clocks differ.
+	// UntilMillis is when the quarantine ends, as a Unix millisecond; zero if there is none. Its length of an
+	// hour is long compared to the seconds by which clocks differ.
 	UntilMillis int64 `json:"untilMillis,omitempty"`
 }
 
 // EncodeRecord returns an announcement as an object's name and content.
-func EncodeRecord(now time.Time, told Announcement) (name string, spec json.RawMessage, err error) {
-	kept := record{Backends: told.Backends}
-	if told.Quarantined > 0 {
-		kept.UntilMillis = now.Add(told.Quarantined).UnixMilli()
+func EncodeRecord(now time.Time, announcement Announcement) (name string, spec json.RawMessage, err error) {
+	stored := record{Backends: announcement.Backends}
+	if announcement.Quarantined > 0 {
+		stored.UntilMillis = now.Add(announcement.Quarantined).UnixMilli()
 	}
-	spec, err = json.Marshal(kept)
-	return told.Request.String(), spec, errors.Wrap(err, "encode record of a request")
+	spec, err = json.Marshal(stored)
+	return announcement.Request.String(), spec, errors.Wrap(err, "encode record of a request")
 }
 
-// DecodeRecord reads what EncodeRecord returned.
+// DecodeRecord decodes the result of EncodeRecord.
 func DecodeRecord(now time.Time, name string, spec json.RawMessage) (Announcement, error) {
 	request, valid := ParseFingerprint(name)
 	if !valid {
-		return Announcement{}, errors.Wrapf(ErrNoRecord, "name %q", name)
+		return Announcement{}, errors.Wrapf(ErrInvalidRecord, "name %q", name)
 	}
-	var kept record
-	if err := json.Unmarshal(spec, &kept); err != nil {
-		return Announcement{}, errors.CombineErrors(errors.Wrapf(ErrNoRecord, "content of %q", name), err)
+	var stored record
+	if err := json.Unmarshal(spec, &stored); err != nil {
+		return Announcement{}, errors.CombineErrors(errors.Wrapf(ErrInvalidRecord, "content of %q", name), err)
 	}
-	told := Announcement{Request: request, Backends: kept.Backends}
-	if kept.UntilMillis > 0 {
-		// No clock may make a quarantine longer than any is.
-		told.Quarantined = min(max(0, time.UnixMilli(kept.UntilMillis).Sub(now)), quarantineLifetime)
+	announcement := Announcement{Request: request, Backends: stored.Backends}
+	if stored.UntilMillis > 0 {
+		// A wrong clock must not make a quarantine longer than the longest one.
+		announcement.Quarantined = min(max(0, time.UnixMilli(stored.UntilMillis).Sub(now)), quarantineDuration)
 	}
-	return told, nil
+	return announcement, nil
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -7,86 +7,85 @@
 )
 
 const (
-	// crashesSuspect is from how many crashes in a row a request is kept away for a short time. On 81
-	// days of ordinary crashes 359 requests were at one, and none at two; beside requests that crash
-	// their engines, a few in a hundred are.
-	crashesSuspect = 2
-	// crashesAllowed is how many back ends may end under a request before it is kept away for long.
-	crashesAllowed = 3
-	// suspectLifetime is how long a request is kept away after two crashes. Callers that return at
-	// once do not get to a third meanwhile: 427 of 500 streams beside four such requests were
-	// served in place of 394. One that was only beside them is served half a minute later.
-	suspectLifetime = 30 * time.Second
-	// evidenceLifetime is how long a crash counts. Callers return within seconds; a request that is
-	// sent once an hour meets an ordinary crash each time for years.
+	// suspectCrashes is the number of crashes in a row from which a request is quarantined for a short time. On
+	// 81 days of ordinary crashes 359 requests were at one, and none at two; beside requests that crash their
+	// engines, a few in a hundred are.
+	suspectCrashes = 2
+	// quarantineCrashes is the number of backends that may end under a request before it is quarantined for
+	// long.
+	quarantineCrashes = 3
+	// suspectDuration is how long a request is quarantined after two crashes. Callers that retry immediately do
+	// not reach a third crash meanwhile: 427 of 500 streams beside four such requests were served, instead of
+	// 394. A request that only ran beside a crashing one is served half a minute later.
+	suspectDuration = 30 * time.Second
+	// evidenceLifetime is how long a crash counts. Callers retry within seconds; without a limit, a request
+	// that is sent once an hour would accumulate ordinary crashes for years.
 	evidenceLifetime = 10 * time.Minute
-	// quarantineLifetime is how long a request is kept away after three. Its servers may be mended meanwhile;
-	// until its evidence is forgotten as well, the next crash begins it anew.
-	quarantineLifetime = time.Hour
-	// maxRequests bounds the requests that are remembered, at 320 bytes each (measured on a full
-	// table): 2.6 MB. A rack of 20 engines that ends has 1,280 under way.
+	// quarantineDuration is how long a request is quarantined after three crashes. Its backends may be repaired
+	// meanwhile; until its evidence has expired as well, the next crash renews the quarantine.
+	quarantineDuration = time.Hour
+	// maxRequests bounds the recorded requests, at 320 bytes each (measured on a full table): 2.6 MB. A rack of
+	// 20 engines that fails has 1,280 in flight.
 	maxRequests = 8192
 )
 
-// Status is what is known of a request.
+// Status is the quarantine status of a request.
 type Status struct {
-	// Crashes is how many back ends have ended with it under way since it was last answered.
+	// Crashes is the number of backends that have ended with it in flight since it was last answered.
 	Crashes int
-	// Quarantined is how long it is still kept from back ends; zero if it is not.
+	// Quarantined is how long the request is still quarantined; zero if it is not.
 	Quarantined time.Duration
 }
 
-// Suspect reports whether all nodes are told of the request.
-func (s Status) Suspect() bool { return s.Crashes >= crashesSuspect || s.Quarantined > 0 }
+// Suspect reports whether the request is announced to all nodes.
+func (s Status) Suspect() bool { return s.Crashes >= suspectCrashes || s.Quarantined > 0 }
 
-// Table counts the back ends that ended with a request under way, each once, whoever tells of it and
-// however often. It is not safe for concurrent use. Times are of a clock that counts on while the
-// machine is suspended.
+// Table counts the backends that ended with a request in flight, each once, whichever nodes report it and
+// however often. It is not safe for concurrent use. Times are of a clock that also advances while the machine
+// is suspended.
 type Table struct {
 	requests map[Fingerprint]*history
-	// forgotten is called with each request that is forgotten without an answer; nil for nobody.
-	forgotten func(request Fingerprint)
+	// onForget is called with each request that is removed without an answer; may be nil.
+	onForget func(request Fingerprint)
 }
 
-// history is what is known of one request.
+// history is the record of one request.
 type history struct {
-	// crashes holds when each back end ended, by its life.
+	// crashes holds when each backend ended, by its incarnation.
 	crashes map[string]time.Duration
 	// quarantinedUntil is when the quarantine ends; zero if there was none.
 	quarantinedUntil time.Duration
 }
 
-// NewTable returns a table that knows of no request.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{requests: map[Fingerprint]*history{}} }
 
-// Empty reports whether nothing is known of any request.
+// Empty reports whether there is no record of any request.
 func (t *Table) Empty() bool { return len(t.requests) == 0 }
 
-// Add notes that a life of a back end ended with a request under way, and returns the request's
-// standing since.
+// Add records that a backend incarnation ended with a request in flight, and returns the request's status.
 func (t *Table) Add(now time.Duration, request Fingerprint, backend string) Status {
 	known := t.history(now, request)
 	if _, counted := known.crashes[backend]; !counted {
 		known.crashes[backend] = now
-		known.quarantinedUntil = max(known.quarantinedUntil, now+lifetime(len(known.crashes)))
+		known.quarantinedUntil = max(known.quarantinedUntil, now+durationAfter(len(known.crashes)))
 	}
-	return known.standing(now)
+	return known.status(now)
 }
 
-// lifetime returns how long a request is kept away after so many crashes.
-func lifetime(crashes int) time.Duration {
+// durationAfter returns how long a request is quarantined after a number of crashes.
+func durationAfter(crashes int) time.Duration {
 	switch {
-	case crashes >= crashesAllowed:
-		return quarantineLifetime
-	case crashes >= crashesSuspect:
-		return suspectLifetime
+	case crashes >= quarantineCrashes:
+		return quarantineDuration
+	case crashes >= suspectCrashes:
+		return suspectDuration
 	default:
 		return 0
 	}
 }
 
-// Restore takes over what was agreed of a request before. Its crashes count from now, but begin
-// nothing anew.
+// Restore applies an earlier announcement. Its crashes count from now, but do not start a quarantine.
 func (t *Table) Restore(now time.Duration, earlier Announcement) {
 	known := t.history(now, earlier.Request)
 	for _, backend := range earlier.Backends {
@@ -99,40 +98,40 @@
 	}
 }
 
-// Answered forgets what is known of a request that a back end has answered, be it by a run from
-// before: what ends each back end that runs it is never answered.
+// Answered removes the record of a request that a backend has answered, even in a run that started earlier: a
+// request that crashes every backend that runs it is never answered.
 func (t *Table) Answered(request Fingerprint) { delete(t.requests, request) }
 
-// Status returns what is known of a request.
+// Status returns the status of a request.
 func (t *Table) Status(now time.Duration, request Fingerprint) Status {
 	known := t.requests[request]
 	if known == nil {
 		return Status{}
 	}
-	return known.standing(now)
+	return known.status(now)
 }
 
-// toldNow returns what there is to tell of a request.
-func (t *Table) toldNow(now time.Duration, request Fingerprint) heardStanding {
-	standing := t.Status(now, request)
-	if standing.Quarantined == 0 {
-		return heardStanding{crashes: standing.Crashes}
+// announcedStatus returns the status to announce.
+func (t *Table) announcedStatus(now time.Duration, request Fingerprint) receivedStatus {
+	status := t.Status(now, request)
+	if status.Quarantined == 0 {
+		return receivedStatus{crashes: status.Crashes}
 	}
-	return heardStanding{crashes: standing.Crashes, quarantinedUntil: now + standing.Quarantined}
+	return receivedStatus{crashes: status.Crashes, quarantinedUntil: now + status.Quarantined}
 }
 
-// Quarantined returns the requests that are kept away.
+// Quarantined returns the quarantined requests.
 func (t *Table) Quarantined(now time.Duration) []Fingerprint {
-	var kept []Fingerprint
+	var quarantined []Fingerprint
 	for request, known := range t.requests {
-		if known.standing(now).Quarantined > 0 {
-			kept = append(kept, request)
+		if known.status(now).Quarantined > 0 {
+			quarantined = append(quarantined, request)
 		}
 	}
-	return kept
+	return quarantined
 }
 
-// Backends returns the lives of the back ends that ended under a request, in a fixed order.
+// Backends returns the incarnations of the backends that ended under a request, sorted.
 func (t *Table) Backends(request Fingerprint) []string {
 	known := t.requests[request]
 	if known == nil {
@@ -141,12 +140,12 @@
 	return slices.Sorted(maps.Keys(known.crashes))
 }
 
-// Expire forgets what no longer counts, and returns the requests of which nothing is left.
+// Expire removes what no longer counts, and returns the requests without any record left.
 func (t *Table) Expire(now time.Duration) []Fingerprint {
 	var forgotten []Fingerprint
 	for request, known := range t.requests {
 		known.expire(now)
-		if known.over(now) {
+		if known.isExpired(now) {
 			t.forget(request)
 			forgotten = append(forgotten, request)
 		}
@@ -154,12 +153,12 @@
 	return forgotten
 }
 
-// history returns what is known of a request, making room for one that is new.
+// history returns the record of a request, which it creates if needed. A new one may evict another.
 func (t *Table) history(now time.Duration, request Fingerprint) *history {
 	known := t.requests[request]
 	if known == nil {
 		if len(t.requests) >= maxRequests {
-			t.makeRoom(now)
+			t.evictOldest(now)
 		}
 		known = &history{crashes: map[string]time.Duration{}}
 		t.requests[request] = known
@@ -168,9 +167,8 @@
 	return known
 }
 
-// makeRoom forgets the request that was last under way at a crash the longest ago. Those that are
-// kept away go last.
-func (t *Table) makeRoom(now time.Duration) {
+// evictOldest removes the request whose last crash is the oldest. Quarantined requests are removed last.
+func (t *Table) evictOldest(now time.Duration) {
 	t.Expire(now)
 	if len(t.requests) < maxRequests {
 		return
@@ -179,7 +177,7 @@
 	var oldestAt time.Duration
 	found := false
 	for request, known := range t.requests {
-		at := max(known.last(), known.quarantinedUntil)
+		at := max(known.lastCrash(), known.quarantinedUntil)
 		if !found || at < oldestAt {
 			oldest, oldestAt, found = request, at, true
 		}
@@ -187,21 +185,21 @@
 	t.forget(oldest)
 }
 
-// forget drops what is known of a request.
+// forget removes the record of a request.
 func (t *Table) forget(request Fingerprint) {
 	delete(t.requests, request)
-	if t.forgotten != nil {
-		t.forgotten(request)
+	if t.onForget != nil {
+		t.onForget(request)
 	}
 }
 
-// standing returns what the history says now.
-func (h *history) standing(now time.Duration) Status {
+// status returns the current status.
+func (h *history) status(now time.Duration) Status {
 	return Status{Crashes: len(h.crashes), Quarantined: max(0, h.quarantinedUntil-now)}
 }
 
-// expire forgets the crashes that no longer count. Those of a quarantine count until as long after
-// its end.
+// expire removes the crashes that no longer count. Those of a quarantine count until evidenceLifetime after its
+// end.
 func (h *history) expire(now time.Duration) {
 	if now < h.quarantinedUntil+evidenceLifetime && h.quarantinedUntil > 0 {
 		return
@@ -213,13 +211,13 @@
 	}
 }
 
-// over reports whether the history says nothing any more.
-func (h *history) over(now time.Duration) bool {
+// isExpired reports whether the history carries no information any more.
+func (h *history) isExpired(now time.Duration) bool {
 	return len(h.crashes) == 0 && (h.quarantinedUntil == 0 || now >= h.quarantinedUntil+evidenceLifetime)
 }
 
-// last returns when the last back end ended.
-func (h *history) last() time.Duration {
+// lastCrash returns when the last backend ended.
+func (h *history) lastCrash() time.Duration {
 	var last time.Duration
 	for _, at := range h.crashes {
 		last = max(last, at)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -10,26 +10,26 @@
 	"pgregory.net/rapid"
 )
 
-func requestNumber(number int) Fingerprint {
+func testRequest(number int) Fingerprint {
 	return NewFingerprint(Content{URI: fmt.Sprintf("/%d", number)})
 }
 
-func TestThreeBackEndsMayEndUnderARequest(t *testing.T) {
+func TestThreeCrashesQuarantine(t *testing.T) {
 	g := NewWithT(t)
-	table, request := NewTable(), requestNumber(1)
+	table, request := NewTable(), testRequest(1)
 	g.Expect(table.Add(0, request, "1")).To(Equal(Status{Crashes: 1}))
 	g.Expect(table.Add(time.Second, request, "1")).To(Equal(Status{Crashes: 1}), "the same crash, told again")
-	g.Expect(table.Add(time.Second, request, "2")).To(Equal(Status{Crashes: 2, Quarantined: suspectLifetime}))
-	over := time.Second + suspectLifetime
-	g.Expect(table.Status(over, request)).To(Equal(Status{Crashes: 2}))
-	g.Expect(table.Add(over, request, "3")).To(Equal(Status{Crashes: 3, Quarantined: quarantineLifetime}))
+	g.Expect(table.Add(time.Second, request, "2")).To(Equal(Status{Crashes: 2, Quarantined: suspectDuration}))
+	ended := time.Second + suspectDuration
+	g.Expect(table.Status(ended, request)).To(Equal(Status{Crashes: 2}))
+	g.Expect(table.Add(ended, request, "3")).To(Equal(Status{Crashes: 3, Quarantined: quarantineDuration}))
 }
 
-// TestAnAnswerSpeaksForARequest: a request that many send is under way at each ordinary crash, and is
+// TestAnswerClearsCrashes: a request that many callers send is in flight at each ordinary crash, and is
 // answered in between. An answer also ends a quarantine.
-func TestAnAnswerSpeaksForARequest(t *testing.T) {
+func TestAnswerClearsCrashes(t *testing.T) {
 	g := NewWithT(t)
-	table, request := NewTable(), requestNumber(1)
+	table, request := NewTable(), testRequest(1)
 	for crash := range 20 {
 		now := time.Duration(crash) * time.Second
 		g.Expect(table.Add(now, request, strconv.Itoa(crash)).Quarantined).To(BeZero())
@@ -42,26 +42,25 @@
 	g.Expect(table.Status(0, request)).To(Equal(Status{}))
 }
 
-// TestAQuarantineBeginsAnewWithTheNextCrash: what crashed three back ends and was kept away for an
-// hour ends at most one more.
-func TestAQuarantineBeginsAnewWithTheNextCrash(t *testing.T) {
+// TestNextCrashRenewsQuarantine: a request that crashed three backends and was quarantined for an hour crashes
+// at most one more.
+func TestNextCrashRenewsQuarantine(t *testing.T) {
 	g := NewWithT(t)
-	table, request := NewTable(), requestNumber(1)
-	for crash := range crashesAllowed {
+	table, request := NewTable(), testRequest(1)
+	for crash := range quarantineCrashes {
 		table.Add(0, request, strconv.Itoa(crash))
 	}
-	over := quarantineLifetime + time.Second
-	g.Expect(table.Expire(over)).To(BeEmpty())
-	g.Expect(table.Status(over, request).Quarantined).To(BeZero())
-	g.Expect(table.Add(over, request, "later").Quarantined).To(Equal(quarantineLifetime))
-	g.Expect(table.Expire(over + quarantineLifetime + evidenceLifetime)).To(Equal([]Fingerprint{request}))
+	ended := quarantineDuration + time.Second
+	g.Expect(table.Expire(ended)).To(BeEmpty())
+	g.Expect(table.Status(ended, request).Quarantined).To(BeZero())
+	g.Expect(table.Add(ended, request, "later").Quarantined).To(Equal(quarantineDuration))
+	g.Expect(table.Expire(ended + quarantineDuration + evidenceLifetime)).To(Equal([]Fingerprint{request}))
 }
 
-// TestTheTableAgreesWithAListOfWhatHappened draws crashes, answers and times, and compares the table
-// with a plain list of them.
-func TestTheTableAgreesWithAListOfWhatHappened(t *testing.T) {
+// TestTableMatchesModel draws crashes, answers and times, and compares the table with a simple model.
+func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, request := NewTable(), requestNumber(1)
+		table, request := NewTable(), testRequest(1)
 		crashes := map[string]time.Duration{}
 		var now, until time.Duration
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -82,7 +81,7 @@
 				table.Add(now, request, backend)
 				if _, counted := crashes[backend]; !counted {
 					crashes[backend] = now
-					until = max(until, now+[]time.Duration{0, 0, suspectLifetime, quarantineLifetime}[min(3, len(crashes))])
+					until = max(until, now+[]time.Duration{0, 0, suspectDuration, quarantineDuration}[min(3, len(crashes))])
 				}
 			}
 			want := Status{Crashes: len(crashes), Quarantined: max(0, until-now)}
@@ -93,18 +92,18 @@
 	})
 }
 
-// TestTheTableIsBounded: callers that crash back ends under ever new requests take no more memory, and
-// requests that are kept away are forgotten last.
-func TestTheTableIsBounded(t *testing.T) {
+// TestTableIsBounded: callers that crash backends with ever new requests use no more memory, and quarantined
+// requests are evicted last.
+func TestTableIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable()
-	for crash := range crashesAllowed {
-		table.Add(0, requestNumber(-1), strconv.Itoa(crash))
+	for crash := range quarantineCrashes {
+		table.Add(0, testRequest(-1), strconv.Itoa(crash))
 	}
 	for number := range maxRequests + 10 {
-		table.Add(time.Duration(number)*time.Millisecond, requestNumber(number), "b")
+		table.Add(time.Duration(number)*time.Millisecond, testRequest(number), "b")
 	}
 	g.Expect(table.requests).To(HaveLen(maxRequests))
-	g.Expect(table.Status(time.Minute, requestNumber(-1)).Quarantined).To(BeNumerically(">", 0))
-	g.Expect(table.Status(time.Minute, requestNumber(0)).Crashes).To(BeZero())
+	g.Expect(table.Status(time.Minute, testRequest(-1)).Quarantined).To(BeNumerically(">", 0))
+	g.Expect(table.Status(time.Minute, testRequest(0)).Crashes).To(BeZero())
 }
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -7,68 +7,68 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// Evidence is that a back end ended with a request under way.
+// Evidence is one crash: a backend ended with a request in flight.
 type Evidence struct {
 	Request Fingerprint
-	// Backend is the life of the back end.
+	// Backend is the incarnation of the backend.
 	Backend string
-	// At is when that was noticed, by the clock of the node that holds the evidence.
+	// At is when the crash was noticed, by the clock of the node that holds the evidence.
 	At time.Duration
 }
 
-// report is what a node tells the keeper.
+// report is what a node sends to the coordinator.
 type report struct {
 	evidence []Evidence
 	answered []Fingerprint
-	// all is set by a node that wants to hear all announcements.
+	// all is set by a node that requests all announcements.
 	all bool
 }
 
-// reply is what the keeper answers.
+// reply is the coordinator's answer.
 type reply struct {
-	// standings are those of the requests of the evidence, in its order.
-	standings []Status
-	// announced are all announcements, for a node that asked for them.
+	// statuses are those of the requests of the evidence, in its order.
+	statuses []Status
+	// announced are all announcements, for a node that requested them.
 	announced []Announcement
 }
 
-func encodeReport(now time.Duration, told report) *peerpb.ReportCrashes {
-	encoded := &peerpb.ReportCrashes{All: told.all}
-	for _, evidence := range told.evidence {
+func encodeReport(now time.Duration, reported report) *peerpb.ReportCrashes {
+	encoded := &peerpb.ReportCrashes{All: reported.all}
+	for _, evidence := range reported.evidence {
 		encoded.Evidence = append(encoded.Evidence, &peerpb.CrashEvidence{
 			Request: evidence.Request[:], Backend: evidence.Backend, AgeMs: (now - evidence.At).Milliseconds(),
 		})
 	}
-	for _, request := range told.answered {
+	for _, request := range reported.answered {
 		encoded.Answered = append(encoded.Answered, request[:])
 	}
 	return encoded
 }
 
-// decodeReport passes over names of requests that are none: another version may have sent them.
+// decodeReport skips invalid fingerprints: another version may have sent them.
 func decodeReport(now time.Duration, encoded *peerpb.ReportCrashes) report {
-	told := report{all: encoded.GetAll()}
+	reported := report{all: encoded.GetAll()}
 	for _, evidence := range encoded.GetEvidence() {
 		request, valid := fromBytes(evidence.GetRequest())
 		if !valid {
 			continue
 		}
 		age := peer.Millis(max(0, evidence.GetAgeMs()))
-		told.evidence = append(told.evidence, Evidence{Request: request, Backend: evidence.GetBackend(), At: now - age})
+		reported.evidence = append(reported.evidence, Evidence{Request: request, Backend: evidence.GetBackend(), At: now - age})
 	}
 	for _, name := range encoded.GetAnswered() {
 		if request, valid := fromBytes(name); valid {
-			told.answered = append(told.answered, request)
+			reported.answered = append(reported.answered, request)
 		}
 	}
-	return told
+	return reported
 }
 
 func encodeReply(answer reply) *peerpb.CrashStandings {
 	encoded := &peerpb.CrashStandings{}
-	for _, standing := range answer.standings {
+	for _, status := range answer.statuses {
 		encoded.Standings = append(encoded.Standings, &peerpb.CrashStanding{
-			Crashes: int32(standing.Crashes), QuarantinedMs: standing.Quarantined.Milliseconds(),
+			Crashes: int32(status.Crashes), QuarantinedMs: status.Quarantined.Milliseconds(),
 		})
 	}
 	for _, announcement := range answer.announced {
@@ -79,9 +79,9 @@
 
 func decodeReply(encoded *peerpb.CrashStandings) reply {
 	var answer reply
-	for _, standing := range encoded.GetStandings() {
-		answer.standings = append(answer.standings, Status{
-			Crashes: int(standing.GetCrashes()), Quarantined: peer.Millis(standing.GetQuarantinedMs()),
+	for _, status := range encoded.GetStandings() {
+		answer.statuses = append(answer.statuses, Status{
+			Crashes: int(status.GetCrashes()), Quarantined: peer.Millis(status.GetQuarantinedMs()),
 		})
 	}
 	for _, announcement := range encoded.GetAnnounced() {
@@ -93,13 +93,13 @@
 }
 
 // EncodeAnnouncement returns an announcement as a message between nodes.
-func EncodeAnnouncement(told Announcement) *peerpb.CrashAnnouncement {
-	return &peerpb.CrashAnnouncement{Request: told.Request[:], Backends: told.Backends, QuarantinedMs: told.Quarantined.Milliseconds()}
+func EncodeAnnouncement(announcement Announcement) *peerpb.CrashAnnouncement {
+	return &peerpb.CrashAnnouncement{Request: announcement.Request[:], Backends: announcement.Backends, QuarantinedMs: announcement.Quarantined.Milliseconds()}
 }
 
 func decodeAnnouncement(encoded *peerpb.CrashAnnouncement) (Announcement, bool) {
 	request, valid := fromBytes(encoded.GetRequest())
 	return Announcement{
-		Request: request, Backends: encoded.GetBackends(), Quarantined: min(max(0, peer.Millis(encoded.GetQuarantinedMs())), quarantineLifetime),
+		Request: request, Backends: encoded.GetBackends(), Quarantined: min(max(0, peer.Millis(encoded.GetQuarantinedMs())), quarantineDuration),
 	}, valid
 }
