--- a/admission/named_test.go
+++ b/admission/named_test.go
@@ -11,8 +11,8 @@
 	"github.com/reelrun/reelrun/admission"
 )
 
-// planOfMany returns the plan of a service of so many back ends, each of which has one request in some seconds
-// of varying length. One of them fails all it gets, and one has a queue.
+// planOfMany returns the plan of a service with many backends, each of which has one request every few seconds
+// of varying length. One of them fails all requests, and one has a queue.
 func planOfMany(count int) admission.Plan {
 	slots := map[string]int{}
 	for i := range count {
@@ -24,7 +24,7 @@
 	random := rand.New(rand.NewPCG(21, 22))
 	var plan admission.Plan
 	for second := range 30 {
-		report := admission.Report{Service: "s", Holder: "n", Interval: time.Second, Objective: 300 * time.Millisecond, FirstTries: count / 6}
+		report := admission.Report{Service: "s", Holder: "n", Interval: time.Second, Objective: 300 * time.Millisecond, FirstAttempts: count / 6}
 		for range count / 6 {
 			took := time.Duration(20+random.IntN(100)) * time.Millisecond
 			report.Backends = append(report.Backends, admission.BackendCounts{
@@ -35,18 +35,18 @@
 			admission.BackendCounts{ID: "server-00000", Failed: 3, Busy: 3 * 60 * time.Millisecond},
 			admission.BackendCounts{ID: "server-00001", Answered: 30, Busy: 30 * 200 * time.Millisecond, Pending: 20},
 		)
-		plan = controller.Take(time.Duration(second+1)*time.Second, report)
+		plan = controller.HandleReport(time.Duration(second+1)*time.Second, report)
 	}
 	return plan
 }
 
-// TestAPlanNamesFewOfManyBackEnds wants a plan of the same size for 1,350 and 2,700 back ends, which each node
-// gets once a second, and those in it that other nodes have to know of.
-func TestAPlanNamesFewOfManyBackEnds(t *testing.T) {
+// TestPlanSizeIsBounded checks that plans for 1,350 and 2,700 backends, which each node gets once a second,
+// have the same size and list the backends that other nodes have to know of.
+func TestPlanSizeIsBounded(t *testing.T) {
 	for _, count := range []int{1350, 2700} {
 		g := NewWithT(t)
 		plan := planOfMany(count)
-		g.Expect(plan.FirstTries).To(Equal(1.0))
+		g.Expect(plan.FirstAttempts).To(Equal(1.0))
 		g.Expect(len(plan.Backends)).To(BeNumerically("<=", 32))
 		g.Expect(weightOf(plan, "server-00000")).To(BeNumerically("<", 0.3), "it fails")
 		var queued admission.BackendPlan
@@ -55,7 +55,7 @@
 				queued = described
 			}
 		}
-		g.Expect(queued.Fullness).To(BeNumerically(">", 1), "it has a queue")
-		g.Expect(plan.RestFullness).To(BeNumerically("<", 0.1))
+		g.Expect(queued.Utilization).To(BeNumerically(">", 1), "it has a queue")
+		g.Expect(plan.RestUtilization).To(BeNumerically("<", 0.1))
 	}
 }
--- a/backend/entry.go
+++ b/backend/entry.go
@@ -135,8 +135,8 @@
 // Pending returns how many requests this node has under way there.
 func (e *Entry) Pending() int { return int(e.pending.Load()) }
 
-// Failed notes a failure of the back end itself.
-func (e *Entry) Failed() {
+// RecordFailure notes a failure of the back end itself.
+func (e *Entry) RecordFailure() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now, seen := e.now(), e.observed()
@@ -146,8 +146,8 @@
 	seen.failureAt = now
 }
 
-// Succeeded notes an answer.
-func (e *Entry) Succeeded() {
+// RecordSuccess notes an answer.
+func (e *Entry) RecordSuccess() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.seen != nil {
@@ -155,14 +155,14 @@
 	}
 }
 
-// Failing returns the share of requests that seem to fail there.
-func (e *Entry) Failing() float64 {
+// FailureRate returns the share of requests that seem to fail there.
+func (e *Entry) FailureRate() float64 {
 	seen := e.observations()
 	return seen.decayed(seen.failing, e.now())
 }
 
-// Sound reports whether the back end has not failed lately.
-func (e *Entry) Sound() bool {
+// Healthy reports whether the back end has not failed lately.
+func (e *Entry) Healthy() bool {
 	seen := e.observations()
 	return seen.decayed(seen.failures, e.now()) <= unsoundFailures
 }
@@ -175,8 +175,8 @@
 	return value * math.Exp2(-now.Sub(o.failureAt).Seconds()/failureHalfLife.Seconds())
 }
 
-// Full notes that the back end has no capacity until the given time has passed.
-func (e *Entry) Full(lasting time.Duration) {
+// MarkFull notes that the back end has no capacity until the given time has passed.
+func (e *Entry) MarkFull(lasting time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.observed().fullUntil = e.now().Add(lasting)
--- a/backend/notice_test.go
+++ b/backend/notice_test.go
@@ -21,7 +21,7 @@
 
 func lifeOf(born int64, state backend.State) backend.Backend {
 	names := map[int64]string{0: "a", 1: "a@1", 2: "a@2"}
-	return backend.Backend{ID: names[born], RegisteredAs: "a", Born: born, Service: "first", State: state}
+	return backend.Backend{ID: names[born], RegisteredAs: "a", StartedAt: born, Service: "first", State: state}
 }
 
 // TestAWordOutlivesWhatDiscoveryTells has discovery tell in each way that a back end is ready which has
@@ -31,8 +31,8 @@
 	clock := newHandClock()
 	registry := backend.NewRegistry(clock.read)
 	registry.Update(lifeOf(1, backend.StateReady))
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true})).To(Equal(backend.Notice{Leaving: true}))
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true}).IsEmpty()).To(BeTrue(), "it is no news any more")
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true})).To(Equal(backend.Notice{Leaving: true}))
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true}).IsEmpty()).To(BeTrue(), "it is no news any more")
 	clock.pass(time.Second)
 	expectLeaving := func() {
 		g.Expect(registry.Ready("first", backend.RoleNone)).To(BeEmpty())
@@ -63,12 +63,12 @@
 	registry := backend.NewRegistry(clock.read)
 	registry.Update(lifeOf(1, backend.StateReady))
 	registry.RemoveRegistered("a")
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true}).Leaving).To(BeTrue())
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Backoff: time.Hour}).Backoff).To(Equal(time.Hour), "and a word more")
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true}).Leaving).To(BeTrue())
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Backoff: time.Hour}).Backoff).To(Equal(time.Hour), "and a word more")
 	clock.pass(time.Second)
 	registry.Update(lifeOf(1, backend.StateReady))
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(BeEmpty())
-	g.Expect(registry.Lookup("a@1").BackoffLeft()).To(Equal(time.Hour - time.Second))
+	g.Expect(registry.Lookup("a@1").BackoffRemaining()).To(Equal(time.Hour - time.Second))
 }
 
 // TestTheNextLifeIsUsed has a back end start again after it has said that it leaves.
@@ -77,13 +77,13 @@
 	clock := newHandClock()
 	registry := backend.NewRegistry(clock.read)
 	// What it says is heard after this life has begun and before the next one.
-	registry.UseTimeOfDay(func() time.Time { return time.UnixMilli(1) })
+	registry.SetWallClock(func() time.Time { return time.UnixMilli(1) })
 	registry.Update(lifeOf(1, backend.StateReady))
-	registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true, Backoff: time.Hour})
+	registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Leaving: true, Backoff: time.Hour})
 	registry.Update(lifeOf(2, backend.StateReady))
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1))
 	g.Expect(registry.Withheld("first")).To(BeEmpty())
-	g.Expect(registry.Lookup("a@2").BackoffLeft()).To(BeZero())
+	g.Expect(registry.Lookup("a@2").BackoffRemaining()).To(BeZero())
 }
 
 // TestAWordOfALifeThatIsNotKnownYetCountsForIt has a back end start again and say something before discovery
@@ -93,33 +93,33 @@
 		g := NewWithT(t)
 		clock := newHandClock()
 		registry := backend.NewRegistry(clock.read)
-		registry.UseTimeOfDay(clock.read)
+		registry.SetWallClock(clock.read)
 		born := func(at time.Time) backend.Backend {
-			return backend.Backend{ID: "a@" + at.String(), RegisteredAs: "a", Born: at.UnixMilli(), Service: "first", State: backend.StateReady}
+			return backend.Backend{ID: "a@" + at.String(), RegisteredAs: "a", StartedAt: at.UnixMilli(), Service: "first", State: backend.StateReady}
 		}
 		before := born(clock.read())
 		registry.Update(before)
 		clock.pass(time.Minute)
 		next := born(clock.read())
 		clock.pass(time.Second)
-		registry.Heard(before, backend.Notice{Backoff: 5 * time.Second})
+		registry.RecordNotice(before, backend.Notice{Backoff: 5 * time.Second})
 		if lapsed {
 			registry.RemoveRegistered("a")
 		}
 		clock.pass(time.Second)
 		registry.Update(next)
-		g.Expect(registry.Lookup(next.ID).BackoffLeft()).To(Equal(4 * time.Second))
+		g.Expect(registry.Lookup(next.ID).BackoffRemaining()).To(Equal(4 * time.Second))
 		clock.pass(time.Minute)
 		later := born(clock.read())
 		clock.pass(time.Second)
-		registry.Heard(next, backend.Notice{Leaving: true})
+		registry.RecordNotice(next, backend.Notice{Leaving: true})
 		if lapsed {
 			registry.RemoveRegistered("a")
 		}
 		registry.Update(later)
-		g.Expect(registry.Lookup(later.ID).BackoffLeft()).To(Equal(10*time.Second), "it leaves, if clocks agree")
+		g.Expect(registry.Lookup(later.ID).BackoffRemaining()).To(Equal(10*time.Second), "it leaves, if clocks agree")
 		clock.pass(10 * time.Second)
-		g.Expect(registry.Lookup(later.ID).BackoffLeft()).To(BeZero())
+		g.Expect(registry.Lookup(later.ID).BackoffRemaining()).To(BeZero())
 		g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1), "its next answer tells")
 	}
 }
@@ -130,7 +130,7 @@
 	clock := newHandClock()
 	registry := backend.NewRegistry(clock.read)
 	registry.Update(lifeOf(0, backend.StateReady))
-	registry.Heard(lifeOf(0, backend.StateReady), backend.Notice{Leaving: true})
+	registry.RecordNotice(lifeOf(0, backend.StateReady), backend.Notice{Leaving: true})
 	registry.RemoveRegistered("a")
 	clock.pass(59 * time.Second)
 	registry.Update(lifeOf(0, backend.StateReady))
@@ -157,7 +157,7 @@
 			case 1:
 				registry.Remove(life.ID)
 			default:
-				registry.Heard(life, backend.Notice{Leaving: true})
+				registry.RecordNotice(life, backend.Notice{Leaving: true})
 				said[life.ID] = true
 			}
 			for _, entry := range registry.Ready("first", backend.RoleNone) {
@@ -175,20 +175,20 @@
 	clock := newHandClock()
 	registry := backend.NewRegistry(clock.read)
 	registry.Update(lifeOf(1, backend.StateReady))
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Backoff: 3 * time.Second}).Backoff).To(Equal(3 * time.Second))
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Backoff: 3 * time.Second}).Backoff).To(Equal(3 * time.Second))
 	clock.pass(time.Second)
-	g.Expect(registry.Heard(lifeOf(1, backend.StateReady), backend.Notice{Backoff: time.Second}).IsEmpty()).To(BeTrue(), "it is in backoff already")
-	g.Expect(registry.Lookup("a@1").BackoffLeft()).To(Equal(2 * time.Second))
+	g.Expect(registry.RecordNotice(lifeOf(1, backend.StateReady), backend.Notice{Backoff: time.Second}).IsEmpty()).To(BeTrue(), "it is in backoff already")
+	g.Expect(registry.Lookup("a@1").BackoffRemaining()).To(Equal(2 * time.Second))
 	g.Expect(registry.Lookup("a@1").BackingOffFor()).To(Equal(time.Second))
-	g.Expect(registry.AllBackingOff("first", backend.RoleNone)).To(Equal(2 * time.Second))
-	g.Expect(registry.AllBackingOff("second", backend.RoleNone)).To(BeZero())
+	g.Expect(registry.ServiceBackoff("first", backend.RoleNone)).To(Equal(2 * time.Second))
+	g.Expect(registry.ServiceBackoff("second", backend.RoleNone)).To(BeZero())
 	g.Expect(registry.Withheld("first")).To(ConsistOf("a@1"))
 	registry.RemoveRegistered("a")
-	g.Expect(registry.AllBackingOff("first", backend.RoleNone)).To(BeZero(), "there is none")
+	g.Expect(registry.ServiceBackoff("first", backend.RoleNone)).To(BeZero(), "there is none")
 	registry.Update(lifeOf(1, backend.StateReady))
-	g.Expect(registry.AllBackingOff("first", backend.RoleNone)).To(Equal(2 * time.Second))
+	g.Expect(registry.ServiceBackoff("first", backend.RoleNone)).To(Equal(2 * time.Second))
 	clock.pass(2 * time.Second)
-	g.Expect(registry.AllBackingOff("first", backend.RoleNone)).To(BeZero())
+	g.Expect(registry.ServiceBackoff("first", backend.RoleNone)).To(BeZero())
 	g.Expect(registry.Withheld("first")).To(BeEmpty())
 	g.Expect(registry.Lookup("a@1").BackingOffFor()).To(BeZero())
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1))
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// UseTimeOfDay replaces the clock that is compared with the times at which lives began. Default time.Now. It
+// SetWallClock replaces the clock that is compared with the times at which lives began. Default time.Now. It
 // is called before all other calls.
-func (r *Registry) UseTimeOfDay(timeOfDay func() time.Time) { r.timeOfDay = timeOfDay }
+func (r *Registry) SetWallClock(timeOfDay func() time.Time) { r.timeOfDay = timeOfDay }
 
 // Synced reports whether a whole list of back ends has been seen.
 func (r *Registry) Synced() bool {
@@ -178,7 +178,7 @@
 // Without it a back end that had asked for backoff before it was known had three requests meanwhile.
 func (r *Registry) inherit(entry *Entry) {
 	current := entry.Backend()
-	if current.Born == 0 {
+	if current.StartedAt == 0 {
 		return
 	}
 	for id, life := range r.departed {
@@ -251,9 +251,9 @@
 	return r.byID[id]
 }
 
-// Heard notes what a life of a back end has said of itself in an answer. It reports what of that was not
+// RecordNotice notes what a life of a back end has said of itself in an answer. It reports what of that was not
 // known. Its entry may have lapsed meanwhile, and be written once more as it was.
-func (r *Registry) Heard(target Backend, said Notice) Notice {
+func (r *Registry) RecordNotice(target Backend, said Notice) Notice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	entry := r.byID[target.ID]
@@ -290,9 +290,9 @@
 	return withheld
 }
 
-// AllBackingOff returns how long it is until the first back end of a service and role wants requests from
+// ServiceBackoff returns how long it is until the first back end of a service and role wants requests from
 // this node again, where all that take work are in backoff; zero where one is not, or there is none.
-func (r *Registry) AllBackingOff(service string, role Role) time.Duration {
+func (r *Registry) ServiceBackoff(service string, role Role) time.Duration {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if len(r.notices) == 0 {
@@ -303,7 +303,7 @@
 		if entry.backend.Load().Role != role || !entry.TakesWork() {
 			continue
 		}
-		left := entry.BackoffLeft()
+		left := entry.BackoffRemaining()
 		if left == 0 {
 			return 0
 		}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -17,7 +17,7 @@
 // pick chooses a back end of a service among those that were not tried and are not in backoff, or nil. It
 // looks at a few that are drawn by chance, and at all where none of these can take the request.
 func (h *Handler) pick(service string, role backend.Role, tried map[string]bool) *backend.Entry {
-	wanted := backend.Wanted{Service: service, Role: role, Count: choiceSize}
+	wanted := backend.SampleOptions{Service: service, Role: role, Count: choiceSize}
 	drawn, isAll := h.options.Backends.Sample(wanted, rand.IntN)
 	if isAll {
 		return h.choose(service, drawn, nil, tried)
@@ -35,11 +35,11 @@
 	entries := make([]*backend.Entry, 0, len(drawn)+len(near))
 	candidates := make([]admission.Candidate, 0, len(drawn)+len(near))
 	add := func(entry *backend.Entry, onlyNear bool) {
-		if tried[entry.ID()] || entry.BackoffLeft() > 0 || !h.options.Assignable(entry) {
+		if tried[entry.ID()] || entry.BackoffRemaining() > 0 || !h.options.Assignable(entry) {
 			return
 		}
 		candidate := h.candidate(entry)
-		candidate.OnlyNear = onlyNear
+		candidate.ZoneOnly = onlyNear
 		entries = append(entries, entry)
 		candidates = append(candidates, candidate)
 	}
@@ -60,6 +60,6 @@
 	described := entry.Backend()
 	return admission.Candidate{
 		ID: described.ID, SameZone: described.Zone == h.options.Zone,
-		Pending: entry.Pending(), Failing: entry.Failing(), Full: entry.IsFull(),
+		Pending: entry.Pending(), FailureRate: entry.FailureRate(), Full: entry.IsFull(),
 	}
 }
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -16,7 +16,7 @@
 // has broken or is known of any request: 5 KB take 5 microseconds (quarantine.BenchmarkOf).
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if x.content == nil {
-		fingerprint := quarantine.Of(quarantine.Content{
+		fingerprint := quarantine.NewFingerprint(quarantine.Content{
 			Tenant: x.request.Tenant, Method: x.request.Method, Host: x.request.Host, URI: x.request.URI, Body: x.request.Body,
 		})
 		x.content = &fingerprint
@@ -41,7 +41,7 @@
 	if known == nil || known.Empty() {
 		return nil
 	}
-	if left := known.Standing(x.fingerprint()).Quarantined; left > 0 {
+	if left := known.Status(x.fingerprint()).Quarantined; left > 0 {
 		return notRun(ReasonQuarantined, left, nil)
 	}
 	return nil
@@ -56,7 +56,7 @@
 		return
 	}
 	broken := brokenSend{request: x.request.ID, service: x.service, content: x.fingerprint(), backend: entry.Backend(), age: age}
-	if known := x.handler.options.Quarantine; known != nil && known.Standing(broken.content).Crashes > 0 {
+	if known := x.handler.options.Quarantine; known != nil && known.Status(broken.content).Crashes > 0 {
 		x.handler.noteBreak(ctx, broken)
 		return
 	}
@@ -76,7 +76,7 @@
 func (h *Handler) noteBreak(ctx context.Context, broken brokenSend) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endedTimeout)
 	defer cancel()
-	var standing quarantine.Standing
+	var standing quarantine.Status
 	crashed := h.options.Dialect.Ended(ctx, broken.backend)
 	if known := h.options.Quarantine; crashed && known != nil {
 		standing = known.Crashed(ctx, broken.content, broken.backend.ID)
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -82,7 +82,7 @@
 // asked this node for backoff, and otherwise the given error. The caller comes back when the first of them
 // wants requests again.
 func (x *exchange) allBackingOff(role backend.Role, err error) error {
-	wait := x.handler.options.Backends.AllBackingOff(x.service, role)
+	wait := x.handler.options.Backends.ServiceBackoff(x.service, role)
 	if wait == 0 || x.runs > 0 {
 		return err
 	}
@@ -131,7 +131,7 @@
 	end := entry.Begin()
 	defer end()
 	outcome := admission.OutcomeAbandoned
-	counted := x.handler.options.Admission.Began(x.service, target.ID)
+	counted := x.handler.options.Admission.Begin(x.service, target.ID)
 	defer func() { counted(outcome) }()
 	left := x.left()
 	sendContext := ctx
@@ -147,7 +147,7 @@
 	answer, err := x.handler.options.Dialect.Send(sendContext, target, x.request, left)
 	if errors.Is(err, ErrNotSent) {
 		outcome = admission.OutcomeFailed
-		entry.Failed()
+		entry.RecordFailure()
 		return nil, &tryError{failure: notRun(ReasonBackendFailed, retryShed, err)}
 	}
 	x.runArrived()
@@ -166,7 +166,7 @@
 		return answer, &tryError{failure: notRun(ReasonBackendRefused, retryShed, nil), arrived: true}
 	case answer.NotRun:
 		outcome = admission.OutcomeRejected
-		entry.Full(fullMemory)
+		entry.MarkFull(fullMemory)
 		return answer, &tryError{failure: notRun(ReasonBackendRefused, retryShed, nil), arrived: true}
 	}
 	outcome = admission.OutcomeFailed
@@ -177,11 +177,11 @@
 		return nil, &tryError{failure: unknown(ReasonBackendFailed, errors.Newf("status %d", answer.Status)), arrived: true, ran: true}
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		entry.Failed()
+		entry.RecordFailure()
 		return answer, &tryError{failure: unknown(ReasonBackendFailed, nil), arrived: true, ran: true}
 	}
 	outcome = admission.OutcomeAnswered
-	entry.Succeeded()
+	entry.RecordSuccess()
 	x.ranToEnd()
 	return answer, nil
 }
@@ -199,7 +199,7 @@
 
 // misdirected takes note of an answer of another incarnation.
 func (x *exchange) misdirected(entry *backend.Entry, answer *Answer) {
-	entry.Failed()
+	entry.RecordFailure()
 	if answer.Replaced && x.handler.options.Backends.Remove(entry.Backend().ID) {
 		x.handler.options.Logger.Info("back end replaced", "backend", entry.Backend().ID, "request", x.request.ID)
 	}
@@ -210,7 +210,7 @@
 	x.runs++
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		// A back end that says nothing until the time is over has failed as well.
-		entry.Failed()
+		entry.RecordFailure()
 	}
 	if failure := ended(ctx); failure != nil {
 		return failure
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -54,7 +54,7 @@
 		if err == nil || ended(ctx) != nil || isReason(err, ReasonCallerLeft) {
 			return err
 		}
-		taken.entry.Failed()
+		taken.entry.RecordFailure()
 		avoid[taken.entry.Backend().ID] = true
 		if !x.mayResume() {
 			return err
@@ -150,7 +150,7 @@
 	}
 	if answer.NotRun || answer.Misdirected {
 		_ = answer.Body.Close()
-		if taken.entry.BackoffLeft() == 0 {
+		if taken.entry.BackoffRemaining() == 0 {
 			taken.refusal = coordinator.RefusalUnavailable
 		}
 		x.keepPrompt(ctx, prompt, wasteDecodeRefused)
@@ -169,7 +169,7 @@
 	if failure := ended(ctx); failure != nil {
 		return failure
 	}
-	taken.entry.Failed()
+	taken.entry.RecordFailure()
 	taken.refusal = coordinator.RefusalFailed
 	if errors.Is(err, ErrNotSent) {
 		return &tryError{failure: notRun(ReasonBackendFailed, retryShed, err)}
@@ -212,7 +212,7 @@
 func (x *exchange) prefillEngine(taken *reservedEngine, tried map[string]bool) *backend.Entry {
 	if len(tried) == 0 && taken.prefillEngine != "" {
 		entry := x.handler.options.Backends.Lookup(taken.prefillEngine)
-		if entry != nil && entry.TakesWork() && entry.BackoffLeft() == 0 {
+		if entry != nil && entry.TakesWork() && entry.BackoffRemaining() == 0 {
 			return entry
 		}
 	}
@@ -251,7 +251,7 @@
 	case err != nil && ctx.Err() != nil:
 		return nil, err
 	case err != nil:
-		entry.Failed()
+		entry.RecordFailure()
 		taken.prefillFailed(entry.Backend().ID, limited.Err() != nil)
 		if limited.Err() != nil {
 			x.handler.logWasted(x, entry.Backend().ID, wasteReadingGivenUp)
@@ -265,10 +265,10 @@
 		taken.prefillFailed(entry.Backend().ID, false)
 		return nil, errors.Newf("prefill refused with status %d", answer.Status)
 	case result == nil && answer.NotRun:
-		entry.Full(fullMemory)
+		entry.MarkFull(fullMemory)
 		return nil, errors.Newf("prefill refused with status %d", answer.Status)
 	case result == nil:
-		entry.Failed()
+		entry.RecordFailure()
 		taken.prefillFailed(entry.Backend().ID, false)
 		return nil, errors.Newf("prefill failed with status %d", answer.Status)
 	}
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -43,7 +43,7 @@
 	// Quotas charges requests to the limits of their tenants. Without it no limit is kept.
 	Quotas Quotas
 	// Quarantine knows which requests crash back ends. Without it, nothing is remembered.
-	Quarantine quarantine.Judge
+	Quarantine quarantine.Tracker
 	// Admission decides which requests to plain services are admitted, and where they go.
 	// Default: all are, by what this node has seen alone.
 	Admission *admission.Node
@@ -70,8 +70,8 @@
 type Quotas interface {
 	// Charge decides on a request of a tenant that costs so many units.
 	Charge(ctx context.Context, charged *tenant.Tenant, units float64) quota.Decision
-	// GiveBack returns the units of a request that did not run.
-	GiveBack(charged *tenant.Tenant, units float64)
+	// Refund returns the units of a request that did not run.
+	Refund(charged *tenant.Tenant, units float64)
 }
 
 // Handler serves callers. It is safe for concurrent use.
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -14,8 +14,8 @@
 // ErrHeld is returned when another node holds the lease.
 var ErrHeld = errors.New("lease: held by another node")
 
-// ErrLapsed is returned when too little of the lease is left to act.
-var ErrLapsed = errors.New("lease: lapsed")
+// ErrExpiring is returned when too little of the lease is left to act.
+var ErrExpiring = errors.New("lease: lapsed")
 
 // Record is the stored form of a lease.
 type Record struct {
@@ -175,24 +175,24 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.held || l.options.Now().Add(longest+l.options.Margin).After(l.until) {
-		return ErrLapsed
+		return ErrExpiring
 	}
 	return nil
 }
 
-// WaitedOut reports whether the given time has passed since the lease was taken
+// TakeoverWaitOver reports whether the given time has passed since the lease was taken
 // from a holder that had not released it: an order of that holder may have been
 // under way. Engines that check fences need no such wait.
-func (l *Lease) WaitedOut(longest time.Duration) bool {
+func (l *Lease) TakeoverWaitOver(longest time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.takenOverAt.IsZero() || l.options.Now().Sub(l.takenOverAt) >= longest
 }
 
-// Rest notes that nothing of this holder is under way, so that another one need not
+// MarkIdle notes that nothing of this holder is under way, so that another one need not
 // wait. This node acts again only after another Acquire. It must not be called while
 // an order may be under way.
-func (l *Lease) Rest(ctx context.Context) error {
+func (l *Lease) MarkIdle(ctx context.Context) error {
 	l.mu.Lock()
 	held, record := l.held, l.observed
 	l.held = false
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -18,7 +18,7 @@
 func (c *Core) assembleQuarantine() {
 	origin := c.options.LeaseNow()
 	now := func() time.Duration { return c.options.LeaseNow().Sub(origin) }
-	keeper := quarantine.NewKeeper(quarantine.KeeperOptions{Announce: c.announceQuarantine, Now: now})
+	keeper := quarantine.NewCoordinator(quarantine.CoordinatorOptions{Announce: c.announceQuarantine, Now: now})
 	c.quarantines = quarantine.NewClient(quarantine.ClientOptions{
 		Coordinators: ownerChoice{c}, Peers: c.client, Local: keeper, Now: now,
 	})
@@ -36,7 +36,7 @@
 
 // keepArchive keeps the quarantines in the platform while this node is their keeper.
 func (c *Core) keepArchive(ctx context.Context) {
-	if !c.quarantines.IsKeeper() {
+	if !c.quarantines.IsCoordinator() {
 		c.quarantineArchive.Reset()
 		return
 	}
--- a/quota/replay_test.go
+++ b/quota/replay_test.go
@@ -35,7 +35,7 @@
 	tenants []*tenant.Tenant
 	// coordinators are the nodes that others may belong to; alone are the decisions of each node.
 	coordinators []*Coordinator
-	alone        []*Alone
+	alone        []*LocalLimiter
 	// coordinatorOf is the coordinator that each node calls; negative for none.
 	coordinatorOf []int
 	// grantedBy is the coordinator whose grants recent holds.
@@ -68,7 +68,7 @@
 		}))
 	}
 	for range nodes {
-		r.alone = append(r.alone, NewAlone(func() int { return nodes }, r.random.Float64))
+		r.alone = append(r.alone, NewLocalLimiter(func() int { return nodes }, r.random.Float64))
 		r.answeredAt = append(r.answeredAt, -time.Hour)
 		r.coordinatorOf, r.grantedBy = append(r.coordinatorOf, -1), append(r.grantedBy, -1)
 		r.recent = append(r.recent, &recentUse{})
--- a/roles/order.go
+++ b/roles/order.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	if !c.options.Lease.WaitedOut(c.options.MaxOrderDelay) {
+	if !c.options.Lease.TakeoverWaitOver(c.options.MaxOrderDelay) {
 		return nil
 	}
 	ready, err := c.prepare(ctx, planned)
@@ -143,7 +143,7 @@
 func (c *Controller) rest(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	return c.options.Lease.Rest(ctx)
+	return c.options.Lease.MarkIdle(ctx)
 }
 
 // withdraw takes back announced changes whose orders were not sent.
--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -86,11 +86,11 @@
 // holdRetryShare puts the node's share into force, and confirms where it has become smaller.
 func (r *Router) holdRetryShare() {
 	share := r.retryShares.known.Shares[r.options.Settings.Name]
-	if share.Start != r.startName() || r.isIsolated() {
-		r.retryShares.holder.Hold(retrybudget.Share{})
+	if share.Incarnation != r.startName() || r.isIsolated() {
+		r.retryShares.holder.SetShare(retrybudget.Share{})
 		return
 	}
-	r.retryShares.holder.Hold(share)
+	r.retryShares.holder.SetShare(share)
 	if share.Unconfirmed > 0 {
 		r.confirmRetryShare()
 	}
@@ -203,7 +203,7 @@
 		}
 		missing[name] = since
 		if now.Sub(since) < lostAfter {
-			awaited = append(awaited, retrybudget.Member{Name: name, Start: share.Start})
+			awaited = append(awaited, retrybudget.Member{Name: name, Incarnation: share.Incarnation})
 		}
 	}
 	r.retryShares.missing = missing
@@ -223,7 +223,7 @@
 	}
 	members := r.nodes.able(abilityRetryShares)
 	for i, member := range members {
-		if told := confirmed[member.Name]; told.Start == member.Start {
+		if told := confirmed[member.Name]; told.Start == member.Incarnation {
 			members[i].Confirmed = told.Generation
 		}
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -114,7 +114,7 @@
 	// quarantines knows which requests crash back ends; quarantineKeeper brings together what all
 	// nodes saw, where this one is chosen for it, and quarantineArchive keeps that in the store.
 	quarantines       *quarantine.Client
-	quarantineKeeper  *quarantine.Keeper
+	quarantineKeeper  *quarantine.Coordinator
 	quarantineArchive *quarantine.Archive
 	roles             *roles.Controller
 	// retryShares is what the node knows of how the retry budget is divided.
@@ -202,7 +202,7 @@
 	r.admissions = admission.NewClient(r.admission, r.controller, r.client, r.assigner)
 	r.quotaKeeper = quota.NewCoordinator(quota.Options{Tenant: r.tenantNamed, Nodes: r.nodeCount, Tolerance: quota.Tolerance(options.Settings.QuotaTolerance)})
 	r.quotas = quota.NewClient(quota.ClientOptions{
-		Coordinators: r.assigner, Peers: r.client, Local: r.quotaKeeper, Alone: quota.NewAlone(r.nodeCount, rand.Float64),
+		Coordinators: r.assigner, Peers: r.client, LocalCoordinator: r.quotaKeeper, LocalLimiter: quota.NewLocalLimiter(r.nodeCount, rand.Float64),
 		Limited: r.anyTenantLimited, Now: r.now,
 	})
 	r.newQuarantines()
