--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -14,9 +14,9 @@
 // ErrNotSent means that no byte of a request has left this node for the back end.
 var ErrNotSent = errors.New("gateway: not sent")
 
-// ErrOtherAnswer means that a back end answered another request than the one it
+// ErrAnswerMismatch means that a back end answered another request than the one it
 // was sent.
-var ErrOtherAnswer = errors.New("gateway: answer to another request")
+var ErrAnswerMismatch = errors.New("gateway: answer to another request")
 
 // Answer is what a back end answers. The body must be closed.
 type Answer struct {
