--- a/gateway/charge.go
+++ b/gateway/charge.go
@@ -39,6 +39,6 @@
 // giveBack returns what a request was charged that has reached no back end which may have run it.
 func (x *exchange) giveBack() {
 	if x.charged > 0 && x.runs == 0 {
-		x.handler.options.Quotas.GiveBack(x.tenant, x.charged)
+		x.handler.options.Quotas.Refund(x.tenant, x.charged)
 	}
 }
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -70,8 +70,8 @@
 type Quotas interface {
 	// Charge decides on a request of a tenant that costs so many units.
 	Charge(ctx context.Context, charged *tenant.Tenant, units float64) quota.Decision
-	// GiveBack returns the units of a request that did not run.
-	GiveBack(charged *tenant.Tenant, units float64)
+	// Refund returns the units of a request that did not run.
+	Refund(charged *tenant.Tenant, units float64)
 }
 
 // Handler serves callers. It is safe for concurrent use.
--- a/quota/client.go
+++ b/quota/client.go
@@ -98,9 +98,9 @@
 	return Decision{Grant: grant, Source: SourceAlone}
 }
 
-// GiveBack returns the units of a request that did not run. It does not wait for the answer; what
+// Refund returns the units of a request that did not run. It does not wait for the answer; what
 // is not heard is reported with a later charge.
-func (c *Client) GiveBack(charged *tenant.Tenant, units float64) {
+func (c *Client) Refund(charged *tenant.Tenant, units float64) {
 	c.options.Alone.Note(charged.Name, -units)
 	c.recent.add(c.options.Now(), charged.Name, -units)
 	if address := *c.coordinator.Load(); address != "" {
