--- a/router/freshness.go
+++ b/router/freshness.go
@@ -10,7 +10,7 @@
 	agreement := r.syncer.Agreement()
 	return gateway.Freshness{
 		RevisionInForce: r.revisionInForce.Load(), RevisionKnown: r.revisionKnown(),
-		AgreedAgo: agreement.Age, Exchanges: agreement.Exchanges, OldestExchange: agreement.OldestExchange,
+		SinceInSync: agreement.Age, Exchanges: agreement.Exchanges, OldestExchange: agreement.OldestExchange,
 	}
 }
 
