--- a/gateway/policy.go
+++ b/gateway/policy.go
@@ -14,9 +14,9 @@
 	// reservation aside as a whole until its run has ended, and the coordinator's
 	// ledger already accounts for the growth of runs.
 	OutputMargin float64
-	// OutputMarginAlone is the same without a coordinator. Default 1.3: only the
+	// UncoordinatedOutputMargin is the same without a coordinator. Default 1.3: only the
 	// reservations at the engine guard its memory then.
-	OutputMarginAlone float64
+	UncoordinatedOutputMargin float64
 	// RetryWait is how long a caller that was refused before waits for engines, as a share of
 	// the time after which it leaves a silent stream. It is late whenever it is served, so that
 	// it may wait while others go first; a second refusal helps it no more. Default 0.75: the
@@ -46,7 +46,7 @@
 
 func (p *Policy) setDefaults() {
 	p.OutputMargin = cmp.Or(p.OutputMargin, defaultOutputMargin)
-	p.OutputMarginAlone = cmp.Or(p.OutputMarginAlone, defaultOutputMarginAlone)
+	p.UncoordinatedOutputMargin = cmp.Or(p.UncoordinatedOutputMargin, defaultOutputMarginAlone)
 	p.RetryWait = cmp.Or(p.RetryWait, defaultRetryWait)
 	p.AloneWait = cmp.Or(p.AloneWait, defaultAloneWait)
 	p.ReservationLifetime = cmp.Or(p.ReservationLifetime, defaultReservationLifetime)
@@ -66,7 +66,7 @@
 // reservedTokens returns how much memory is reserved for a request, at an engine
 // that the coordinator assigned or not.
 func (p *Policy) reservedTokens(generation Generation, assigned bool) int {
-	margin := p.OutputMarginAlone
+	margin := p.UncoordinatedOutputMargin
 	if assigned {
 		margin = p.OutputMargin
 	}
