--- a/gateway/enginewaits.go
+++ b/gateway/enginewaits.go
@@ -43,7 +43,7 @@
 	case x.isLate():
 		return x.route.Objective - x.since()
 	default:
-		return time.Duration(x.handler.options.Policy.AloneWait*float64(x.route.Objective)) - x.since()
+		return time.Duration(x.handler.options.Policy.UncoordinatedWait*float64(x.route.Objective)) - x.since()
 	}
 }
 
--- a/gateway/policy.go
+++ b/gateway/policy.go
@@ -22,9 +22,9 @@
 	// it may wait while others go first; a second refusal helps it no more. Default 0.75: the
 	// rest is for reading its prompt.
 	RetryWait float64
-	// AloneWait is how long a first attempt waits for memory without a coordinator, as a share
+	// UncoordinatedWait is how long a first attempt waits for memory without a coordinator, as a share
 	// of the objective. Default 0.2: nobody knows then whether there will be any.
-	AloneWait float64
+	UncoordinatedWait float64
 	// ReservationLifetime is how long memory stays reserved until the answer
 	// begins. Default 1.5s.
 	ReservationLifetime time.Duration
@@ -48,7 +48,7 @@
 	p.OutputMargin = cmp.Or(p.OutputMargin, defaultOutputMargin)
 	p.UncoordinatedOutputMargin = cmp.Or(p.UncoordinatedOutputMargin, defaultOutputMarginAlone)
 	p.RetryWait = cmp.Or(p.RetryWait, defaultRetryWait)
-	p.AloneWait = cmp.Or(p.AloneWait, defaultAloneWait)
+	p.UncoordinatedWait = cmp.Or(p.UncoordinatedWait, defaultAloneWait)
 	p.ReservationLifetime = cmp.Or(p.ReservationLifetime, defaultReservationLifetime)
 	p.ShortestRetryAfter = cmp.Or(p.ShortestRetryAfter, defaultShortestRetryAfter)
 	p.LongestRetryAfter = cmp.Or(p.LongestRetryAfter, defaultLongestRetryAfter)
