--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -31,7 +31,7 @@
 	// ReasonRetryBudget is that of a request that would have to be sent once more than its service's retry
 	// budget allows.
 	ReasonRetryBudget    Reason = "retry_budget"
-	ReasonNoRoom         Reason = "no_room"
+	ReasonNoCapacity     Reason = "no_room"
 	ReasonPrefillFailed  Reason = "prefill_failed"
 	ReasonBackendRefused Reason = "backend_refused"
 	// ReasonBackendLeft is that of an engine that left while the prompt was being read.
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -174,7 +174,7 @@
 
 // noRoom is the refusal of a request for which no capacity is free.
 func (x *exchange) noRoom(expected time.Duration) error {
-	return notRun(ReasonNoRoom, x.handler.options.Policy.retryAfter(expected), nil)
+	return notRun(ReasonNoCapacity, x.handler.options.Policy.retryAfter(expected), nil)
 }
 
 // reserveAlone asks all engines for memory, without a coordinator.
