--- a/engine/dialect/dialect.go
+++ b/engine/dialect/dialect.go
@@ -88,7 +88,7 @@
 	if err != nil || wait < 0 {
 		return request, errors.Newf("%s: %q is not a number of milliseconds", HeaderWait, text)
 	}
-	request.Wait = time.Duration(wait) * time.Millisecond
+	request.Timeout = time.Duration(wait) * time.Millisecond
 	return request, nil
 }
 
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -224,11 +224,11 @@
 		return err
 	}
 	timeout := x.route.Timeout
-	if x.request.Wait > 0 && x.request.Wait < timeout {
-		timeout = x.request.Wait
+	if x.request.Timeout > 0 && x.request.Timeout < timeout {
+		timeout = x.request.Timeout
 	}
 	x.deadline = x.arrived.Add(timeout)
-	x.retry = h.waits.observe(x.route, x.request.Wait)
+	x.retry = h.waits.observe(x.route, x.request.Timeout)
 	ctx, cancel := context.WithTimeout(r.Context(), x.left())
 	defer cancel()
 	x.service = x.route.Target(rand.Float64())
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -27,7 +27,7 @@
 		"age_ms", x.retry.age.Milliseconds(), "full_deadlines", x.retry.fullShare, "took_ms", took.Milliseconds(),
 	}
 	if x.request != nil {
-		attributes = append(attributes, "request", x.request.ID, "wait_ms", x.request.Wait.Milliseconds())
+		attributes = append(attributes, "request", x.request.ID, "wait_ms", x.request.Timeout.Milliseconds())
 	}
 	if x.route != nil {
 		attributes = append(attributes, "route", x.route.Name)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -22,9 +22,9 @@
 	// Tenant is the name of the caller's tenant, for back ends; empty where there is none.
 	Tenant string
 	Body   []byte
-	// Wait is how long the caller waits, counted from the request's arrival; zero
+	// Timeout is how long the caller waits, counted from the request's arrival; zero
 	// if it did not say.
-	Wait time.Duration
+	Timeout time.Duration
 	// Generation is what is asked of an engine; zero for other requests.
 	Generation Generation
 }
