--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -72,7 +72,7 @@
 		Metrics: metrics.NewSet(), Logger: slog.New(slog.DiscardHandler),
 	})
 	route := &routing.Route{
-		Name: "r", Host: "h", PathPrefix: "/", Kind: routing.KindRepeatable, Timeout: time.Second, Objective: 300 * time.Millisecond,
+		Name: "r", Host: "h", PathPrefix: "/", Kind: routing.KindIdempotent, Timeout: time.Second, Objective: 300 * time.Millisecond,
 		Targets: []routing.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2,
 	}
 	handler.Configure(routing.New(1, []*routing.Route{route}, []*routing.Service{{Name: "s"}}, routing.Limits{MaxBodyBytes: 1000}))
--- a/routing/route.go
+++ b/routing/route.go
@@ -7,8 +7,8 @@
 
 // The kinds of a route.
 const (
-	// KindRepeatable may run more than once.
-	KindRepeatable Kind = "repeatable"
+	// KindIdempotent may run more than once.
+	KindIdempotent Kind = "repeatable"
 	// KindOnce may run at most once for each attempt of a caller.
 	KindOnce Kind = "once"
 	// KindStream answers with events and may run at most once, unless it is
@@ -54,7 +54,7 @@
 
 // Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool {
-	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resumable
+	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
 // Target picks the service of a request. The draw is a number from 0 up to,
