--- a/routing/route.go
+++ b/routing/route.go
@@ -9,8 +9,8 @@
 const (
 	// KindIdempotent may run more than once.
 	KindIdempotent Kind = "repeatable"
-	// KindOnce may run at most once for each attempt of a caller.
-	KindOnce Kind = "once"
+	// KindNonIdempotent may run at most once for each attempt of a caller.
+	KindNonIdempotent Kind = "once"
 	// KindStream answers with events and may run at most once, unless it is
 	// resumable.
 	KindStream Kind = "stream"
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -54,7 +54,7 @@
 func TestIdempotentRoutes(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect((&routing.Route{Kind: routing.KindIdempotent}).Idempotent()).To(BeTrue())
-	g.Expect((&routing.Route{Kind: routing.KindOnce, Resumable: true}).Idempotent()).To(BeFalse())
+	g.Expect((&routing.Route{Kind: routing.KindNonIdempotent, Resumable: true}).Idempotent()).To(BeFalse())
 	g.Expect((&routing.Route{Kind: routing.KindStream}).Idempotent()).To(BeFalse())
 	g.Expect((&routing.Route{Kind: routing.KindStream, Resumable: true}).Idempotent()).To(BeTrue())
 }
