--- a/gateway/enginewaits.go
+++ b/gateway/enginewaits.go
@@ -17,7 +17,7 @@
 	if !x.isLate() {
 		return x.route.Objective - x.since()
 	}
-	patience := cmp.Or(x.route.Patience, x.route.Objective)
+	patience := cmp.Or(x.route.CallerEventTimeout, x.route.Objective)
 	wait := time.Duration(x.handler.options.Policy.RetryWait * float64(patience))
 	if !x.answered {
 		// The caller of a broken stream has heard of it until now.
--- a/gateway/waits_test.go
+++ b/gateway/waits_test.go
@@ -17,7 +17,7 @@
 	g := NewWithT(t)
 	handler := &Handler{}
 	handler.options.Policy.setDefaults()
-	route := &routing.Route{Objective: 900 * time.Millisecond, Patience: 3600 * time.Millisecond}
+	route := &routing.Route{Objective: 900 * time.Millisecond, CallerEventTimeout: 3600 * time.Millisecond}
 	after := func(elapsed time.Duration, answered bool) *exchange {
 		now := time.Now()
 		return &exchange{handler: handler, route: route, arrived: now.Add(-elapsed), deadline: now.Add(10 * time.Second), answered: answered}
--- a/routing/route.go
+++ b/routing/route.go
@@ -37,9 +37,9 @@
 	Objective time.Duration
 	// MaxPause is the longest pause between events of a stream that is in time.
 	MaxPause time.Duration
-	// Patience is how long a caller waits for the first event of a stream, or for the next one,
+	// CallerEventTimeout is how long a caller waits for the first event of a stream, or for the next one,
 	// before it leaves; zero where that is not known.
-	Patience time.Duration
+	CallerEventTimeout time.Duration
 	// Priority is the rank of the route; 0 is the highest.
 	Priority int
 	// Targets share the requests by weight.
