--- a/engine/dialect/dialect_test.go
+++ b/engine/dialect/dialect_test.go
@@ -89,7 +89,7 @@
 	return routing.New(1, []*routing.Route{
 		route("/plan/", "engines", routing.KindStream), route("/app/", "plain", routing.KindIdempotent),
 	}, []*routing.Service{
-		{Name: "engines", Engine: &routing.EngineProfile{Slots: 4, MemoryTokens: memory, HoldLimit: time.Minute, EventTokens: 1}}, {Name: "plain"},
+		{Name: "engines", Engine: &routing.EngineProfile{Slots: 4, MemoryTokens: memory, MaxReservationTime: time.Minute, EventTokens: 1}}, {Name: "plain"},
 	}, routing.Limits{MaxBodyBytes: 1 << 20})
 }
 
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -213,7 +213,7 @@
 func (x *exchange) reserveAt(ctx context.Context, entry *backend.Entry, profile *routing.EngineProfile, size reservationSize) (*Reservation, coordinator.Refusal, error) {
 	policy := &x.handler.options.Policy
 	tokens := min(policy.reservedTokens(x.request.Generation, size.assigned), profile.MemoryTokens)
-	lasting := min(max(policy.ReservationLifetime, prefillLimit(size.promptReady)), profile.HoldLimit)
+	lasting := min(max(policy.ReservationLifetime, prefillLimit(size.promptReady)), profile.MaxReservationTime)
 	callContext, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	reservation, err := x.handler.options.Dialect.Reserve(callContext, entry.Backend(), tokens, lasting)
--- a/routing/configuration.go
+++ b/routing/configuration.go
@@ -13,8 +13,8 @@
 	Slots int
 	// MemoryTokens is how many tokens the memory of an engine holds.
 	MemoryTokens int
-	// HoldLimit is the longest time for which memory may be reserved.
-	HoldLimit time.Duration
+	// MaxReservationTime is the longest time for which memory may be reserved.
+	MaxReservationTime time.Duration
 	// EventTokens is the largest number of tokens in one event of a stream.
 	EventTokens int
 	// RoleChange is how long an engine takes to change its role, once idle.
