--- a/routing/configuration.go
+++ b/routing/configuration.go
@@ -17,8 +17,8 @@
 	MaxReservationTime time.Duration
 	// EventTokens is the largest number of tokens in one event of a stream.
 	EventTokens int
-	// RoleChange is how long an engine takes to change its role, once idle.
-	RoleChange time.Duration
+	// RoleChangeTime is how long an engine takes to change its role, once idle.
+	RoleChangeTime time.Duration
 }
 
 // Service is a set of back ends that are alike.
