--- a/completion/service.go
+++ b/completion/service.go
@@ -118,8 +118,8 @@
 	s.reconcileDirectory()
 }
 
-// Held returns the number of grants that the node holds.
-func (s *Service) Held() int { return s.grants.count() }
+// HeldGrants returns the number of grants that the node holds.
+func (s *Service) HeldGrants() int { return s.grants.count() }
 
 // WaitCancels returns when every cancellation has been acknowledged or given up.
 func (s *Service) WaitCancels() { s.cancels.wait() }
--- a/node/core.go
+++ b/node/core.go
@@ -244,7 +244,7 @@
 	self := c.Table.Self()
 	return json.Marshal(status{
 		Node: self, State: self.State.String(), Version: c.Configuration.Current().Version(),
-		Live: len(c.Cluster.Live()), Pools: c.Owner.Status(), Grants: c.Completions.Held(), Advice: c.roleChanges.Advice(), Metrics: json.RawMessage(c.Metrics.String()),
+		Live: len(c.Cluster.Live()), Pools: c.Owner.Status(), Grants: c.Completions.HeldGrants(), Advice: c.roleChanges.Advice(), Metrics: json.RawMessage(c.Metrics.String()),
 	})
 }
 
