--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -20,7 +20,7 @@
 	"github.com/reelrun/reelrun/routing"
 )
 
-// countingDialect answers each request and counts them by their back ends.
+// countingDialect answers each request and counts them by their backends.
 type countingDialect struct {
 	parser
 	sent map[string]int
@@ -31,11 +31,11 @@
 	return &gateway.Answer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x"))}, nil
 }
 
-// repeatsAtOnce is how many second sends a service may have beside the ratio once its budget has grown.
-const repeatsAtOnce = 100
+// retryBurst is how many retries a service may have beyond the ratio once its budget has grown.
+const retryBurst = 100
 
 // grownBudgetClock returns a clock by which a window has passed since its first reading, so that a budget
-// has all repeats that it may have.
+// has reached its full size.
 func grownBudgetClock() func() time.Time {
 	read := false
 	return func() time.Time {
@@ -47,7 +47,7 @@
 	}
 }
 
-// twoBackends returns a registry with the back ends a and b of one plain service.
+// twoBackends returns a registry with the backends a and b of one plain service.
 func twoBackends() *backend.Registry {
 	backends := backend.NewRegistry(time.Now)
 	for _, id := range []string{"a", "b"} {
@@ -57,17 +57,17 @@
 	return backends
 }
 
-// newPlainHandler returns a handler of one plain service with two back ends.
+// newPlainHandler returns a handler for one plain service with two backends.
 func newPlainHandler(dialect gateway.Dialect, decisions *admission.Node) *gateway.Handler {
 	return newPlainHandlerOf(twoBackends(), dialect, decisions)
 }
 
-// newPlainHandlerOf returns a handler of the plain service of a registry.
+// newPlainHandlerOf returns a handler for the plain service of a registry.
 func newPlainHandlerOf(backends *backend.Registry, dialect gateway.Dialect, decisions *admission.Node) *gateway.Handler {
 	handler := gateway.New(gateway.Options{
 		Dialect: dialect, Backends: backends, Admission: decisions,
 		Budget: retrybudget.New(retrybudget.Options{
-			Window: time.Second, Now: grownBudgetClock(), Burst: func() float64 { return repeatsAtOnce },
+			Window: time.Second, Now: grownBudgetClock(), Burst: func() float64 { return retryBurst },
 		}),
 		Metrics: metrics.NewSet(), Logger: slog.New(slog.DiscardHandler),
 	})
@@ -79,30 +79,30 @@
 	return handler
 }
 
-// TestOverloadIsRefusedBeforeABackEndIsAsked refuses by the plan, says when to come back, and
-// sends nothing.
-func TestOverloadIsRefusedBeforeABackEndIsAsked(t *testing.T) {
+// TestOverloadIsRejectedBeforeSending checks that a request beyond the plan is rejected with a Retry-After,
+// and that nothing is sent.
+func TestOverloadIsRejectedBeforeSending(t *testing.T) {
 	g := NewWithT(t)
 	dialect := countingDialect{sent: map[string]int{}}
 	decisions := admission.NewNode("n", func() time.Duration { return 0 })
 	handler := newPlainHandler(dialect, decisions)
-	ask := func() *httptest.ResponseRecorder {
+	sendRequest := func() *httptest.ResponseRecorder {
 		answer := httptest.NewRecorder()
 		handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "http://h/x", nil))
 		return answer
 	}
-	g.Expect(ask().Code).To(Equal(http.StatusOK))
+	g.Expect(sendRequest().Code).To(Equal(http.StatusOK))
 	decisions.Put("s", admission.Plan{RetryAfter: 2 * time.Second, Interval: time.Second})
-	refused := ask()
+	refused := sendRequest()
 	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(refused.Header().Get("Retry-After")).NotTo(BeEmpty())
 	g.Expect(refused.Body.String()).To(HavePrefix(string(gateway.ReasonOverloaded)))
 	g.Expect(dialect.sent["a"] + dialect.sent["b"]).To(Equal(1))
 }
 
-// TestPlansWeighBackEnds sends almost nothing to a back end that the plan of all nodes avoids,
-// though this node has seen no failure there.
-func TestPlansWeighBackEnds(t *testing.T) {
+// TestPlanWeightsBackends checks that almost nothing is sent to a backend that the plan of all nodes
+// avoids, although this node has seen no failure there.
+func TestPlanWeightsBackends(t *testing.T) {
 	g := NewWithT(t)
 	dialect := countingDialect{sent: map[string]int{}}
 	decisions := admission.NewNode("n", func() time.Duration { return 0 })
--- a/gateway/arrivals.go
+++ b/gateway/arrivals.go
@@ -1,31 +1,32 @@
 package gateway
 
-// arrivals counts the calls of one request that have reached back ends, or may have.
+// arrivals counts the calls of one request that have reached backends, or may have.
 type arrivals struct {
-	// prompts are those that had its prompt read, runs all others, taken up or not.
-	prompts, runs int
-	// promptRead is set once an engine has read the prompt.
-	promptRead bool
+	// prefills are the calls that had the prompt prefilled, runs all others, accepted or rejected.
+	prefills, runs int
+	// prefilled is set once an engine has prefilled the prompt.
+	prefilled bool
 }
 
-// beyondFirst returns how many of them count as repeats. The first prompt that an engine takes up belongs
-// to the first run. One that was rejected, or whose outcome is unknown, is an arrival like any other.
-func (a arrivals) beyondFirst() int {
-	counted := a.prompts + a.runs
-	if a.promptRead {
-		counted--
+// upstreamRetries returns how many of the calls count as upstream retries. The first prefill that an engine
+// accepts belongs to the first run. A prefill that was rejected, or whose outcome is unknown, counts like
+// any other call.
+func (a arrivals) upstreamRetries() int {
+	calls := a.prefills + a.runs
+	if a.prefilled {
+		calls--
 	}
-	return max(0, counted-1)
+	return max(0, calls-1)
 }
 
-// withRun returns the counts once one more call that runs the request has arrived.
+// withRun returns the counts after one more call that runs the request.
 func (a arrivals) withRun() arrivals {
 	a.runs++
 	return a
 }
 
-// withPrompt returns the counts once the prompt has arrived once more, read or not.
-func (a arrivals) withPrompt() arrivals {
-	a.prompts++
+// withPrefill returns the counts after one more prefill call, accepted or not.
+func (a arrivals) withPrefill() arrivals {
+	a.prefills++
 	return a
 }
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -16,45 +16,46 @@
 	"github.com/reelrun/reelrun/gateway"
 )
 
-// failingDialect answers each request with a failure of the back end's own.
+// failingDialect answers each request with a failure of the backend's own.
 type failingDialect struct{ parser }
 
 func (failingDialect) Send(context.Context, backend.Backend, *gateway.Request, time.Duration) (*gateway.Answer, error) {
 	return &gateway.Answer{Status: http.StatusInternalServerError, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("own words"))}, nil
 }
 
-func askOnce(handler http.Handler) *httptest.ResponseRecorder {
+func sendOnce(handler http.Handler) *httptest.ResponseRecorder {
 	answer := httptest.NewRecorder()
 	handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "http://h/x", nil))
 	return answer
 }
 
-// TestTheLastAnswerIsPassedOnWhereTheOthersAskedForBackoff has one back end fail while the other one is in backoff. Its
-// answer was dropped in favour of a second try for which there was no back end.
-func TestTheLastAnswerIsPassedOnWhereTheOthersAskedForBackoff(t *testing.T) {
+// TestLastAnswerIsReturnedWhenOthersAreInBackoff has one backend fail while the other one is in backoff.
+// Its answer used to be dropped in favor of a second attempt for which there was no backend.
+func TestLastAnswerIsReturnedWhenOthersAreInBackoff(t *testing.T) {
 	g := NewWithT(t)
 	backends := twoBackends()
 	decisions := admission.NewNode("n", func() time.Duration { return 0 })
 	handler := newPlainHandlerOf(backends, failingDialect{}, decisions)
 	backends.Heard(backend.Backend{ID: "b"}, backend.Notice{Backoff: time.Minute})
-	got := askOnce(handler)
+	got := sendOnce(handler)
 	g.Expect(got.Code).To(Equal(http.StatusInternalServerError))
 	g.Expect(got.Body.String()).To(Equal("own words"))
 }
 
-// TestABackEndThatAskedForBackoffGetsNothing sends all requests to the other one, and refuses them while both want backoff.
-func TestABackEndThatAskedForBackoffGetsNothing(t *testing.T) {
+// TestBackendInBackoffGetsNoRequests checks that all requests are sent to the other backend, and are
+// rejected while both are in backoff.
+func TestBackendInBackoffGetsNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	backends := twoBackends()
 	dialect := countingDialect{sent: map[string]int{}}
 	handler := newPlainHandlerOf(backends, dialect, admission.NewNode("n", func() time.Duration { return 0 }))
 	backends.Heard(backend.Backend{ID: "b"}, backend.Notice{Backoff: time.Minute})
 	for range 50 {
-		g.Expect(askOnce(handler).Code).To(Equal(http.StatusOK))
+		g.Expect(sendOnce(handler).Code).To(Equal(http.StatusOK))
 	}
 	g.Expect(dialect.sent).To(Equal(map[string]int{"a": 50}))
 	backends.Heard(backend.Backend{ID: "a"}, backend.Notice{Backoff: time.Second})
-	refused := askOnce(handler)
+	refused := sendOnce(handler)
 	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(refused.Body.String()).To(HavePrefix(string(gateway.ReasonBackoff)))
 	g.Expect(refused.Header().Get("Retry-After")).To(Or(HavePrefix("0.9"), HavePrefix("1.")), "when the first of them is back")
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -8,45 +8,45 @@
 )
 
 const (
-	// choiceSize is among how many back ends of a service a request chooses, and nearChoiceSize how many
-	// of its node's zone are drawn besides. A service of no more has all of them looked at.
-	choiceSize     = 32
-	nearChoiceSize = 16
+	// sampleSize is how many backends of a service are sampled for a request, and zoneSampleSize how many
+	// of the node's own zone are sampled in addition. A service with no more than that is examined whole.
+	sampleSize     = 32
+	zoneSampleSize = 16
 )
 
-// pick chooses a back end of a service among those that were not tried and are not in backoff, or nil. It
-// looks at a few that are drawn by chance, and at all where none of these can take the request.
-func (h *Handler) pick(service string, role backend.Role, tried map[string]bool) *backend.Entry {
-	wanted := backend.Wanted{Service: service, Role: role, Count: choiceSize}
-	drawn, isAll := h.options.Backends.Sample(wanted, rand.IntN)
-	if isAll {
-		return h.choose(service, drawn, nil, tried)
+// pick chooses a backend of a service, or returns nil. Backends that were attempted and those in backoff
+// are excluded. It examines a random sample, and all backends if none in the sample can take the request.
+func (h *Handler) pick(service string, role backend.Role, attempted map[string]bool) *backend.Entry {
+	wanted := backend.Wanted{Service: service, Role: role, Count: sampleSize}
+	drawn, complete := h.options.Backends.Sample(wanted, rand.IntN)
+	if complete {
+		return h.choose(service, drawn, nil, attempted)
 	}
-	wanted.Zone, wanted.Count = h.options.Zone, nearChoiceSize
-	near, _ := h.options.Backends.Sample(wanted, rand.IntN)
-	if chosen := h.choose(service, drawn, near, tried); chosen != nil {
+	wanted.Zone, wanted.Count = h.options.Zone, zoneSampleSize
+	zoneLocal, _ := h.options.Backends.Sample(wanted, rand.IntN)
+	if chosen := h.choose(service, drawn, zoneLocal, attempted); chosen != nil {
 		return chosen
 	}
-	return h.choose(service, h.options.Backends.Ready(service, role), nil, tried)
+	return h.choose(service, h.options.Backends.Ready(service, role), nil, attempted)
 }
 
-// choose chooses among some back ends, and others that were drawn because they are near.
-func (h *Handler) choose(service string, drawn, near []*backend.Entry, tried map[string]bool) *backend.Entry {
-	entries := make([]*backend.Entry, 0, len(drawn)+len(near))
-	candidates := make([]admission.Candidate, 0, len(drawn)+len(near))
-	add := func(entry *backend.Entry, onlyNear bool) {
-		if tried[entry.ID()] || entry.BackoffLeft() > 0 || !h.options.Assignable(entry) {
+// choose chooses among sampled backends, and others that were sampled for being in the node's zone.
+func (h *Handler) choose(service string, drawn, zoneLocal []*backend.Entry, attempted map[string]bool) *backend.Entry {
+	entries := make([]*backend.Entry, 0, len(drawn)+len(zoneLocal))
+	candidates := make([]admission.Candidate, 0, len(drawn)+len(zoneLocal))
+	add := func(entry *backend.Entry, zoneOnly bool) {
+		if attempted[entry.ID()] || entry.BackoffLeft() > 0 || !h.options.Assignable(entry) {
 			return
 		}
 		candidate := h.candidate(entry)
-		candidate.OnlyNear = onlyNear
+		candidate.OnlyNear = zoneOnly
 		entries = append(entries, entry)
 		candidates = append(candidates, candidate)
 	}
 	for _, entry := range drawn {
 		add(entry, false)
 	}
-	for _, entry := range near {
+	for _, entry := range zoneLocal {
 		add(entry, true)
 	}
 	if len(entries) == 0 {
@@ -55,7 +55,7 @@
 	return entries[h.options.Admission.Choose(service, candidates)]
 }
 
-// candidate describes a back end as this node sees it.
+// candidate describes a backend from this node's view.
 func (h *Handler) candidate(entry *backend.Entry) admission.Candidate {
 	described := entry.Backend()
 	return admission.Candidate{
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -11,11 +11,11 @@
 	"github.com/reelrun/reelrun/backend"
 )
 
-// BenchmarkPick chooses among the back ends of a large plain service.
+// BenchmarkPick measures a pick among the backends of a large plain service.
 func BenchmarkPick(b *testing.B) {
-	for _, many := range []int{1350, 10_000, 20_000} {
-		b.Run(fmt.Sprintf("backends=%d", many), func(b *testing.B) {
-			handler := newChoosing(many)
+	for _, count := range []int{1350, 10_000, 20_000} {
+		b.Run(fmt.Sprintf("backends=%d", count), func(b *testing.B) {
+			handler := newPickHandler(count)
 			b.ReportAllocs()
 			for b.Loop() {
 				if handler.pick("s", backend.RoleNone, nil) == nil {
@@ -26,27 +26,28 @@
 	}
 }
 
-// TestAChoiceCostsTheSameAmongMany counts what a choice allocates among 10,000 and 20,000 back ends.
-func TestAChoiceCostsTheSameAmongMany(t *testing.T) {
+// TestPickAllocationsDoNotGrowWithBackends compares the allocations of a pick among 10,000 and 20,000
+// backends with those among 200.
+func TestPickAllocationsDoNotGrowWithBackends(t *testing.T) {
 	g := NewWithT(t)
-	allocations := func(many int) float64 {
-		handler := newChoosing(many)
+	allocations := func(count int) float64 {
+		handler := newPickHandler(count)
 		return testing.AllocsPerRun(100, func() { handler.pick("s", backend.RoleNone, nil) })
 	}
 	g.Expect(allocations(10_000)).To(BeNumerically("<=", allocations(200)))
 	g.Expect(allocations(20_000)).To(BeNumerically("<=", allocations(200)))
 }
 
-// TestChoicesSpreadOverAllBackEnds has nodes of five zones choose as often as there are requests in minutes:
-// each back end gets about as many, whether nodes stay in their zones or these are full.
-func TestChoicesSpreadOverAllBackEnds(t *testing.T) {
+// TestPicksCoverAllBackends has nodes of five zones pick as often as there are requests in minutes: each
+// backend gets about as many, whether nodes stay in their zones or these are full.
+func TestPicksCoverAllBackends(t *testing.T) {
 	const (
 		backends = 1350
 		choices  = 40_000
 	)
 	counts := map[string]int{}
 	for _, zone := range []string{"a", "b", "c", "d", "e"} {
-		handler := newChoosing(backends)
+		handler := newPickHandler(backends)
 		handler.options.Zone = zone
 		for range choices / 5 {
 			counts[handler.pick("s", backend.RoleNone, nil).ID()]++
@@ -61,24 +62,25 @@
 	g.Expect(most).To(BeNumerically("<", 2*choices/backends+10))
 }
 
-// TestAllAreLookedAtWhereTheFewCannot has all but one of many back ends tried before.
-func TestAllAreLookedAtWhereTheFewCannot(t *testing.T) {
+// TestPickFallsBackToAllBackends excludes all but one of many backends as attempted.
+func TestPickFallsBackToAllBackends(t *testing.T) {
 	g := NewWithT(t)
-	handler := newChoosing(500)
-	tried := map[string]bool{}
+	handler := newPickHandler(500)
+	attempted := map[string]bool{}
 	for _, entry := range handler.options.Backends.Ready("s", backend.RoleNone) {
-		tried[entry.ID()] = true
+		attempted[entry.ID()] = true
 	}
-	delete(tried, "server-00123")
-	g.Expect(handler.pick("s", backend.RoleNone, tried).ID()).To(Equal("server-00123"))
-	tried["server-00123"] = true
-	g.Expect(handler.pick("s", backend.RoleNone, tried)).To(BeNil())
+	delete(attempted, "server-00123")
+	g.Expect(handler.pick("s", backend.RoleNone, attempted).ID()).To(Equal("server-00123"))
+	attempted["server-00123"] = true
+	g.Expect(handler.pick("s", backend.RoleNone, attempted)).To(BeNil())
 }
 
-// newChoosing returns a handler of a node in zone a before so many plain back ends in five zones.
-func newChoosing(many int) *Handler {
+// newPickHandler returns a handler of a node in zone a with the given number of plain backends in five
+// zones.
+func newPickHandler(count int) *Handler {
 	backends := backend.NewRegistry(time.Now)
-	for number := range many {
+	for number := range count {
 		backends.Update(backend.Backend{
 			ID: fmt.Sprintf("server-%05d", number), Service: "s", State: backend.StateReady, Slots: 6, Zone: string(rune('a' + number%5)),
 		})
--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -8,14 +8,14 @@
 // RouteCounts are the requests of one route that have ended since the last report.
 type RouteCounts struct {
 	Route string
-	// First counts first attempts: callers that had not asked before.
-	First int
-	// InTime counts answers within the objective, counted from the first attempt, without a
-	// pause above the limit. Late counts the other answers.
+	// FirstAttempts counts the requests that are not client retries.
+	FirstAttempts int
+	// InTime counts answers within the objective, measured from the first attempt, without a pause above
+	// the limit. Late counts the other answers.
 	InTime, Late int
-	// Refused counts requests that have certainly not run; Failed those without an answer that
-	// may have run, or whose back end failed; Left those whose caller left.
-	Refused, Failed, Left int
+	// Refused counts requests that have certainly not run; Failed those without an answer that may have
+	// run, or whose backend failed; Disconnected those whose caller disconnected.
+	Refused, Failed, Disconnected int
 }
 
 // routeCounters counts how requests end, by route. It is safe for concurrent use.
@@ -39,32 +39,32 @@
 		counts = &RouteCounts{Route: x.route.Name}
 		c.byRoute[x.route.Name] = counts
 	}
-	if !x.isRetry() {
-		counts.First++
+	if !x.isClientRetry() {
+		counts.FirstAttempts++
 	}
 	change(counts)
 }
 
-// take returns the counts since the last call, by route.
+// take returns the counts since the last call, sorted by route.
 func (c *routeCounters) take() []RouteCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var taken []RouteCounts
+	var snapshot []RouteCounts
 	for _, counts := range c.byRoute {
-		taken = append(taken, *counts)
+		snapshot = append(snapshot, *counts)
 	}
 	c.byRoute = nil
-	sort.Slice(taken, func(i, j int) bool { return taken[i].Route < taken[j].Route })
-	return taken
+	sort.Slice(snapshot, func(i, j int) bool { return snapshot[i].Route < snapshot[j].Route })
+	return snapshot
 }
 
-// countFailure counts a request that got the gateway's own answer.
+// countFailure counts a request that the gateway answered itself.
 func (h *Handler) countFailure(x *exchange, final *failure) {
 	h.countTenantFailure(x, final)
 	h.counters.add(x, func(counts *RouteCounts) {
 		switch {
 		case final.reason == ReasonCallerLeft:
-			counts.Left++
+			counts.Disconnected++
 		case final.retryAfter > 0:
 			counts.Refused++
 		default:
@@ -73,69 +73,69 @@
 	})
 }
 
-// repeatCounts are the requests of one service that have ended since the last report.
-type repeatCounts struct {
+// retryCounts are the requests of one service that have ended since the last report.
+type retryCounts struct {
 	requests int
-	// beyondFirst are their arrivals at back ends beyond the first of each.
-	beyondFirst int
+	// upstreamRetries are their calls to backends that count as retries.
+	upstreamRetries int
 }
 
-// repeatCounters counts by service. It is safe for concurrent use.
-type repeatCounters struct {
+// retryCounters counts requests and upstream retries by service. It is safe for concurrent use.
+type retryCounters struct {
 	mu        sync.Mutex
-	byService map[string]repeatCounts
+	byService map[string]retryCounts
 }
 
-// add counts a request with its arrivals beyond the first.
-func (c *repeatCounters) add(service string, beyondFirst int) {
+// add counts a request with its upstream retries.
+func (c *retryCounters) add(service string, upstreamRetries int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.byService == nil {
-		c.byService = map[string]repeatCounts{}
+		c.byService = map[string]retryCounts{}
 	}
 	counts := c.byService[service]
 	counts.requests++
-	counts.beyondFirst += beyondFirst
+	counts.upstreamRetries += upstreamRetries
 	c.byService[service] = counts
 }
 
 // take returns the counts since the last call.
-func (c *repeatCounters) take() map[string]repeatCounts {
+func (c *retryCounters) take() map[string]retryCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	taken := c.byService
+	snapshot := c.byService
 	c.byService = nil
-	return taken
+	return snapshot
 }
 
-// countArrivals counts what a request that has ended has sent to back ends.
+// countArrivals counts the upstream retries of a request that has ended.
 func (h *Handler) countArrivals(x *exchange) {
 	if x.service == "" {
 		return
 	}
-	beyond := x.arrivals.beyondFirst()
-	h.repeatCounters.add(x.service, beyond)
-	h.options.Metrics.Add("arrivals_beyond_first", int64(beyond))
+	retries := x.arrivals.upstreamRetries()
+	h.retryCounters.add(x.service, retries)
+	h.options.Metrics.Add("arrivals_beyond_first", int64(retries))
 }
 
-// logRepeats writes a line for each service whose requests reached back ends more than once, or were not
-// allowed to, since the last call: what was sent and what the budget counted for it.
-func (h *Handler) logRepeats() {
-	sent := h.repeatCounters.take()
-	for _, spent := range h.options.Budget.Report() {
-		counts := sent[spent.Service]
-		h.options.Logger.Info("repeats", "service", spent.Service, "requests", counts.requests, "beyond_first", counts.beyondFirst,
-			"granted", spent.Granted, "refused", spent.Refused, "window_requests", spent.Requests, "window_repeats", spent.Repeats,
-			"left", spent.Left, "burst", spent.Burst)
+// logUpstreamRetries writes a line for each service that had upstream retries, or was denied them by the
+// clientRetry budget, since the last call: what was sent and what the budget counted for it.
+func (h *Handler) logUpstreamRetries() {
+	sent := h.retryCounters.take()
+	for _, report := range h.options.Budget.Report() {
+		counts := sent[report.Service]
+		h.options.Logger.Info("repeats", "service", report.Service, "requests", counts.requests, "beyond_first", counts.upstreamRetries,
+			"granted", report.Granted, "refused", report.Refused, "window_requests", report.Requests, "window_repeats", report.Repeats,
+			"left", report.Left, "burst", report.Burst)
 	}
 }
 
-// LogCounts writes a line for each route that had requests since the last call: what is
-// answered in time costs no line of its own.
+// LogCounts writes a line for each route that had requests since the last call. Requests answered in time
+// have no line of their own.
 func (h *Handler) LogCounts() {
-	h.logRepeats()
+	h.logUpstreamRetries()
 	for _, counts := range h.counters.take() {
-		h.options.Logger.Info("requests", "route", counts.Route, "first", counts.First, "in_time", counts.InTime,
-			"late", counts.Late, "refused", counts.Refused, "failed", counts.Failed, "left", counts.Left)
+		h.options.Logger.Info("requests", "route", counts.Route, "first", counts.FirstAttempts, "in_time", counts.InTime,
+			"late", counts.Late, "refused", counts.Refused, "failed", counts.Failed, "left", counts.Disconnected)
 	}
 }
--- a/gateway/counts_test.go
+++ b/gateway/counts_test.go
@@ -9,19 +9,19 @@
 	"github.com/reelrun/reelrun/routing"
 )
 
-// TestCountsOfRoutesAreTakenOnce counts requests of two routes and one without a route.
-func TestCountsOfRoutesAreTakenOnce(t *testing.T) {
+// TestRouteCountsResetWhenTaken counts requests of two routes and one without a route.
+func TestRouteCountsResetWhenTaken(t *testing.T) {
 	g := NewWithT(t)
 	var counters routeCounters
 	first := &exchange{route: &routing.Route{Name: "b"}}
-	returning := &exchange{route: &routing.Route{Name: "b"}, retry: retryEvidence{age: time.Second}}
+	retried := &exchange{route: &routing.Route{Name: "b"}, clientRetry: clientRetryEvidence{age: time.Second}}
 	other := &exchange{route: &routing.Route{Name: "a"}}
 	counters.add(first, func(counts *RouteCounts) { counts.InTime++ })
-	counters.add(returning, func(counts *RouteCounts) { counts.Late++ })
+	counters.add(retried, func(counts *RouteCounts) { counts.Late++ })
 	counters.add(other, func(counts *RouteCounts) { counts.Refused++ })
 	counters.add(&exchange{}, func(counts *RouteCounts) { counts.Failed++ })
 	g.Expect(counters.take()).To(Equal([]RouteCounts{
-		{Route: "a", First: 1, Refused: 1}, {Route: "b", First: 1, InTime: 1, Late: 1},
+		{Route: "a", FirstAttempts: 1, Refused: 1}, {Route: "b", FirstAttempts: 1, InTime: 1, Late: 1},
 	}))
 	g.Expect(counters.take()).To(BeEmpty())
 }
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -8,12 +8,12 @@
 	"github.com/reelrun/reelrun/quarantine"
 )
 
-// endedTimeout is how long a node looks whether the back end of a broken answer has ended. A
-// connection to a living one comes up within some milliseconds; the request waits meanwhile.
-const endedTimeout = 100 * time.Millisecond
+// exitCheckTimeout bounds the check whether the backend of a broken answer has terminated. A connection to
+// a running backend opens within a few milliseconds; the request waits meanwhile.
+const exitCheckTimeout = 100 * time.Millisecond
 
-// fingerprint names the content of the request. It is worked out once, and only where something
-// has broken or is known of any request: 5 KB take 5 microseconds (quarantine.BenchmarkOf).
+// fingerprint identifies the content of the request. It is computed once, and only after a failure or while
+// crashes of any request are recorded: 5 KB take 5 microseconds (quarantine.BenchmarkOf).
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if x.content == nil {
 		fingerprint := quarantine.Of(quarantine.Content{
@@ -24,72 +24,73 @@
 	return *x.content
 }
 
-// admissible returns why a request may not be sent any more: its time is over, or it has crashed too
-// many back ends. It is asked before each send. Another node may have seen the last crash while the
-// request waited; and the timer of its context stands still while the machine is suspended, so that a
-// back end would be given more time than is left.
-func (x *exchange) admissible() error {
+// checkSendable returns why a request must not be sent any more: its deadline has passed, or it has crashed
+// too many backends. It is called before each send, because another node may have recorded the last crash
+// while the request waited, and because the timer of its context stops while the machine is suspended, so
+// that a backend would be given more time than is left.
+func (x *exchange) checkSendable() error {
 	if x.left() <= 0 {
 		return expired(context.DeadlineExceeded)
 	}
-	return x.keptAway()
+	return x.checkQuarantine()
 }
 
-// keptAway returns the refusal of a request that has crashed too many back ends.
-func (x *exchange) keptAway() error {
-	known := x.handler.options.Quarantine
-	if known == nil || known.Empty() {
+// checkQuarantine returns the rejection of a request that has crashed too many backends.
+func (x *exchange) checkQuarantine() error {
+	judge := x.handler.options.Quarantine
+	if judge == nil || judge.Empty() {
 		return nil
 	}
-	if left := known.Standing(x.fingerprint()).Quarantined; left > 0 {
+	if left := judge.Standing(x.fingerprint()).Quarantined; left > 0 {
 		return notRun(ReasonQuarantined, left, nil)
 	}
 	return nil
 }
 
-// brokeOff takes note of a back end that broke the request off, so long after it was sent there. One
-// that has ended counts against the request; a broken connection does not, nor does the end of a
-// back end that was leaving. A request that is held responsible for no crash yet goes on at once
-// meanwhile: this one cannot be the last that it may have.
-func (x *exchange) brokeOff(ctx context.Context, entry *backend.Entry, age time.Duration) {
+// reportBreak records that a backend broke the request off, age after it was sent there. A backend that has
+// terminated counts against the request; a broken connection does not, nor does the termination of a
+// backend that was leaving. If no crash is attributed to the request yet, the check runs in the background:
+// this crash cannot be the one that quarantines it.
+func (x *exchange) reportBreak(ctx context.Context, entry *backend.Entry, age time.Duration) {
 	if entry.LeavingFor() > 0 {
 		return
 	}
-	broken := brokenSend{request: x.request.ID, service: x.service, content: x.fingerprint(), backend: entry.Backend(), age: age}
-	if known := x.handler.options.Quarantine; known != nil && known.Standing(broken.content).Crashes > 0 {
-		x.handler.noteBreak(ctx, broken)
+	broken := brokenRequest{request: x.request.ID, service: x.service, content: x.fingerprint(), backend: entry.Backend(), age: age}
+	if judge := x.handler.options.Quarantine; judge != nil && judge.Standing(broken.content).Crashes > 0 {
+		x.handler.recordBreak(ctx, broken)
 		return
 	}
-	go x.handler.noteBreak(ctx, broken)
+	go x.handler.recordBreak(ctx, broken)
 }
 
-// brokenSend is a request that a back end broke off.
-type brokenSend struct {
+// brokenRequest is a request that a backend broke off.
+type brokenRequest struct {
 	request, service string
 	content          quarantine.Fingerprint
 	backend          backend.Backend
-	// age is how long after it was sent there.
+	// age is the time since the request was sent there.
 	age time.Duration
 }
 
-// noteBreak looks whether the back end has ended, and reports that.
-func (h *Handler) noteBreak(ctx context.Context, broken brokenSend) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endedTimeout)
+// recordBreak checks whether the backend has terminated and reports the crash.
+func (h *Handler) recordBreak(ctx context.Context, broken brokenRequest) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), exitCheckTimeout)
 	defer cancel()
-	var standing quarantine.Standing
+	var quarantineStatus quarantine.Standing
 	crashed := h.options.Dialect.Ended(ctx, broken.backend)
-	if known := h.options.Quarantine; crashed && known != nil {
-		standing = known.Crashed(ctx, broken.content, broken.backend.ID)
+	if judge := h.options.Quarantine; crashed && judge != nil {
+		quarantineStatus = judge.Crashed(ctx, broken.content, broken.backend.ID)
 	}
-	h.logBrokeOff(broken, crashed, standing)
+	h.logBreak(broken, crashed, quarantineStatus)
 }
 
-// ranToEnd takes note of a back end that has answered the request whole. A failure of the back end's
-// own says nothing: one that fails a share of its requests may not have begun to run it.
-func (x *exchange) ranToEnd() {
-	known := x.handler.options.Quarantine
-	if known == nil || known.Empty() {
+// recordAnswered records that a backend has answered the request completely. A failure reported by the
+// backend itself is no evidence: a backend that fails a share of its requests may not have started this
+// one.
+func (x *exchange) recordAnswered() {
+	judge := x.handler.options.Quarantine
+	if judge == nil || judge.Empty() {
 		return
 	}
-	known.Answered(x.fingerprint())
+	judge.Answered(x.fingerprint())
 }
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -11,75 +11,70 @@
 	"github.com/reelrun/reelrun/backend"
 )
 
-// ErrNotSent means that no byte of a request has left this node for the back end.
+// ErrNotSent means that no byte of a request has left this node for the backend.
 var ErrNotSent = errors.New("gateway: not sent")
 
-// ErrAnswerMismatch means that a back end answered another request than the one it
-// was sent.
+// ErrAnswerMismatch means that a backend answered another request than the one that it was sent.
 var ErrAnswerMismatch = errors.New("gateway: answer to another request")
 
-// Answer is what a back end answers. The body must be closed.
+// Answer is the response of a backend. The body must be closed.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// NotRun is set where the back end states that the request has not run and
-	// never will.
+	// NotRun is set if the backend states that the request has not run and never will.
 	NotRun bool
-	// Misdirected is set where the back end is not the one that was meant, or not in
-	// the role for the request.
+	// Misdirected is set if another backend than the intended one answered, or one whose role does not fit
+	// the request.
 	Misdirected bool
-	// Replaced is set where another incarnation answered: the expected one is gone.
+	// Replaced is set if another incarnation answered: the expected one has terminated.
 	Replaced bool
 }
 
-// Reservation is memory and a slot set aside at a decode engine.
+// Reservation is memory and a slot reserved at a decode engine.
 type Reservation struct {
 	ID string
 }
 
-// PrefillResult is a prompt that an engine has read and keeps for a short time.
+// PrefillResult is a prefilled prompt, which its engine keeps for a short time.
 type PrefillResult struct {
-	// Address is that of the engine that keeps it.
+	// Address is the address of the engine that keeps it.
 	Address string
 	Handle  string
 }
 
-// DecodeOptions say how a decode engine is to begin an answer.
+// DecodeOptions are the options of a decode call.
 type DecodeOptions struct {
-	// Prefill is the prompt read elsewhere; nil lets the engine read it itself.
+	// Prefill is the prompt prefilled at another engine; nil for local prefill.
 	Prefill *PrefillResult
-	// Reservation is memory set aside there; nil for none.
+	// Reservation is memory reserved at the engine; nil for none.
 	Reservation *Reservation
-	// LastEventID is the last event that the caller has; empty for none.
+	// LastEventID is the last event that the caller has received; empty for none.
 	LastEventID string
 }
 
-// Dialect is how callers and back ends are spoken to. Errors of its calls are
-// marked by ErrNotSent where nothing was sent; any other error leaves open
-// whether the request ran. It is safe for concurrent use.
+// Dialect is the protocol spoken with callers and backends. Errors of its calls are marked by ErrNotSent if
+// nothing was sent; any other error leaves open whether the request ran. It is safe for concurrent use.
 type Dialect interface {
-	// Parse reads the head of a caller's request. The body is read later. With an
-	// error, the request is what could be read, for the log.
+	// Parse reads the head of a caller's request. The body is read later. On an error, it returns what
+	// could be parsed of the request, for the log.
 	Parse(request *http.Request) (*Request, error)
-	// Measure reads what of a request's sizes stands in its body. It is called once the
-	// body is read, for requests to engines.
+	// Measure determines the sizes of a request that are stated in its body. It is called after the body is
+	// read, for requests to engines.
 	Measure(request *Request) error
-	// Send sends a request to a back end of a plain service. The time left is
-	// passed on.
+	// Send sends a request to a backend of a plain service, with the time left until the deadline.
 	Send(ctx context.Context, target backend.Backend, request *Request, left time.Duration) (*Answer, error)
-	// Ended reports whether the process of a back end is known to have ended: nothing listens at
-	// its address any more. It is false where that cannot be found out in time.
+	// Ended reports whether the process of a backend is known to have terminated: nothing listens at its
+	// address any more. It is false if that cannot be determined in time.
 	Ended(ctx context.Context, target backend.Backend) bool
-	// Reserve sets memory aside at a decode engine. The result is nil if the
-	// engine has no capacity.
+	// Reserve reserves memory at a decode engine. The result is nil if the engine has no capacity.
 	Reserve(ctx context.Context, target backend.Backend, tokens int, lasting time.Duration) (*Reservation, error)
-	// Release gives a reservation back.
+	// Release cancels a reservation.
 	Release(ctx context.Context, target backend.Backend, reservation Reservation) error
-	// Prefill has a prompt read. Without a result, the answer says why.
+	// Prefill has an engine prefill a prompt. Without a result, the answer says why.
 	Prefill(ctx context.Context, target backend.Backend, request *Request, left time.Duration) (*PrefillResult, *Answer, error)
 	// Discard frees a prefill result.
 	Discard(ctx context.Context, target backend.Backend, result PrefillResult) error
-	// Decode starts an answer, a stream of events.
+	// Decode starts the answer, a stream of events.
 	Decode(ctx context.Context, target backend.Backend, request *Request, left time.Duration, options DecodeOptions) (*Answer, error)
 }
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,10 +1,12 @@
-// Package gateway serves callers' requests by routes: it finds the route of a
-// request, picks back ends and sends the request on, byte for byte.
+// Package gateway serves callers' requests by routes: it matches the route of a
+// request, picks backends and proxies the request to them, byte for byte.
 //
-// A request to a plain service goes to one back end, and to another one where it
-// may run again or has certainly not run. A request to a service of engines has
-// memory reserved at a decode engine first, is then read by a prefill engine and
-// then answered by the decode engine, so that no prompt is read for nothing.
+// A request to a plain service is sent to one backend, and to another one if it
+// may run again or has certainly not run. For a request to a service of engines,
+// the gateway first reserves memory at a decode engine, then has a prefill engine
+// prefill the prompt, and then has the decode engine answer, so that no prefill
+// is wasted.
 //
-// The gateway decides; how back ends are spoken to is a Dialect's matter.
+// The gateway decides where and when to send; a Dialect implements the protocol
+// spoken with the backends.
 package gateway
--- a/gateway/enginewaits.go
+++ b/gateway/enginewaits.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// isLate reports whether the request is late whatever becomes of it: a retry, a stream that has
-// broken off, or one whose objective has passed.
+// isLate reports whether the request is late in any case: a client retry, a stream that has broken off, or
+// a request whose objective has passed.
 func (x *exchange) isLate() bool {
-	return x.isRetry() || x.answered || x.since() >= x.route.Objective
+	return x.isClientRetry() || x.answered || x.since() >= x.route.Objective
 }
 
-// coordinatedWait returns how long the request may wait for engines from now on. A first
-// attempt waits as long as it can be in time; the coordinator knows what that is.
+// coordinatedWait returns how long the request may wait for engines from now on. A first attempt waits as
+// long as it can still be in time, which the coordinator estimates.
 func (x *exchange) coordinatedWait() time.Duration {
 	if !x.isLate() {
 		return x.route.Objective - x.since()
 	}
-	patience := cmp.Or(x.route.CallerEventTimeout, x.route.Objective)
-	wait := time.Duration(x.handler.options.Policy.RetryWait * float64(patience))
+	callerTimeout := cmp.Or(x.route.CallerEventTimeout, x.route.Objective)
+	wait := time.Duration(x.handler.options.Policy.RetryWait * float64(callerTimeout))
 	if !x.answered {
-		// The caller of a broken stream has heard of it until now.
+		// The caller of a broken stream has received events until now.
 		wait -= x.since()
 	}
 	return min(wait, x.left())
 }
 
-// within returns in what time from now on the first token should come. One that is late has
-// the whole objective, so that it is not read long after others.
-func (x *exchange) within() time.Duration {
+// firstTokenBudget returns the time from now on within which the first token should arrive. A late request
+// gets the whole objective, so that its prompt is not prefilled long after others.
+func (x *exchange) firstTokenBudget() time.Duration {
 	if x.isLate() {
 		return x.route.Objective
 	}
 	return x.route.Objective - x.since()
 }
 
-// aloneWait returns how long the request may wait from now on without a coordinator.
-func (x *exchange) aloneWait() time.Duration {
+// uncoordinatedWait returns how long the request may wait from now on without a coordinator.
+func (x *exchange) uncoordinatedWait() time.Duration {
 	switch {
 	case x.answered:
 		return x.route.Objective
@@ -47,5 +47,5 @@
 	}
 }
 
-// isRetry reports whether the caller was refused before.
-func (x *exchange) isRetry() bool { return x.retry.age > retryAge }
+// isClientRetry reports whether the request is a retry by a caller that was rejected before.
+func (x *exchange) isClientRetry() bool { return x.clientRetry.age > minClientRetryAge }
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -8,21 +8,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Sizes of the reader of events.
+// Buffer sizes of the event reader.
 const (
 	eventBufferBytes = 4 << 10
 	maxEventBytes    = 1 << 20
 )
 
-// event is one server-sent event, byte for byte with its closing empty line.
+// event is one server-sent event, byte for byte, including its closing empty line.
 type event struct {
 	bytes []byte
 	// id is empty if the event has none.
 	id string
 }
 
-// errTornEvent means that a stream ended inside an event.
-var errTornEvent = errors.New("gateway: stream ends inside an event")
+// errTruncatedEvent means that a stream ended inside an event.
+var errTruncatedEvent = errors.New("gateway: stream ends inside an event")
 
 // eventReader splits a stream into whole events without changing a byte.
 type eventReader struct {
@@ -54,7 +54,7 @@
 		}
 	}
 	if atEOF && len(data) > 0 {
-		return 0, nil, errTornEvent
+		return 0, nil, errTruncatedEvent
 	}
 	return 0, nil, nil
 }
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -33,10 +33,10 @@
 	g.Expect(strings.Join(events, "")).To(Equal(stream))
 }
 
-func TestTornEventIsNotPassedOn(t *testing.T) {
+func TestTruncatedEventIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	events, _, err := readAll(bytes.NewBufferString("id: 1\ndata: a\n\nid: 2\ndat"))
-	g.Expect(err).To(MatchError(errTornEvent))
+	g.Expect(err).To(MatchError(errTruncatedEvent))
 	g.Expect(events).To(HaveLen(1))
 }
 
@@ -51,7 +51,7 @@
 		if err == nil && joined != string(stream) {
 			t.Fatal("a part was lost without an error")
 		}
-		if err != nil && !errors.Is(err, errTornEvent) && len(stream) < maxEventBytes {
+		if err != nil && !errors.Is(err, errTruncatedEvent) && len(stream) < maxEventBytes {
 			t.Fatal(err)
 		}
 	})
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -14,48 +14,48 @@
 )
 
 const (
-	// maxSends bounds the arrivals of one request at plain back ends.
+	// maxSends bounds the calls that run one request at plain backends.
 	maxSends = 3
-	// bufferedAnswerBytes is how much of an answer is read before its head is
-	// passed on, so that a broken one can be replaced.
+	// bufferedAnswerBytes is how much of an answer is read before its head is passed on, so that another
+	// backend can replace an answer that breaks off.
 	bufferedAnswerBytes = 256 << 10
-	// firstTryShare is the share of the time left that a try may take while
-	// another one is possible.
-	firstTryShare = 0.5
-	// retryNoBackend is when a caller comes back to a service without back ends.
-	retryNoBackend = 1000 * time.Millisecond
-	// retryShed is when a caller comes back after back ends were full.
-	retryShed = 400 * time.Millisecond
+	// firstAttemptShare is the share of the time left that an attempt may take while another attempt is
+	// possible.
+	firstAttemptShare = 0.5
+	// noBackendRetryAfter is the Retry-After for a service without backends.
+	noBackendRetryAfter = 1000 * time.Millisecond
+	// rejectedRetryAfter is the Retry-After once backends were full.
+	rejectedRetryAfter = 400 * time.Millisecond
 )
 
 // forward sends the request to a plain service.
 func (x *exchange) forward(ctx context.Context) error {
-	x.admission = x.handler.options.Admission.Admit(x.service, x.route.Objective, x.isRetry() || x.quota.AboveUsual)
+	x.admission = x.handler.options.Admission.Admit(x.service, x.route.Objective, x.isClientRetry() || x.quota.AboveUsual)
 	if !x.admission.Admitted {
 		return notRun(ReasonOverloaded, x.admission.RetryAfter, nil)
 	}
-	tried := map[string]bool{}
-	entry := x.handler.pick(x.service, backend.RoleNone, tried)
+	attempted := map[string]bool{}
+	entry := x.handler.pick(x.service, backend.RoleNone, attempted)
 	if entry == nil {
-		return x.allBackingOff(backend.RoleNone, notRun(ReasonNoBackend, retryNoBackend, nil))
+		return x.allBackingOff(backend.RoleNone, notRun(ReasonNoBackend, noBackendRetryAfter, nil))
 	}
 	for {
-		if err := ended(ctx); err != nil {
+		if err := contextFailure(ctx); err != nil {
 			return err
 		}
-		if err := x.admissible(); err != nil {
+		if err := x.checkSendable(); err != nil {
 			return err
 		}
-		tried[entry.Backend().ID] = true
-		answer, err := x.try(ctx, entry)
+		attempted[entry.Backend().ID] = true
+		answer, err := x.attempt(ctx, entry)
 		if err == nil {
 			return x.relay(answer)
 		}
-		// Whether there is another back end comes first: otherwise the last one's own answer would be
-		// dropped, and a repeat taken from the budget, for nothing.
-		next := x.handler.pick(x.service, backend.RoleNone, tried)
-		if next == nil || !x.mayRepeat(err) {
-			return x.final(answer, err)
+		// The check for another backend comes first: otherwise the last one's own answer would be dropped,
+		// and a retry charged to the budget, for nothing.
+		next := x.handler.pick(x.service, backend.RoleNone, attempted)
+		if next == nil || !x.mayRetry(err) {
+			return x.finalAnswer(answer, err)
 		}
 		x.handler.logRetry(x, err)
 		if answer != nil {
@@ -65,9 +65,9 @@
 	}
 }
 
-// final returns the last answer of a back end, if there is one that the caller
-// may have, or the error.
-func (x *exchange) final(answer *Answer, err error) error {
+// finalAnswer returns the last answer of a backend, if there is one that may be passed to the caller, or
+// the error.
+func (x *exchange) finalAnswer(answer *Answer, err error) error {
 	if answer == nil {
 		return x.allBackingOff(backend.RoleNone, err)
 	}
@@ -78,9 +78,9 @@
 	return x.relay(answer)
 }
 
-// allBackingOff returns the refusal of a request that has not run, where all back ends of its service have
-// asked this node for backoff, and otherwise the given error. The caller comes back when the first of them
-// wants requests again.
+// allBackingOff returns the rejection of a request that has not run if all backends of its service have
+// requested backoff from this node, and the given error otherwise. The caller is asked to retry when the
+// first of the backoffs ends.
 func (x *exchange) allBackingOff(role backend.Role, err error) error {
 	wait := x.handler.options.Backends.AllBackingOff(x.service, role)
 	if wait == 0 || x.runs > 0 {
@@ -89,24 +89,24 @@
 	return notRun(ReasonBackoff, x.handler.options.Policy.retryAfter(wait), err)
 }
 
-// tryError is why one try did not give an answer that ends the request.
-type tryError struct {
+// attemptError is why one attempt did not give an answer that ends the request.
+type attemptError struct {
 	failure *failure
-	// arrived is set where the back end may have received the request.
+	// arrived is set if the backend may have received the request.
 	arrived bool
-	// ran is set where it may have run.
+	// ran is set if the backend may have run the request.
 	ran bool
 }
 
 // Error implements error.
-func (e *tryError) Error() string { return e.failure.Error() }
+func (e *attemptError) Error() string { return e.failure.Error() }
 
 // Unwrap returns the failure.
-func (e *tryError) Unwrap() error { return e.failure }
+func (e *attemptError) Unwrap() error { return e.failure }
 
-// mayRepeat reports whether the request may be sent once more after the error.
-func (x *exchange) mayRepeat(err error) bool {
-	var failed *tryError
+// mayRetry reports whether the request may be sent again after the error.
+func (x *exchange) mayRetry(err error) bool {
+	var failed *attemptError
 	if !errors.As(err, &failed) {
 		return false
 	}
@@ -122,21 +122,20 @@
 	return x.maySendRun()
 }
 
-// try sends the request to one back end. The answer is whole, or its rest
-// follows in its body. With an error, the answer is what the back end said, if
-// anything.
-func (x *exchange) try(ctx context.Context, entry *backend.Entry) (*Answer, error) {
+// attempt sends the request to one backend. The answer is buffered whole, or its remainder follows in its
+// body. With an error, the answer is the backend's response, if there was one.
+func (x *exchange) attempt(ctx context.Context, entry *backend.Entry) (*Answer, error) {
 	target := entry.Backend()
 	x.target = target.ID
 	end := entry.Begin()
 	defer end()
 	outcome := admission.OutcomeAbandoned
-	counted := x.handler.options.Admission.Began(x.service, target.ID)
-	defer func() { counted(outcome) }()
+	reportOutcome := x.handler.options.Admission.Began(x.service, target.ID)
+	defer func() { reportOutcome(outcome) }()
 	left := x.left()
 	sendContext := ctx
 	if x.route.Idempotent() && x.runs+1 < x.route.MaxAttempts {
-		limited, cancel := context.WithTimeout(ctx, time.Duration(float64(left)*firstTryShare))
+		limited, cancel := context.WithTimeout(ctx, time.Duration(float64(left)*firstAttemptShare))
 		defer cancel()
 		sendContext = limited
 	}
@@ -148,9 +147,9 @@
 	if errors.Is(err, ErrNotSent) {
 		outcome = admission.OutcomeFailed
 		entry.Failed()
-		return nil, &tryError{failure: notRun(ReasonBackendFailed, retryShed, err)}
+		return nil, &attemptError{failure: notRun(ReasonBackendFailed, rejectedRetryAfter, err)}
 	}
-	x.runArrived()
+	x.countRun()
 	if err == nil {
 		err = buffer(answer)
 	}
@@ -158,37 +157,36 @@
 		if !errors.Is(ctx.Err(), context.Canceled) {
 			outcome = admission.OutcomeFailed
 		}
-		return nil, x.tryFailed(ctx, entry, time.Since(sent), err)
+		return nil, x.attemptFailed(ctx, entry, time.Since(sent), err)
 	}
 	switch {
 	case answer.Misdirected:
-		x.misdirected(entry, answer)
-		return answer, &tryError{failure: notRun(ReasonBackendRefused, retryShed, nil), arrived: true}
+		x.recordMisdirected(entry, answer)
+		return answer, &attemptError{failure: notRun(ReasonBackendRefused, rejectedRetryAfter, nil), arrived: true}
 	case answer.NotRun:
 		outcome = admission.OutcomeRejected
-		entry.Full(fullMemory)
-		return answer, &tryError{failure: notRun(ReasonBackendRefused, retryShed, nil), arrived: true}
+		entry.Full(fullDuration)
+		return answer, &attemptError{failure: notRun(ReasonBackendRefused, rejectedRetryAfter, nil), arrived: true}
 	}
 	outcome = admission.OutcomeFailed
 	x.runs++
-	if isPromise(answer.Status) {
-		// To the caller this status says that nothing has run; the back end did not.
+	if promisesNotRun(answer.Status) {
+		// To the caller this status says that nothing has run, which the backend did not state.
 		_ = answer.Body.Close()
-		return nil, &tryError{failure: unknown(ReasonBackendFailed, errors.Newf("status %d", answer.Status)), arrived: true, ran: true}
+		return nil, &attemptError{failure: unknown(ReasonBackendFailed, errors.Newf("status %d", answer.Status)), arrived: true, ran: true}
 	}
 	if answer.Status >= http.StatusInternalServerError {
 		entry.Failed()
-		return answer, &tryError{failure: unknown(ReasonBackendFailed, nil), arrived: true, ran: true}
+		return answer, &attemptError{failure: unknown(ReasonBackendFailed, nil), arrived: true, ran: true}
 	}
 	outcome = admission.OutcomeAnswered
 	entry.Succeeded()
-	x.ranToEnd()
+	x.recordAnswered()
 	return answer, nil
 }
 
-// isPromise reports whether a status promises a caller that its request has not
-// run and never will.
-func isPromise(status int) bool {
+// promisesNotRun reports whether a status promises a caller that its request has not run and never will.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -197,29 +195,29 @@
 	}
 }
 
-// misdirected takes note of an answer of another incarnation.
-func (x *exchange) misdirected(entry *backend.Entry, answer *Answer) {
+// recordMisdirected records an answer from another incarnation or in another role.
+func (x *exchange) recordMisdirected(entry *backend.Entry, answer *Answer) {
 	entry.Failed()
 	if answer.Replaced && x.handler.options.Backends.Remove(entry.Backend().ID) {
 		x.handler.options.Logger.Info("back end replaced", "backend", entry.Backend().ID, "request", x.request.ID)
 	}
 }
 
-// tryFailed is the error of a try without a whole answer, so long after it was sent.
-func (x *exchange) tryFailed(ctx context.Context, entry *backend.Entry, age time.Duration, err error) error {
+// attemptFailed returns the error of an attempt without a complete answer, age after it was sent.
+func (x *exchange) attemptFailed(ctx context.Context, entry *backend.Entry, age time.Duration, err error) error {
 	x.runs++
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		// A back end that says nothing until the time is over has failed as well.
+		// A backend that is silent until the deadline has failed as well.
 		entry.Failed()
 	}
-	if failure := ended(ctx); failure != nil {
+	if failure := contextFailure(ctx); failure != nil {
 		return failure
 	}
-	x.brokeOff(ctx, entry, age)
-	return &tryError{failure: unknown(ReasonBackendFailed, err), arrived: true, ran: true}
+	x.reportBreak(ctx, entry, age)
+	return &attemptError{failure: unknown(ReasonBackendFailed, err), arrived: true, ran: true}
 }
 
-// buffer reads the answer's body up to a bound.
+// buffer reads the answer's body up to bufferedAnswerBytes.
 func buffer(answer *Answer) error {
 	var head bytes.Buffer
 	_, err := io.CopyN(&head, answer.Body, bufferedAnswerBytes)
@@ -240,7 +238,7 @@
 	io.Closer
 }
 
-// relay passes a back end's answer to the caller.
+// relay passes a backend's answer to the caller.
 func (x *exchange) relay(answer *Answer) error {
 	defer func() { _ = answer.Body.Close() }()
 	x.writeHead(answer)
@@ -250,13 +248,13 @@
 	return nil
 }
 
-// writeHead passes the status and headers of an answer on.
+// writeHead passes on the status and headers of an answer.
 func (x *exchange) writeHead(answer *Answer) {
 	header := x.writer.Header()
 	for name, values := range answer.Header {
 		header[name] = values
 	}
-	// The server would add these by itself.
+	// net/http would add these headers by itself.
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, given := answer.Header[name]; !given {
 			header[name] = nil
--- a/gateway/freshness.go
+++ b/gateway/freshness.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Freshness is how new the configuration of this node may be. A request without a route is answered by it: whether
-// the route is missing everywhere or here alone shows in it.
+// Freshness describes how current the configuration of this node is. It is logged with requests that match
+// no route: it shows whether the route is missing on all nodes or on this one only.
 type Freshness struct {
-	// RevisionInForce is the revision of the configuration in force, and RevisionKnown the newest one that has
-	// reached this node.
+	// RevisionInForce is the revision of the configuration in force, and RevisionKnown the newest one
+	// received by this node.
 	RevisionInForce, RevisionKnown int64
-	// SinceInSync is how long ago this node's configuration was that of a node that follows the store, as far as other
-	// nodes tell.
+	// SinceInSync is the time since this node's configuration was last known to equal that of a node that
+	// watches the store, as far as other nodes report.
 	SinceInSync time.Duration
-	// Exchanges is how many exchanges of objects with other nodes are under way, and OldestExchange how long the
-	// first of them is.
+	// Exchanges is the number of object exchanges with other nodes in progress, and OldestExchange the age
+	// of the oldest one.
 	Exchanges      int
 	OldestExchange time.Duration
 }
 
-// attributes are what a line on a request without a route says.
+// attributes returns the log attributes for a request without a route.
 func (f Freshness) attributes() []any {
 	return []any{
 		"revision_in_force", f.RevisionInForce, "revision_known", f.RevisionKnown, "agreed_ms", f.SinceInSync.Milliseconds(),
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -13,49 +13,48 @@
 )
 
 const (
-	// maxPrefills bounds how often the prompt of one request is read.
+	// maxPrefills bounds the prefills of one request.
 	maxPrefills = 3
-	// leavingLimit is how long after a decode engine was reported to leave an answer is still
-	// begun there, because its prompt was being read. It is half of the shortest time that
-	// engines serve on (2 s on the sites' sheets).
-	leavingLimit = time.Second
-	// backoffLimit is the same after a decode engine has asked for backoff: it has set memory aside for
-	// this answer. It is half of the time in which engines still expect what is on its way (0.5 s).
-	backoffLimit = 250 * time.Millisecond
-	// prefillTimeoutShare is the share of the objective after which a prefill engine that
-	// says nothing is given up, where nothing is known of the time that it needs.
+	// maxLeavingTime is for how long after a decode engine was reported leaving an answer still starts
+	// there, because its prompt was being prefilled. It is half of the shortest time for which engines
+	// continue to serve (2 s on the sites' sheets).
+	maxLeavingTime = time.Second
+	// maxBackoffTime is the same after a decode engine has requested backoff: it has reserved memory for
+	// this answer. It is half of the time in which engines still accept requests under way (0.5 s).
+	maxBackoffTime = 250 * time.Millisecond
+	// prefillTimeoutShare is the share of the objective after which the prefill is abandoned at a silent
+	// engine, if no estimate of its duration is available.
 	prefillTimeoutShare = 0.7
-	// expectedPrefillFactor and shortestPrefillTimeout give that time where the coordinator
-	// expects an answer: a prompt that is read twice is read for nothing once, and makes the
-	// queues longer, so that the time lies well above the spread of what is expected.
+	// expectedPrefillFactor and shortestPrefillTimeout give that timeout if the coordinator expects a
+	// duration. A second prefill of a prompt wastes the first one and lengthens the queues, so the timeout
+	// lies well above the variation of the expected duration.
 	expectedPrefillFactor  = 2
 	shortestPrefillTimeout = 500 * time.Millisecond
 )
 
-// generate serves a request by engines: memory is reserved, the prompt is read,
-// and the answer is relayed, from another engine where one breaks off and the
-// stream may be resumed.
+// generate serves a request by engines: memory is reserved, the prompt is prefilled, and the answer is
+// relayed. If a stream breaks off and may be resumed, another engine continues it.
 func (x *exchange) generate(ctx context.Context, profile *routing.EngineProfile) error {
 	defer func() { x.freeKeptPrompt(ctx) }()
 	relayed := &streamRelay{exchange: x, lastID: x.request.Generation.LastEventID}
 	avoid := map[string]bool{}
 	for {
-		answer, taken, err := x.start(ctx, profile, relayed.lastID, avoid)
+		answer, reserved, err := x.start(ctx, profile, relayed.lastID, avoid)
 		if err != nil {
 			return err
 		}
-		err = relayed.relay(ctx, answer, taken)
-		if err != nil && ended(ctx) == nil && !isReason(err, ReasonCallerLeft) {
-			taken.refusal = coordinator.RefusalFailed
-			x.handler.logWasted(x, taken.entry.Backend().ID, wasteStreamBroken)
-			x.brokeOff(ctx, taken.entry, time.Since(taken.sent))
+		err = relayed.relay(ctx, answer, reserved)
+		if err != nil && contextFailure(ctx) == nil && !isReason(err, ReasonCallerLeft) {
+			reserved.refusal = coordinator.RefusalFailed
+			x.handler.logWasted(x, reserved.entry.Backend().ID, wasteStreamBroken)
+			x.reportBreak(ctx, reserved.entry, time.Since(reserved.sent))
 		}
-		taken.close(err == nil, relayed.events, profile.EventTokens)
-		if err == nil || ended(ctx) != nil || isReason(err, ReasonCallerLeft) {
+		reserved.close(err == nil, relayed.events, profile.EventTokens)
+		if err == nil || contextFailure(ctx) != nil || isReason(err, ReasonCallerLeft) {
 			return err
 		}
-		taken.entry.Failed()
-		avoid[taken.entry.Backend().ID] = true
+		reserved.entry.Failed()
+		avoid[reserved.entry.Backend().ID] = true
 		if !x.mayResume() {
 			return err
 		}
@@ -63,7 +62,7 @@
 	}
 }
 
-// mayResume reports whether a stream that broke off may go on elsewhere.
+// mayResume reports whether a stream that broke off may continue at another engine.
 func (x *exchange) mayResume() bool {
 	if !x.route.Resumable || x.runs >= x.route.MaxAttempts {
 		return false
@@ -71,65 +70,65 @@
 	return x.mayStartRun()
 }
 
-// start has an answer begin at a decode engine. Engines that refuse are replaced
-// by others while the retry budget lasts.
+// start starts an answer at a decode engine. Engines that reject it are replaced by others while the retry
+// budget lasts.
 func (x *exchange) start(ctx context.Context, profile *routing.EngineProfile, lastID string, avoid map[string]bool) (*Answer, *reservedEngine, error) {
 	for prefills := 1; ; prefills++ {
-		taken, err := x.reserve(ctx, profile, avoid)
+		reserved, err := x.reserve(ctx, profile, avoid)
 		if err != nil {
 			return nil, nil, err
 		}
 		x.timings.reserved = x.since()
-		answer, err := x.startAt(ctx, taken, lastID)
+		answer, err := x.startAt(ctx, reserved, lastID)
 		if err == nil {
-			return answer, taken, nil
+			return answer, reserved, nil
 		}
-		x.release(ctx, taken)
-		var failed *tryError
+		x.release(ctx, reserved)
+		var failed *attemptError
 		if !errors.As(err, &failed) || prefills >= maxPrefills || !x.mayStartAgain(failed) {
 			return nil, nil, err
 		}
 		if failed.ran {
-			avoid[taken.entry.Backend().ID] = true
+			avoid[reserved.entry.Backend().ID] = true
 		}
 		x.handler.logRetry(x, err)
 	}
 }
 
-// mayStartAgain reports whether an answer that has not begun may begin at another engine.
-func (x *exchange) mayStartAgain(failed *tryError) bool {
+// mayStartAgain reports whether an answer that has not started may start at another engine.
+func (x *exchange) mayStartAgain(failed *attemptError) bool {
 	if failed.ran {
 		return x.mayResume()
 	}
-	if x.kept != nil {
+	if x.keptPrompt != nil {
 		return x.maySendRun()
 	}
 	return x.mayStartRun()
 }
 
-// startAt reads the prompt and begins the answer at the engine of a reservation.
-func (x *exchange) startAt(ctx context.Context, taken *reservedEngine, lastID string) (*Answer, error) {
-	if err := x.admissible(); err != nil {
+// startAt prefills the prompt and starts the answer at the engine of a reservation.
+func (x *exchange) startAt(ctx context.Context, reserved *reservedEngine, lastID string) (*Answer, error) {
+	if err := x.checkSendable(); err != nil {
 		return nil, err
 	}
-	options := DecodeOptions{Reservation: &taken.reservation, LastEventID: lastID}
-	prompt, err := x.promptFor(ctx, taken)
+	options := DecodeOptions{Reservation: &reserved.reservation, LastEventID: lastID}
+	prompt, err := x.promptFor(ctx, reserved)
 	if err != nil {
 		return nil, err
 	}
 	if prompt != nil {
 		options.Prefill = &prompt.result
 	}
-	x.target = taken.entry.Backend().ID
-	if taken.entry.LeavingFor() > leavingLimit {
+	x.target = reserved.entry.Backend().ID
+	if reserved.entry.LeavingFor() > maxLeavingTime {
 		x.keepPrompt(ctx, prompt, wasteEngineLeft)
-		return nil, &tryError{failure: notRun(ReasonBackendLeft, retryShed, nil)}
+		return nil, &attemptError{failure: notRun(ReasonBackendLeft, rejectedRetryAfter, nil)}
 	}
-	if taken.entry.BackingOffFor() > backoffLimit {
+	if reserved.entry.BackingOffFor() > maxBackoffTime {
 		x.keepPrompt(ctx, prompt, wasteEngineBackoff)
-		return nil, &tryError{failure: notRun(ReasonBackoff, retryShed, nil)}
+		return nil, &attemptError{failure: notRun(ReasonBackoff, rejectedRetryAfter, nil)}
 	}
-	if err := x.admissible(); err != nil {
+	if err := x.checkSendable(); err != nil {
 		x.discard(ctx, prompt, wasteNotSent)
 		return nil, err
 	}
@@ -137,167 +136,165 @@
 		x.discard(ctx, prompt, wasteNotSent)
 		return nil, refused
 	}
-	watched := x.watchDecode(ctx, taken)
-	taken.sent = time.Now()
-	answer, err := x.handler.options.Dialect.Decode(watched, taken.entry.Backend(), x.request, x.left(), options)
+	watched := x.watchDecode(ctx, reserved)
+	reserved.sent = time.Now()
+	answer, err := x.handler.options.Dialect.Decode(watched, reserved.entry.Backend(), x.request, x.left(), options)
 	if err != nil {
 		x.discard(ctx, prompt, wasteDecodeFailed)
-		return nil, x.decodeFailed(ctx, taken, err)
+		return nil, x.decodeFailed(ctx, reserved, err)
 	}
-	x.runArrived()
+	x.countRun()
 	if answer.Misdirected {
-		x.misdirected(taken.entry, answer)
+		x.recordMisdirected(reserved.entry, answer)
 	}
 	if answer.NotRun || answer.Misdirected {
 		_ = answer.Body.Close()
-		if taken.entry.BackoffLeft() == 0 {
-			taken.refusal = coordinator.RefusalClosed
+		if reserved.entry.BackoffLeft() == 0 {
+			reserved.refusal = coordinator.RefusalClosed
 		}
 		x.keepPrompt(ctx, prompt, wasteDecodeRefused)
-		return nil, &tryError{failure: notRun(ReasonBackendRefused, retryShed, nil), arrived: true}
+		return nil, &attemptError{failure: notRun(ReasonBackendRefused, rejectedRetryAfter, nil), arrived: true}
 	}
 	x.runs++
 	return answer, nil
 }
 
-// decodeFailed is the error of a decode engine that gave no answer.
-func (x *exchange) decodeFailed(ctx context.Context, taken *reservedEngine, err error) error {
+// decodeFailed returns the error for a decode engine that gave no answer.
+func (x *exchange) decodeFailed(ctx context.Context, reserved *reservedEngine, err error) error {
 	if !errors.Is(err, ErrNotSent) {
-		x.runArrived()
+		x.countRun()
 		x.runs++
 	}
-	if failure := ended(ctx); failure != nil {
+	if failure := contextFailure(ctx); failure != nil {
 		return failure
 	}
-	taken.entry.Failed()
-	taken.refusal = coordinator.RefusalFailed
+	reserved.entry.Failed()
+	reserved.refusal = coordinator.RefusalFailed
 	if errors.Is(err, ErrNotSent) {
-		return &tryError{failure: notRun(ReasonBackendFailed, retryShed, err)}
+		return &attemptError{failure: notRun(ReasonBackendFailed, rejectedRetryAfter, err)}
 	}
-	x.brokeOff(ctx, taken.entry, time.Since(taken.sent))
-	return &tryError{failure: unknown(ReasonBackendFailed, err), arrived: true, ran: true}
+	x.reportBreak(ctx, reserved.entry, time.Since(reserved.sent))
+	return &attemptError{failure: unknown(ReasonBackendFailed, err), arrived: true, ran: true}
 }
 
-// prefill has the prompt read. Reading it runs nothing, so that another engine
-// may be asked after any failure.
-func (x *exchange) prefill(ctx context.Context, taken *reservedEngine) (*PrefillResult, *backend.Entry, error) {
-	tried := map[string]bool{}
+// prefill has the prompt prefilled. That runs nothing of the request, so that another engine may be used
+// after any failure.
+func (x *exchange) prefill(ctx context.Context, reserved *reservedEngine) (*PrefillResult, *backend.Entry, error) {
+	attempted := map[string]bool{}
 	for {
-		entry := x.prefillEngine(taken, tried)
+		entry := x.prefillEngine(reserved, attempted)
 		if entry == nil {
-			return nil, nil, notRun(ReasonPrefillFailed, retryShed, nil)
+			return nil, nil, notRun(ReasonPrefillFailed, rejectedRetryAfter, nil)
 		}
-		tried[entry.Backend().ID] = true
-		result, err := x.prefillAt(ctx, entry, taken)
+		attempted[entry.Backend().ID] = true
+		result, err := x.prefillAt(ctx, entry, reserved)
 		if err == nil {
-			taken.promptRead(entry.Backend().ID)
+			reserved.reportPrefilled(entry.Backend().ID)
 			x.timings.prefill = x.since()
 			return result, entry, nil
 		}
-		if failure := ended(ctx); failure != nil {
+		if failure := contextFailure(ctx); failure != nil {
 			return nil, nil, failure
 		}
-		if refused := x.admissible(); refused != nil {
+		if refused := x.checkSendable(); refused != nil {
 			return nil, nil, refused
 		}
-		if len(tried) >= maxPrefills || !x.mayStartRun() {
-			return nil, nil, notRun(ReasonPrefillFailed, retryShed, err)
+		if len(attempted) >= maxPrefills || !x.mayStartRun() {
+			return nil, nil, notRun(ReasonPrefillFailed, rejectedRetryAfter, err)
 		}
 		x.handler.logRetry(x, err)
 	}
 }
 
-// prefillEngine returns the engine that was assigned, or another one once that
-// has been tried.
-func (x *exchange) prefillEngine(taken *reservedEngine, tried map[string]bool) *backend.Entry {
-	if len(tried) == 0 && taken.prefillEngine != "" {
-		entry := x.handler.options.Backends.Lookup(taken.prefillEngine)
+// prefillEngine returns the assigned engine, or another one once that has been attempted.
+func (x *exchange) prefillEngine(reserved *reservedEngine, attempted map[string]bool) *backend.Entry {
+	if len(attempted) == 0 && reserved.prefillEngine != "" {
+		entry := x.handler.options.Backends.Lookup(reserved.prefillEngine)
 		if entry != nil && entry.TakesWork() && entry.BackoffLeft() == 0 {
 			return entry
 		}
 	}
-	return x.handler.pick(x.service, backend.RolePrefill, tried)
+	return x.handler.pick(x.service, backend.RolePrefill, attempted)
 }
 
-// prefillLimit returns how long an engine may take to read a prompt, given what is expected.
+// prefillLimit returns how long a prefill may take, given its expected duration.
 func prefillLimit(expected time.Duration) time.Duration {
 	return expectedPrefillFactor*expected + shortestPrefillTimeout
 }
 
-// prefillTimeout returns how long an engine may take to read the prompt.
-func (x *exchange) prefillTimeout(entry *backend.Entry, taken *reservedEngine) time.Duration {
-	if taken.promptReady > 0 && entry.Backend().ID == taken.prefillEngine {
-		return prefillLimit(taken.promptReady)
+// prefillTimeout returns how long an engine may take to prefill the prompt.
+func (x *exchange) prefillTimeout(entry *backend.Entry, reserved *reservedEngine) time.Duration {
+	if reserved.expectedPrefill > 0 && entry.Backend().ID == reserved.prefillEngine {
+		return prefillLimit(reserved.expectedPrefill)
 	}
 	return max(shortestPrefillTimeout, time.Duration(float64(x.route.Objective)*prefillTimeoutShare))
 }
 
-// prefillAt has the prompt read by one engine.
-func (x *exchange) prefillAt(ctx context.Context, entry *backend.Entry, taken *reservedEngine) (*PrefillResult, error) {
+// prefillAt has one engine prefill the prompt.
+func (x *exchange) prefillAt(ctx context.Context, entry *backend.Entry, reserved *reservedEngine) (*PrefillResult, error) {
 	x.target = entry.Backend().ID
 	end := entry.Begin()
 	defer end()
-	limited, cancel := context.WithTimeout(ctx, x.prefillTimeout(entry, taken))
+	limited, cancel := context.WithTimeout(ctx, x.prefillTimeout(entry, reserved))
 	defer cancel()
-	if refused := x.promptRefusal(); refused != nil {
+	if refused := x.prefillRefusal(); refused != nil {
 		return nil, refused
 	}
 	sent := time.Now()
 	result, answer, err := x.handler.options.Dialect.Prefill(limited, entry.Backend(), x.request, x.left())
 	if !errors.Is(err, ErrNotSent) {
-		x.promptArrived(result != nil)
+		x.countPrefill(result != nil)
 	}
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return nil, err
 	case err != nil:
 		entry.Failed()
-		taken.prefillFailed(entry.Backend().ID, limited.Err() != nil)
+		reserved.reportPrefillFailure(entry.Backend().ID, limited.Err() != nil)
 		if limited.Err() != nil {
-			x.handler.logWasted(x, entry.Backend().ID, wasteReadingGivenUp)
+			x.handler.logWasted(x, entry.Backend().ID, wastePrefillTimeout)
 		}
 		if !errors.Is(err, ErrNotSent) {
-			x.brokeOff(ctx, entry, time.Since(sent))
+			x.reportBreak(ctx, entry, time.Since(sent))
 		}
 		return nil, err
 	case result == nil && answer.Misdirected:
-		x.misdirected(entry, answer)
-		taken.prefillFailed(entry.Backend().ID, false)
+		x.recordMisdirected(entry, answer)
+		reserved.reportPrefillFailure(entry.Backend().ID, false)
 		return nil, errors.Newf("prefill refused with status %d", answer.Status)
 	case result == nil && answer.NotRun:
-		entry.Full(fullMemory)
+		entry.Full(fullDuration)
 		return nil, errors.Newf("prefill refused with status %d", answer.Status)
 	case result == nil:
 		entry.Failed()
-		taken.prefillFailed(entry.Backend().ID, false)
+		reserved.reportPrefillFailure(entry.Backend().ID, false)
 		return nil, errors.Newf("prefill failed with status %d", answer.Status)
 	}
 	return result, nil
 }
 
-// streamRelay passes the events of one stream on, over all engines that it is
-// served by.
+// streamRelay relays the events of one stream, over all engines that serve it.
 type streamRelay struct {
 	exchange *exchange
-	// lastID is the identifier of the last event passed on.
+	// lastID is the identifier of the last relayed event.
 	lastID string
-	// events counts those passed on.
+	// events counts the relayed events.
 	events int
-	// lastAt is when the last event was passed on, counted from the request's arrival.
+	// lastAt is when the last event was relayed, measured from the request's arrival.
 	lastAt time.Duration
 }
 
-// passedOn takes note of an event.
-func (s *streamRelay) passedOn(id string, taken *reservedEngine) {
-	if taken.first == 0 {
-		taken.first = time.Since(taken.taken)
-		if !taken.readsItself {
-			s.exchange.handler.firstEvents.observe(s.exchange.service, time.Since(taken.sent))
+// recordEvent records the timings of a relayed event.
+func (s *streamRelay) recordEvent(id string, reserved *reservedEngine) {
+	if reserved.first == 0 {
+		reserved.first = time.Since(reserved.reservedAt)
+		if !reserved.localPrefill {
+			s.exchange.handler.firstEvents.observe(s.exchange.service, time.Since(reserved.sent))
 		}
 	}
-	if taken.readsItself {
-		taken.readsItself = false
-		taken.promptRead(taken.entry.Backend().ID)
+	if reserved.localPrefill {
+		reserved.localPrefill = false
+		reserved.reportPrefilled(reserved.entry.Backend().ID)
 	}
 	timings := &s.exchange.timings
 	now := s.exchange.since()
@@ -308,19 +305,19 @@
 	}
 	s.lastAt = now
 	s.events++
-	taken.events++
-	taken.silence.heard(s.exchange.pauseLimit())
+	reserved.events++
+	reserved.silence.reset(s.exchange.pauseLimit())
 	if id != "" {
 		s.lastID = id
 	}
 }
 
-// relay passes on whole events until the stream ends.
-func (s *streamRelay) relay(ctx context.Context, answer *Answer, taken *reservedEngine) error {
+// relay passes on complete events until the stream ends.
+func (s *streamRelay) relay(ctx context.Context, answer *Answer, reserved *reservedEngine) error {
 	x := s.exchange
 	defer func() { _ = answer.Body.Close() }()
 	if answer.Status != http.StatusOK {
-		if isPromise(answer.Status) {
+		if promisesNotRun(answer.Status) {
 			return unknown(ReasonBackendFailed, errors.Newf("status %d", answer.Status))
 		}
 		if x.answered {
@@ -336,7 +333,7 @@
 	for {
 		event, err := events.next()
 		if err != nil {
-			if failure := ended(ctx); failure != nil {
+			if failure := contextFailure(ctx); failure != nil {
 				return failure
 			}
 			return unknown(ReasonStreamBroken, err)
@@ -345,7 +342,7 @@
 			if !x.answered {
 				x.writeHead(answer)
 			}
-			x.ranToEnd()
+			x.recordAnswered()
 			return nil
 		}
 		if !x.answered {
@@ -357,6 +354,6 @@
 		if err := flusher.Flush(); err != nil {
 			return unknown(ReasonCallerLeft, err)
 		}
-		s.passedOn(event.id, taken)
+		s.recordEvent(event.id, reserved)
 	}
 }
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -25,50 +25,50 @@
 
 // Options are the parts of a Handler.
 type Options struct {
-	// Clock is what deadlines and waits go by. Default: the runtime's.
+	// Clock is used for deadlines and waits. Default: the runtime's clock.
 	Clock *clock.Clock
-	// Zone is the zone of this node; back ends there are preferred.
+	// Zone is the zone of this node; backends in it are preferred.
 	Zone     string
 	Dialect  Dialect
 	Backends *backend.Registry
 	Budget   *retrybudget.Budget
 	Metrics  *metrics.Set
 	Logger   *slog.Logger
-	// Coordinator assigns engines. Without one, each node chooses by itself, by what
-	// the engines let it reserve.
+	// Coordinator assigns engines. Without one, each node chooses engines itself, by the reservations that
+	// they accept.
 	Coordinator Coordinator
-	// Assignable reports whether a back end is given new work, beside its state.
-	// Default: always.
+	// Assignable reports whether a backend may be given new work, in addition to its state. Default:
+	// always.
 	Assignable func(entry *backend.Entry) bool
-	// Quotas charges requests to the limits of their tenants. Without it no limit is kept.
+	// Quotas charges requests to the quotas of their tenants. Without it no quota is enforced.
 	Quotas Quotas
-	// Quarantine knows which requests crash back ends. Without it, nothing is remembered.
+	// Quarantine tracks which requests crash backends. Without it, crashes are not recorded.
 	Quarantine quarantine.Judge
-	// Admission decides which requests to plain services are admitted, and where they go.
-	// Default: all are, by what this node has seen alone.
+	// Admission decides which requests to plain services are admitted, and where they are sent. Default:
+	// all are admitted, and sent by this node's own observations.
 	Admission *admission.Node
-	// Freshness returns how new the configuration of this node may be, for the log. Default: nothing is known.
+	// Freshness describes how current the configuration of this node is, for the log. Default: the zero
+	// value.
 	Freshness func() Freshness
-	// Policy is how engines are chosen; the zero value is the default.
+	// Policy controls how engines are chosen; the zero value means the defaults.
 	Policy Policy
 }
 
 // Coordinator assigns the engines of a service to the requests of all nodes.
 type Coordinator interface {
-	// Assign asks for engines. An error means that no coordinator answers.
+	// Assign requests engines for a run. An error means that no coordinator answered.
 	Assign(ctx context.Context, request coordinator.Request) (coordinator.Assignment, error)
-	// PromptRead reports that an engine has read the prompt of a run.
+	// PromptRead reports that an engine has prefilled the prompt of a run.
 	PromptRead(service, id, engine string)
-	// EngineFailed reports an engine that did not do what it was asked, where that ended
-	// no run.
+	// EngineFailed reports an engine that did not do what was asked of it, if that ended no run.
 	EngineFailed(failure coordinator.Failure)
-	// End reports a run that is over.
+	// End reports that a run has ended.
 	End(ended coordinator.Ended)
 }
 
-// Quotas keeps the limits of tenants over all nodes.
+// Quotas enforces the quotas of tenants over all nodes.
 type Quotas interface {
-	// Charge decides on a request of a tenant that costs so many units.
+	// Charge decides on a request of a tenant that costs the given units.
 	Charge(ctx context.Context, charged *tenant.Tenant, units float64) quota.Decision
 	// Refund returns the units of a request that did not run.
 	Refund(charged *tenant.Tenant, units float64)
@@ -83,15 +83,14 @@
 	waits         waitHistory
 	runNames      *runNames
 	counters      routeCounters
-	// repeatCounters counts what reached back ends beyond the first arrival of each request.
-	repeatCounters repeatCounters
+	// retryCounters counts the upstream retries of each service.
+	retryCounters retryCounters
 	// tenantCounters counts by tenant, beside counters.
 	tenantCounters tenantCounters
 	firstEvents    firstEvents
 }
 
-// New returns a handler that is not ready until it has a configuration and the
-// back ends are known.
+// New returns a handler that is not ready until it has a configuration and the backends are synced.
 func New(options Options) *Handler {
 	options.Policy.setDefaults()
 	if options.Assignable == nil {
@@ -107,8 +106,7 @@
 	return &Handler{options: options, started: started, runNames: newRunNames()}
 }
 
-// Configure puts a configuration in force, unless a newer one is. It reports
-// whether it did.
+// Configure puts a configuration in force, unless one at least as new is. It reports whether it did.
 func (h *Handler) Configure(configuration *routing.Configuration) bool {
 	for {
 		current := h.configuration.Load()
@@ -133,21 +131,21 @@
 }
 
 const (
-	// startTime is how long a node usually takes to learn what it needs.
-	startTime = 500 * time.Millisecond
-	// retryStarting is when a caller comes back to a node that has just started.
-	retryStarting = 300 * time.Millisecond
-	// retryStoreAway is when it comes back where the node has learned nothing for
-	// longer: the store is away, and no other node knows anything either.
-	retryStoreAway = 2500 * time.Millisecond
+	// usualStartTime is how long a node usually takes to receive its configuration and backends.
+	usualStartTime = 500 * time.Millisecond
+	// startingRetryAfter is the Retry-After of a node that has just started.
+	startingRetryAfter = 300 * time.Millisecond
+	// storeUnavailableRetryAfter is the Retry-After of a node that is still not ready later: the store is
+	// unavailable, and no other node has the objects either.
+	storeUnavailableRetryAfter = 2500 * time.Millisecond
 )
 
-// retryNotReady returns when a caller comes back to a node that is not ready.
-func (h *Handler) retryNotReady() time.Duration {
-	if h.options.Clock.Since(h.started) < startTime {
-		return retryStarting
+// notReadyRetryAfter returns the Retry-After of a node that is not ready.
+func (h *Handler) notReadyRetryAfter() time.Duration {
+	if h.options.Clock.Since(h.started) < usualStartTime {
+		return startingRetryAfter
 	}
-	return retryStoreAway
+	return storeUnavailableRetryAfter
 }
 
 // ServeHTTP implements http.Handler.
@@ -161,7 +159,7 @@
 	h.finish(served, err, h.options.Clock.Since(arrived))
 }
 
-// exchange is one request and what has become of it so far.
+// exchange is one request and its state.
 type exchange struct {
 	handler       *Handler
 	configuration *routing.Configuration
@@ -169,47 +167,46 @@
 	arrived       time.Time
 	request       *Request
 	route         *routing.Route
-	// tenant is whose request it is; nil where the configuration has no tenants, or the route is
-	// public and the caller presented no key.
+	// tenant is the caller's tenant; nil if the configuration has no tenants, or if the route is public and
+	// the caller presented no key.
 	tenant   *tenant.Tenant
 	service  string
 	deadline time.Time
 	// answered is set once the head of an answer has been written.
 	answered bool
-	// arrivals counts what has reached back ends, runs what may have run there.
+	// arrivals counts the calls that have reached backends, runs those that may have run there.
 	arrivals arrivals
 	runs     int
-	// repeats is what the retry budget has granted to the request.
-	repeats *retrybudget.Grant
-	// kept is a prompt that was read for a run which its engine rejected; nil for none.
-	kept *readPrompt
+	// retryGrant is what the retry budget has granted to the request.
+	retryGrant *retrybudget.Grant
+	// keptPrompt is a prompt that was prefilled for a run which its engine rejected; nil for none.
+	keptPrompt *prefilledPrompt
 	// admission is the decision on a request to a plain service.
 	admission admission.Decision
-	// charged is how many units the request was charged, and quota the decision on that.
+	// charged is the number of units charged for the request, and quota the decision on them.
 	charged float64
 	quota   quota.Decision
-	// short is the role of which there were too few engines, if the coordinator
-	// said so.
-	short string
-	// target is the back end of the last send.
+	// shortRole is the role with too few engines, if the coordinator named one.
+	shortRole string
+	// target is the backend of the last send.
 	target  string
 	timings timings
-	// status is that of the back end's answer that was passed on.
+	// status is the status of the backend's answer that was passed on.
 	status int
-	// content is the fingerprint of the request once it has been worked out.
+	// content is the fingerprint of the request once it has been computed.
 	content *quarantine.Fingerprint
-	// retry tells whether the caller seems to have been refused before.
-	retry retryEvidence
+	// clientRetry is the evidence that the caller was rejected before.
+	clientRetry clientRetryEvidence
 }
 
-// serve answers the request or returns why it cannot.
+// serve answers the request or returns the failure.
 func (x *exchange) serve(r *http.Request) error {
 	h := x.handler
 	request, malformed := h.options.Dialect.Parse(r)
 	x.request = request
 	x.configuration = h.configuration.Load()
 	if x.configuration == nil || !h.options.Backends.Synced() {
-		return notRun(ReasonNotReady, h.retryNotReady(), nil)
+		return notRun(ReasonNotReady, h.notReadyRetryAfter(), nil)
 	}
 	if malformed != nil {
 		return rejected(http.StatusBadRequest, ReasonMalformed, malformed)
@@ -220,7 +217,7 @@
 	if err := x.read(r); err != nil {
 		return err
 	}
-	if err := x.keptAway(); err != nil {
+	if err := x.checkQuarantine(); err != nil {
 		return err
 	}
 	timeout := x.route.Timeout
@@ -228,7 +225,7 @@
 		timeout = x.request.Timeout
 	}
 	x.deadline = x.arrived.Add(timeout)
-	x.retry = h.waits.observe(x.route, x.request.Timeout)
+	x.clientRetry = h.waits.observe(x.route, x.request.Timeout)
 	ctx, cancel := context.WithTimeout(r.Context(), x.left())
 	defer cancel()
 	x.service = x.route.Target(rand.Float64())
@@ -243,8 +240,8 @@
 		return err
 	}
 	h.options.Budget.Request(x.service)
-	x.repeats = h.options.Budget.Grant(x.service)
-	defer x.repeats.Release()
+	x.retryGrant = h.options.Budget.Grant(x.service)
+	defer x.retryGrant.Release()
 	if generates {
 		return x.generate(ctx, service.Engine)
 	}
@@ -267,11 +264,11 @@
 	return nil
 }
 
-// left returns how long the caller still waits.
+// left returns the time until the caller's deadline.
 func (x *exchange) left() time.Duration { return -x.handler.options.Clock.Since(x.deadline) }
 
-// ended returns the failure of a context that has ended, or nil.
-func ended(ctx context.Context) error {
+// contextFailure returns the failure of a context that has ended, or nil.
+func contextFailure(ctx context.Context) error {
 	switch {
 	case ctx.Err() == nil:
 		return nil
@@ -282,10 +279,9 @@
 	}
 }
 
-// finish writes the gateway's own answer, where there is one, and accounts for
-// the request.
+// finish writes the gateway's own answer, if there is one, and accounts for the request.
 func (h *Handler) finish(x *exchange, err error, took time.Duration) {
-	x.giveBack()
+	x.refund()
 	h.countArrivals(x)
 	h.options.Metrics.Observe("request_duration", took)
 	if err == nil {
@@ -298,14 +294,14 @@
 		final = unknown(ReasonBackendFailed, err)
 	}
 	if x.runs > 0 && final.retryAfter > 0 {
-		// Something of the request may have run: no promise can be made.
+		// Part of the request may have run, so the answer must not promise that nothing has.
 		final = unknown(final.reason, final.cause)
 	}
 	h.options.Metrics.Add("requests_"+string(final.reason), 1)
 	h.countFailure(x, final)
 	h.logFailure(x, final, took)
 	if x.answered {
-		// An answer that ends early must not look whole.
+		// A truncated answer must not look complete.
 		panic(http.ErrAbortHandler)
 	}
 	final.write(x.writer)
--- a/gateway/identify.go
+++ b/gateway/identify.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// identify finds the route of the request and whose it is, before anything else is done for it. A
+// identify matches the route of the request and authenticates the caller, before anything else is done. A
 // caller without a known key is rejected unless the route is public.
 func (x *exchange) identify(path string) error {
 	x.route = x.configuration.Match(x.request.Host, path)
@@ -12,8 +12,8 @@
 	if x.configuration.Tenants == nil {
 		return nil
 	}
-	found, known := x.configuration.Tenants.Identify(x.request.Credential)
-	if known {
+	found, identified := x.configuration.Tenants.Identify(x.request.Credential)
+	if identified {
 		x.tenant = found
 		x.request.Tenant = found.Name
 		return nil
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -14,57 +14,56 @@
 	"github.com/reelrun/reelrun/gateway"
 )
 
-// givingCoordinator assigns an engine and keeps what it is told of runs that are
-// over.
-type givingCoordinator struct {
+// assigningCoordinator assigns an engine and records the ends of runs.
+type assigningCoordinator struct {
 	assigned func()
-	given    string
+	runID    string
 	ended    []coordinator.Ended
 }
 
-func (c *givingCoordinator) Assign(_ context.Context, request coordinator.Request) (coordinator.Assignment, error) {
-	c.given = request.Run.ID
+func (c *assigningCoordinator) Assign(_ context.Context, request coordinator.Request) (coordinator.Assignment, error) {
+	c.runID = request.Run.ID
 	c.assigned()
 	return coordinator.Assignment{Decode: "engine"}, nil
 }
 
-func (c *givingCoordinator) PromptRead(string, string, string) {}
+func (c *assigningCoordinator) PromptRead(string, string, string) {}
 
-func (c *givingCoordinator) EngineFailed(coordinator.Failure) {}
+func (c *assigningCoordinator) EngineFailed(coordinator.Failure) {}
 
-func (c *givingCoordinator) End(ended coordinator.Ended) { c.ended = append(c.ended, ended) }
+func (c *assigningCoordinator) End(ended coordinator.Ended) { c.ended = append(c.ended, ended) }
 
-// leavingAtReservation has the caller leave while memory is reserved.
-type leavingAtReservation struct {
+// disconnectingDialect has the caller disconnect while memory is reserved.
+type disconnectingDialect struct {
 	parser
-	leave func()
+	disconnect func()
 }
 
-func (d leavingAtReservation) Reserve(ctx context.Context, _ backend.Backend, _ int, _ time.Duration) (*gateway.Reservation, error) {
-	d.leave()
+func (d disconnectingDialect) Reserve(ctx context.Context, _ backend.Backend, _ int, _ time.Duration) (*gateway.Reservation, error) {
+	d.disconnect()
 	return nil, ctx.Err()
 }
 
-// TestCallerThatLeavesEndsItsRun has the caller leave at each step after an engine was
-// assigned: the run must end, and nothing may be held against the engine.
-func TestCallerThatLeavesEndsItsRun(t *testing.T) {
+// TestCallerDisconnectEndsRun has the caller disconnect at each step after an engine was assigned: the run
+// must end, and nothing may be counted against the engine.
+func TestCallerDisconnectEndsRun(t *testing.T) {
 	for name, atReservation := range map[string]bool{"with the assignment": false, "at the reservation": true} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			ctx, leave := context.WithCancel(t.Context())
-			defer leave()
-			giving := &givingCoordinator{assigned: func() {}}
-			dialect := leavingAtReservation{leave: leave}
+			ctx, disconnect := context.WithCancel(t.Context())
+			defer disconnect()
+			assigning := &assigningCoordinator{assigned: func() {}}
+			dialect := disconnectingDialect{disconnect: disconnect}
 			if !atReservation {
-				giving.assigned = leave
+				assigning.assigned = disconnect
 			}
-			handler := newEngineHandler(dialect, giving)
+			handler := newEngineHandler(dialect, assigning)
 			request := httptest.NewRequest(http.MethodPost, "http://h/x", nil).WithContext(ctx)
 			handler.ServeHTTP(httptest.NewRecorder(), request)
-			g.Expect(giving.given).NotTo(BeEmpty())
-			g.Expect(giving.ended).To(HaveLen(1))
-			g.Expect(giving.ended[0].ID).To(Equal(giving.given))
-			g.Expect(giving.ended[0].Refusal).To(Equal(coordinator.RefusalNone))
+			g.Expect(assigning.runID).NotTo(BeEmpty())
+			g.Expect(assigning.ended).To(HaveLen(1))
+			g.Expect(assigning.ended[0].ID).To(Equal(assigning.runID))
+			g.Expect(assigning.ended[0].Refusal).To(Equal(coordinator.RefusalNone))
 		})
 	}
 }
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -7,10 +7,10 @@
 	"github.com/reelrun/reelrun/quarantine"
 )
 
-// timings are the parts of a request's time, each counted from its arrival.
+// timings are the phases of a request, each measured from its arrival.
 type timings struct {
-	// reserved is when memory was reserved, prefill when the prompt had been read and
-	// first when the first event was passed on.
+	// reserved is when memory was reserved, prefill when the prompt was prefilled and first when the first
+	// event was relayed.
 	reserved, prefill, first time.Duration
 	// pause is the longest time between two events.
 	pause time.Duration
@@ -19,12 +19,12 @@
 // since returns how long ago the request arrived.
 func (x *exchange) since() time.Duration { return x.handler.options.Clock.Since(x.arrived) }
 
-// attributes are what each line on a request says.
+// attributes returns the attributes of all log lines about a request.
 func (x *exchange) attributes(took time.Duration) []any {
 	attributes := []any{
-		"service", x.service, "backend", x.target, "sends", x.arrivals.runs, "prompts", x.arrivals.prompts, "runs", x.runs,
-		"beyond_first", x.arrivals.beyondFirst(),
-		"age_ms", x.retry.age.Milliseconds(), "full_deadlines", x.retry.fullShare, "took_ms", took.Milliseconds(),
+		"service", x.service, "backend", x.target, "sends", x.arrivals.runs, "prompts", x.arrivals.prefills, "runs", x.runs,
+		"beyond_first", x.arrivals.upstreamRetries(),
+		"age_ms", x.clientRetry.age.Milliseconds(), "full_deadlines", x.clientRetry.fullShare, "took_ms", took.Milliseconds(),
 	}
 	if x.request != nil {
 		attributes = append(attributes, "request", x.request.ID, "wait_ms", x.request.Timeout.Milliseconds())
@@ -45,12 +45,12 @@
 	return attributes
 }
 
-// logFailure logs a request that got the gateway's own answer.
+// logFailure logs a request that the gateway answered itself.
 func (h *Handler) logFailure(x *exchange, final *failure, took time.Duration) {
 	attributes := append(x.attributes(took),
 		"reason", string(final.reason), "status", final.status, "retry_after_ms", final.retryAfter.Milliseconds())
-	if x.short != "" {
-		attributes = append(attributes, "short", x.short)
+	if x.shortRole != "" {
+		attributes = append(attributes, "short", x.shortRole)
 	}
 	if final.reason == ReasonNoRoute {
 		attributes = append(attributes, h.options.Freshness().attributes()...)
@@ -71,36 +71,35 @@
 	h.options.Logger.Info("request not answered", attributes...)
 }
 
-// logRetry logs a request that is sent once more.
+// logRetry logs an upstream retry.
 func (h *Handler) logRetry(x *exchange, err error) {
 	h.options.Metrics.Add("repeats", 1)
 	h.options.Logger.Info("request sent again", append(x.attributes(x.since()),
 		"cause", err.Error(), "budget_left", int(h.options.Budget.Left(x.service)))...)
 }
 
-// logBrokeOff logs a back end that broke a request off, whether it has ended, and what is known of
-// the request since.
-func (h *Handler) logBrokeOff(broken brokenSend, crashed bool, standing quarantine.Standing) {
+// logBreak logs that a backend broke a request off, whether the backend has terminated, and the request's
+// quarantine status since.
+func (h *Handler) logBreak(broken brokenRequest, crashed bool, quarantineStatus quarantine.Standing) {
 	h.options.Metrics.Add("requests_broken_off", 1)
 	h.options.Logger.Info("back end broke request off", "request", broken.request, "content", broken.content.String(),
 		"service", broken.service, "backend", broken.backend.ID, "crashed", crashed, "age_ms", broken.age.Milliseconds(),
-		"crashes", standing.Crashes, "quarantined", standing.Quarantined > 0)
+		"crashes", quarantineStatus.Crashes, "quarantined", quarantineStatus.Quarantined > 0)
 }
 
-// logUncoordinated logs a request for which this node chooses engines by itself.
+// logUncoordinated logs a request for which this node chooses engines without a coordinator.
 func (h *Handler) logUncoordinated(x *exchange, err error) {
 	h.options.Metrics.Add("coordinator_missed", 1)
 	h.options.Logger.Info("coordinator missed", append(x.attributes(x.since()), "cause", err.Error())...)
 }
 
-// logAssignedFull logs an engine that had no capacity although the coordinator assigned it.
+// logAssignedFull logs an assigned engine that had no capacity.
 func (h *Handler) logAssignedFull(x *exchange, engine string) {
 	h.options.Metrics.Add("assigned_engines_full", 1)
 	h.options.Logger.Info("assigned engine full", append(x.attributes(x.since()), "engine", engine)...)
 }
 
-// logAnswered logs an answer that is late or a failure of its back end. Other
-// answers cost no line.
+// logAnswered logs an answer that is late or a failure of its backend. Other answers have no line.
 func (h *Handler) logAnswered(x *exchange, took time.Duration) {
 	if x.status >= http.StatusInternalServerError {
 		h.options.Metrics.Add("requests_failed_by_backend", 1)
@@ -114,7 +113,7 @@
 		first = x.timings.first
 	}
 	h.options.Metrics.Observe("request_first_answer", first)
-	late := x.retry.age+first > x.route.Objective
+	late := x.clientRetry.age+first > x.route.Objective
 	paused := x.route.MaxPause > 0 && x.timings.pause > x.route.MaxPause
 	if !late && !paused {
 		h.counters.add(x, func(counts *RouteCounts) { counts.InTime++ })
@@ -129,19 +128,19 @@
 	}
 }
 
-// logWasted logs a prompt that an engine has read, or has begun to read, for nothing.
+// logWasted logs a wasted prefill, complete or only started.
 func (h *Handler) logWasted(x *exchange, engine string, cause wasteCause) {
 	h.options.Metrics.Add("prompts_wasted", 1)
 	h.options.Logger.Info("prompt wasted", "request", x.request.ID, "service", x.service, "engine", engine,
 		"tokens", x.request.Generation.PromptTokens, "cause", string(cause))
 }
 
-// wasteCause is why a prompt was read for nothing.
+// wasteCause is why a prefill was wasted.
 type wasteCause string
 
 // The causes.
 const (
-	wasteReadingGivenUp wasteCause = "reading given up"
+	wastePrefillTimeout wasteCause = "reading given up"
 	wasteDecodeRefused  wasteCause = "decode refused"
 	wasteDecodeFailed   wasteCause = "decode failed"
 	wasteEngineLeft     wasteCause = "engine left"
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -17,14 +17,14 @@
 	"github.com/reelrun/reelrun/gateway"
 )
 
-// missingCoordinator answers nobody.
-type missingCoordinator struct{ fullCoordinator }
+// unavailableCoordinator never answers.
+type unavailableCoordinator struct{ fullCoordinator }
 
-func (*missingCoordinator) Assign(context.Context, coordinator.Request) (coordinator.Assignment, error) {
+func (*unavailableCoordinator) Assign(context.Context, coordinator.Request) (coordinator.Assignment, error) {
 	return coordinator.Assignment{}, errors.Wrap(coordinator.ErrNoCoordinator, "10.0.0.9:1: timeout")
 }
 
-// fullEngine lets nobody reserve.
+// fullEngine rejects all reservations.
 type fullEngine struct{ parser }
 
 func (fullEngine) Reserve(context.Context, backend.Backend, int, time.Duration) (*gateway.Reservation, error) {
@@ -45,14 +45,14 @@
 	return coordinator.Assignment{Decode: "engine"}, nil
 }
 
-// TestDecisionsOnEnginesHaveALine wants a line with the request's id and the cause where a
-// node chooses by itself, and where an assigned engine had no capacity.
-func TestDecisionsOnEnginesHaveALine(t *testing.T) {
+// TestEngineDecisionsAreLogged checks for a line with the request's id and the cause if a node chooses
+// engines without a coordinator, and if an assigned engine had no capacity.
+func TestEngineDecisionsAreLogged(t *testing.T) {
 	for name, test := range map[string]struct {
 		assigned gateway.Coordinator
 		wanted   string
 	}{
-		"coordinator missed":   {&missingCoordinator{}, "10.0.0.9:1"},
+		"coordinator missed":   {&unavailableCoordinator{}, "10.0.0.9:1"},
 		"assigned engine full": {&assigningOnce{}, `"engine":"engine"`},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Reason is why a request got no answer of a back end.
+// Reason is why the gateway answered a request itself.
 type Reason string
 
 // The reasons.
@@ -16,25 +16,24 @@
 	ReasonNotReady  Reason = "not_ready"
 	ReasonMalformed Reason = "malformed"
 	ReasonNoRoute   Reason = "no_route"
-	// ReasonQuota is that of a request beyond the limit of its tenant.
+	// ReasonQuota means that the request exceeds the quota of its tenant.
 	ReasonQuota Reason = "quota"
-	// ReasonUnknownKey is that of a caller without a key of the configuration in force.
+	// ReasonUnknownKey means that the caller presented no key of the configuration in force.
 	ReasonUnknownKey   Reason = "unknown_key"
 	ReasonBodyTooLarge Reason = "body_too_large"
 	ReasonNoBackend    Reason = "no_backend"
-	// ReasonBackoff is that of a request all of whose back ends have asked this node for backoff.
+	// ReasonBackoff means that all backends for the request have requested backoff from this node.
 	ReasonBackoff Reason = "backoff"
-	// ReasonQuarantined is that of a request that has crashed the back ends which ran it.
+	// ReasonQuarantined means that the request has crashed the backends that ran it.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonOverloaded is that of a request beyond what the back ends of its service can do.
+	// ReasonOverloaded means that the request exceeds the capacity of the backends of its service.
 	ReasonOverloaded Reason = "overloaded"
-	// ReasonRetryBudget is that of a request that would have to be sent once more than its service's retry
-	// budget allows.
+	// ReasonRetryBudget means that the retry budget of the service allows no further upstream retry.
 	ReasonRetryBudget    Reason = "retry_budget"
 	ReasonNoCapacity     Reason = "no_room"
 	ReasonPrefillFailed  Reason = "prefill_failed"
 	ReasonBackendRefused Reason = "backend_refused"
-	// ReasonBackendLeft is that of an engine that left while the prompt was being read.
+	// ReasonBackendLeft means that the engine was leaving while the prompt was being prefilled.
 	ReasonBackendLeft   Reason = "backend_left"
 	ReasonBackendFailed Reason = "backend_failed"
 	ReasonDeadline      Reason = "deadline"
@@ -42,12 +41,11 @@
 	ReasonStreamBroken  Reason = "stream_broken"
 )
 
-// failure is the gateway's own final answer. It is an error, so that each step
-// can return it.
+// failure is the gateway's own final answer. It implements error, so that each step can return it.
 type failure struct {
 	status int
 	reason Reason
-	// retryAfter is set where the request has certainly not run.
+	// retryAfter is set if the request has certainly not run.
 	retryAfter time.Duration
 	cause      error
 }
@@ -69,8 +67,7 @@
 	return &failure{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter, cause: cause}
 }
 
-// beyondQuota is the answer to a request beyond the limit of its tenant, which has certainly not
-// run.
+// beyondQuota is the answer to a request beyond the quota of its tenant, which has certainly not run.
 func beyondQuota(retryAfter time.Duration) *failure {
 	return &failure{status: http.StatusTooManyRequests, reason: ReasonQuota, retryAfter: retryAfter}
 }
@@ -80,17 +77,17 @@
 	return &failure{status: http.StatusBadGateway, reason: reason, cause: cause}
 }
 
-// expired is the answer to a request whose time is over.
+// expired is the answer to a request whose deadline has passed.
 func expired(cause error) *failure {
 	return &failure{status: http.StatusGatewayTimeout, reason: ReasonDeadline, cause: cause}
 }
 
-// rejected is the answer to a request that is at fault itself.
+// rejected is the answer to a request that is itself invalid.
 func rejected(status int, reason Reason, cause error) *failure {
 	return &failure{status: status, reason: reason, cause: cause}
 }
 
-// isReason reports whether an error is a failure for a reason.
+// isReason reports whether an error is a failure with the given reason.
 func isReason(err error, reason Reason) bool {
 	var failed *failure
 	return errors.As(err, &failed) && failed.reason == reason
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -10,34 +10,34 @@
 	"github.com/reelrun/reelrun/coordinator"
 )
 
-// keepingCoordinator keeps what it is told of runs that are over.
-type keepingCoordinator struct{ ended []coordinator.Ended }
+// recordingCoordinator records the ends of runs.
+type recordingCoordinator struct{ ended []coordinator.Ended }
 
-func (*keepingCoordinator) Assign(context.Context, coordinator.Request) (coordinator.Assignment, error) {
+func (*recordingCoordinator) Assign(context.Context, coordinator.Request) (coordinator.Assignment, error) {
 	return coordinator.Assignment{}, nil
 }
 
-func (*keepingCoordinator) PromptRead(string, string, string) {}
+func (*recordingCoordinator) PromptRead(string, string, string) {}
 
-func (*keepingCoordinator) EngineFailed(coordinator.Failure) {}
+func (*recordingCoordinator) EngineFailed(coordinator.Failure) {}
 
-func (c *keepingCoordinator) End(ended coordinator.Ended) { c.ended = append(c.ended, ended) }
+func (c *recordingCoordinator) End(ended coordinator.Ended) { c.ended = append(c.ended, ended) }
 
-// TestTheRestOfAStreamTeachesItsOwnPace ends a run of which another engine had made the first
-// part: only the events of the engine itself say how fast it is.
-func TestTheRestOfAStreamTeachesItsOwnPace(t *testing.T) {
+// TestResumedStreamReportsOwnTokenRate ends a run of which another engine had generated the first part:
+// only the events of the engine itself measure its speed.
+func TestResumedStreamReportsOwnTokenRate(t *testing.T) {
 	const (
 		whole, own  = 71, 11
 		eventTokens = 9
 	)
 	g := NewWithT(t)
-	told := &keepingCoordinator{}
+	recorder := &recordingCoordinator{}
 	rest := &reservedEngine{
-		exchange: &exchange{handler: &Handler{options: Options{Coordinator: told}}, service: "s"},
-		run:      "r", taken: time.Now(), end: func() {}, events: own,
+		exchange: &exchange{handler: &Handler{options: Options{Coordinator: recorder}}, service: "s"},
+		run:      "r", reservedAt: time.Now(), end: func() {}, events: own,
 	}
 	rest.close(true, whole, eventTokens)
-	g.Expect(told.ended).To(HaveLen(1))
-	g.Expect(told.ended[0].Output).To(Equal(whole * eventTokens))
-	g.Expect(told.ended[0].Rest).To(Equal((own - 1) * eventTokens))
+	g.Expect(recorder.ended).To(HaveLen(1))
+	g.Expect(recorder.ended[0].Output).To(Equal(whole * eventTokens))
+	g.Expect(recorder.ended[0].Rest).To(Equal((own - 1) * eventTokens))
 }
--- a/gateway/repeats.go
+++ b/gateway/repeats.go
@@ -1,48 +1,48 @@
 package gateway
 
-// retryNoRepeats is when a caller comes back whose request may not be sent again. What it sends then is a
-// first attempt, which asks for no repeat.
-const retryNoRepeats = retryShed
+// noBudgetRetryAfter is the Retry-After of a request that may not be sent again. The client retry is a
+// first attempt to the backends, which needs no retry budget.
+const noBudgetRetryAfter = rejectedRetryAfter
 
-// maySend asks the retry budget for the repeats that the request has made once the given calls have reached
-// back ends. It reports false if the budget does not have them. Those that were asked for before are kept.
-func (x *exchange) maySend(after arrivals) bool { return x.repeats.Reserve(after.beyondFirst()) }
+// maySend reserves, in the retry budget, the retries that the request will have made once the given calls
+// have reached backends. It reports false if the budget does not allow them. Earlier reservations are kept.
+func (x *exchange) maySend(after arrivals) bool { return x.retryGrant.Reserve(after.upstreamRetries()) }
 
-// maySendRun reports whether the request may be sent to one more back end that runs it. A prompt that was
-// rejected makes its first run a repeat.
+// maySendRun reports whether the request may be sent to one more backend that runs it. After a rejected
+// prefill, the first run is already a retry.
 func (x *exchange) maySendRun() bool { return x.maySend(x.arrivals.withRun()) }
 
-// mayStartRun reports whether the prompt may be sent to one more engine and the run begin after that. Both
-// are asked for at once, so that no prompt is read for a run that may not begin.
+// mayStartRun reports whether the prompt may be sent to one more engine and the run start after that. Both
+// are reserved at once, so that no prompt is prefilled for a run that may not start.
 func (x *exchange) mayStartRun() bool {
-	after := x.arrivals.withPrompt()
-	after.promptRead = true
+	after := x.arrivals.withPrefill()
+	after.prefilled = true
 	return x.maySend(after.withRun())
 }
 
-// runRefusal returns the refusal of the request if the retry budget does not have the run that is about to be
-// sent. The cause is why it would be a repeat, where that is known.
-func (x *exchange) runRefusal(cause error) error { return x.refusalOf(x.arrivals.withRun(), cause) }
+// runRefusal returns the rejection of the request if the retry budget does not allow the run that is about
+// to be sent. The cause is why it would be a retry, if that is known.
+func (x *exchange) runRefusal(cause error) error { return x.budgetRefusal(x.arrivals.withRun(), cause) }
 
-// promptRefusal is runRefusal for a prompt. Whether an engine takes it up is not known yet.
-func (x *exchange) promptRefusal() error { return x.refusalOf(x.arrivals.withPrompt(), nil) }
+// prefillRefusal is runRefusal for a prefill. Whether an engine accepts it is not known yet.
+func (x *exchange) prefillRefusal() error { return x.budgetRefusal(x.arrivals.withPrefill(), nil) }
 
-func (x *exchange) refusalOf(after arrivals, cause error) error {
-	if !x.maySend(after) || !x.repeats.MaySend(after.beyondFirst()) {
-		return notRun(ReasonRetryBudget, x.handler.options.Policy.retryAfter(retryNoRepeats), cause)
+func (x *exchange) budgetRefusal(after arrivals, cause error) error {
+	if !x.maySend(after) || !x.retryGrant.MaySend(after.upstreamRetries()) {
+		return notRun(ReasonRetryBudget, x.handler.options.Policy.retryAfter(noBudgetRetryAfter), cause)
 	}
 	return nil
 }
 
-// runArrived counts a run that has reached a back end, or may have.
-func (x *exchange) runArrived() {
+// countRun counts a run that has reached a backend, or may have.
+func (x *exchange) countRun() {
 	x.arrivals = x.arrivals.withRun()
-	x.repeats.Arrived(x.arrivals.beyondFirst())
+	x.retryGrant.Arrived(x.arrivals.upstreamRetries())
 }
 
-// promptArrived counts a prompt that has reached an engine, or may have.
-func (x *exchange) promptArrived(read bool) {
-	x.arrivals = x.arrivals.withPrompt()
-	x.arrivals.promptRead = x.arrivals.promptRead || read
-	x.repeats.Arrived(x.arrivals.beyondFirst())
+// countPrefill counts a prefill call that has reached an engine, or may have.
+func (x *exchange) countPrefill(read bool) {
+	x.arrivals = x.arrivals.withPrefill()
+	x.arrivals.prefilled = x.arrivals.prefilled || read
+	x.retryGrant.Arrived(x.arrivals.upstreamRetries())
 }
--- a/gateway/repeats_test.go
+++ b/gateway/repeats_test.go
@@ -23,16 +23,17 @@
 	"github.com/reelrun/reelrun/routing"
 )
 
-// rejectingDialect has engines reject the first answer of each request, and records when calls of each
-// request reach engines.
+// rejectingDialect has engines reject the first answer of each request, and records when retries reach
+// engines.
 type rejectingDialect struct {
 	parser
 	mu       sync.Mutex
-	prompts  map[string]int
+	prefills map[string]int
 	answers  map[string]int
-	repeated []time.Time
-	// heldUp is how long the second answers of requests that come before a moment are held up on their way.
-	heldUp time.Duration
+	retried  []time.Time
+	// delay is how long the second answers of requests that arrive before a moment are delayed on their
+	// way.
+	delay  time.Duration
 	before time.Time
 }
 
@@ -51,9 +52,9 @@
 func (d *rejectingDialect) Prefill(_ context.Context, _ backend.Backend, request *gateway.Request, _ time.Duration) (*gateway.PrefillResult, *gateway.Answer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.prompts[request.ID]++
-	if d.prompts[request.ID] > 1 {
-		d.repeated = append(d.repeated, time.Now())
+	d.prefills[request.ID]++
+	if d.prefills[request.ID] > 1 {
+		d.retried = append(d.retried, time.Now())
 	}
 	return &gateway.PrefillResult{Handle: "h"}, nil, nil
 }
@@ -64,9 +65,9 @@
 	d.answers[request.ID]++
 	if d.answers[request.ID] > 1 {
 		if time.Now().Before(d.before) {
-			time.Sleep(d.heldUp)
+			time.Sleep(d.delay)
 		}
-		d.repeated = append(d.repeated, time.Now())
+		d.retried = append(d.retried, time.Now())
 	}
 	return &gateway.Answer{
 		Status: http.StatusOK, Header: http.Header{}, NotRun: d.answers[request.ID] == 1,
@@ -74,7 +75,7 @@
 	}, nil
 }
 
-// waitingCoordinator assigns engines, the second time after a wait for those requests that come before a
+// waitingCoordinator assigns engines, the second time after a wait for requests that arrive before a
 // moment.
 type waitingCoordinator struct {
 	fullCoordinator
@@ -93,56 +94,58 @@
 	return coordinator.Assignment{Decode: "decode", Prefill: "prefill"}, nil
 }
 
-// A request whose answer was rejected waited nine seconds for other engines, and was then sent again. Its
-// repeats counted from before the wait, and were forgotten two seconds after they had arrived, so that two
-// windows' worth arrived in one: four calls within 2.1 s where a window of ten allows two. A repeat that was
-// granted counts until it is sent, and from then on for a window.
-func TestRepeatsCountFromWhenTheyAreSent(t *testing.T) {
+// TestUpstreamRetriesCountFromSending guards against counting retries from when they were granted. A
+// request whose answer was rejected waited nine seconds for other engines and was then sent again. Its
+// retries counted from before the wait and expired two seconds after they had arrived, so that two windows'
+// worth arrived in one: four calls within 2.1 s where a window of ten allows two. A granted retry counts
+// until it is sent, and from then on for a window.
+func TestUpstreamRetriesCountFromSending(t *testing.T) {
 	const burst, wait, window = 2, 9 * time.Second, 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		dialect := &rejectingDialect{prompts: map[string]int{}, answers: map[string]int{}}
+		dialect := &rejectingDialect{prefills: map[string]int{}, answers: map[string]int{}}
 		assigned := &waitingCoordinator{wait: wait, before: time.Now().Add(window + time.Second)}
-		handler := newRepeatingHandler(dialect, assigned, burst, window)
+		handler := newRetryingHandler(dialect, assigned, burst, window)
 		time.Sleep(window)
-		ask(handler, "waits")
+		sendRequest(handler, "waits")
 		time.Sleep(window + window/5 - wait)
-		ask(handler, "follows")
-		expectRepeatsWithin(g, dialect.repeated, burst, window)
+		sendRequest(handler, "follows")
+		expectRetriesWithin(g, dialect.retried, burst, window)
 	})
 }
 
-// expectRepeatsWithin wants no window to hold more repeats than the burst.
-func expectRepeatsWithin(g *WithT, repeated []time.Time, burst int, window time.Duration) {
-	g.Expect(repeated).NotTo(BeEmpty())
-	for _, last := range repeated {
-		within := slices.DeleteFunc(slices.Clone(repeated), func(at time.Time) bool {
+// expectRetriesWithin checks that no window holds more retries than the burst.
+func expectRetriesWithin(g *WithT, retried []time.Time, burst int, window time.Duration) {
+	g.Expect(retried).NotTo(BeEmpty())
+	for _, last := range retried {
+		firstTokenBudget := slices.DeleteFunc(slices.Clone(retried), func(at time.Time) bool {
 			return at.After(last) || last.Sub(at) >= window
 		})
-		g.Expect(len(within)).To(BeNumerically("<=", burst))
+		g.Expect(len(firstTokenBudget)).To(BeNumerically("<=", burst))
 	}
 }
 
-// A link held a repeat up for nine seconds. It was forgotten a window after it was sent, and counted at the
-// engine until nine seconds later: three repeats in a window that allows two. A call may arrive at any moment
-// until its answer or its failure is known, so that its repeat counts in each window until then.
-func TestRepeatsThatAreHeldUpCountUntilTheyArrive(t *testing.T) {
-	const burst, heldUp, window = 2, 9 * time.Second, 10 * time.Second
+// TestDelayedUpstreamRetriesCountUntilArrival guards against expiring retries that are still under way. A
+// link delayed a retry by nine seconds. It expired a window after it was sent, but reached the engine up to
+// nine seconds later: three retries in a window that allows two. A call may arrive at any moment until its
+// answer or its failure is known, so its retry counts in each window until then.
+func TestDelayedUpstreamRetriesCountUntilArrival(t *testing.T) {
+	const burst, delay, window = 2, 9 * time.Second, 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		dialect := &rejectingDialect{
-			prompts: map[string]int{}, answers: map[string]int{}, heldUp: heldUp, before: time.Now().Add(window + time.Second),
+			prefills: map[string]int{}, answers: map[string]int{}, delay: delay, before: time.Now().Add(window + time.Second),
 		}
-		handler := newRepeatingHandler(dialect, &waitingCoordinator{}, burst, window)
+		handler := newRetryingHandler(dialect, &waitingCoordinator{}, burst, window)
 		time.Sleep(window)
-		ask(handler, "held up")
-		time.Sleep(window + window/5 - heldUp)
-		ask(handler, "follows")
-		expectRepeatsWithin(NewWithT(t), dialect.repeated, burst, window)
+		sendRequest(handler, "held up")
+		time.Sleep(window + window/5 - delay)
+		sendRequest(handler, "follows")
+		expectRetriesWithin(NewWithT(t), dialect.retried, burst, window)
 	})
 }
 
-// ask sends a request to a handler.
-func ask(handler http.Handler, id string) *httptest.ResponseRecorder {
+// sendRequest sends a request to a handler.
+func sendRequest(handler http.Handler, id string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, "http://h/x", nil)
 	request.Header.Set("Id", id)
 	answer := httptest.NewRecorder()
@@ -150,9 +153,9 @@
 	return answer
 }
 
-// newRepeatingHandler returns a handler of one route of streams with an engine of each role, and so many
-// repeats a window.
-func newRepeatingHandler(dialect gateway.Dialect, assigned gateway.Coordinator, burst float64, window time.Duration) *gateway.Handler {
+// newRetryingHandler returns a handler for one stream route with an engine of each role, and a retry budget
+// of the given burst per window.
+func newRetryingHandler(dialect gateway.Dialect, assigned gateway.Coordinator, burst float64, window time.Duration) *gateway.Handler {
 	backends := backend.NewRegistry(time.Now)
 	backends.Update(backend.Backend{ID: "decode", Service: "s", Role: backend.RoleDecode, State: backend.StateReady})
 	backends.Update(backend.Backend{ID: "prefill", Service: "s", Role: backend.RolePrefill, State: backend.StateReady})
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -7,9 +7,9 @@
 	"github.com/reelrun/reelrun/tenant"
 )
 
-// Request is a caller's request as back ends are to receive it.
+// Request is a caller's request in the form that backends receive.
 type Request struct {
-	// ID is the caller's name of this attempt.
+	// ID is the caller's identifier of this attempt.
 	ID     string
 	Method string
 	Host   string
@@ -17,15 +17,15 @@
 	URI string
 	// Header holds the headers that are passed on.
 	Header http.Header
-	// Credential is what the caller presented; Header does not hold it.
+	// Credential is what the caller presented; it is not part of Header.
 	Credential tenant.Credential
-	// Tenant is the name of the caller's tenant, for back ends; empty where there is none.
+	// Tenant is the name of the caller's tenant, for backends; empty if there is none.
 	Tenant string
 	Body   []byte
-	// Timeout is how long the caller waits, counted from the request's arrival; zero
-	// if it did not say.
+	// Timeout is how long the caller waits, measured from the request's arrival; zero if the request does
+	// not state it.
 	Timeout time.Duration
-	// Generation is what is asked of an engine; zero for other requests.
+	// Generation describes a request to an engine; zero for other requests.
 	Generation Generation
 }
 
@@ -36,6 +36,6 @@
 	MaxOutputTokens int
 	// ExpectedOutputTokens is the caller's estimate; zero if there is none.
 	ExpectedOutputTokens int
-	// LastEventID is set where the caller takes up a stream again.
+	// LastEventID is set if the caller resumes a stream.
 	LastEventID string
 }
--- a/gateway/runname.go
+++ b/gateway/runname.go
@@ -8,12 +8,12 @@
 	"github.com/google/uuid"
 )
 
-// runNamePrefixBytes is how much of a random identifier tells the runs of one
-// process from those of all others.
+// runNamePrefixBytes is the length of the random prefix that distinguishes the runs of one process from
+// those of all others.
 const runNamePrefixBytes = 6
 
-// runNames names the runs of one process. Coordinators do not go by the identifiers
-// of requests: callers choose these, and may choose another tenant's or none.
+// runNames generates the names of the runs of one process. Coordinators do not use the identifiers of
+// requests: callers choose these, and may choose another tenant's or none.
 type runNames struct {
 	prefix string
 	last   atomic.Uint64
--- a/gateway/runname_test.go
+++ b/gateway/runname_test.go
@@ -19,7 +19,7 @@
 	"github.com/reelrun/reelrun/routing"
 )
 
-// fullCoordinator has no capacity and keeps the names of the runs it was asked for.
+// fullCoordinator has no capacity and records the names of the runs requested from it.
 type fullCoordinator struct {
 	mu    sync.Mutex
 	names []string
@@ -38,7 +38,7 @@
 
 func (c *fullCoordinator) End(coordinator.Ended) {}
 
-// parser reads the id of a request alone.
+// parser reads only the id of a request.
 type parser struct{ gateway.Dialect }
 
 func (parser) Parse(r *http.Request) (*gateway.Request, error) {
@@ -47,12 +47,12 @@
 
 func (parser) Measure(*gateway.Request) error { return nil }
 
-// newEngineHandler returns a handler of one route of streams, with one decode engine.
+// newEngineHandler returns a handler for one stream route, with one decode engine.
 func newEngineHandler(dialect gateway.Dialect, assigned gateway.Coordinator) *gateway.Handler {
 	return newLoggingHandler(dialect, assigned, slog.New(slog.DiscardHandler))
 }
 
-// newLoggingHandler is newEngineHandler with a log.
+// newLoggingHandler is newEngineHandler with a logger.
 func newLoggingHandler(dialect gateway.Dialect, assigned gateway.Coordinator, logger *slog.Logger) *gateway.Handler {
 	backends := backend.NewRegistry(time.Now)
 	backends.Update(backend.Backend{ID: "engine", Service: "s", Role: backend.RoleDecode, State: backend.StateReady})
@@ -71,9 +71,9 @@
 	return handler
 }
 
-// TestRunsOfOneRequestIDAreToldApart: what a tenant calls its request must not end
-// or hide a run of another tenant.
-func TestRunsOfOneRequestIDAreToldApart(t *testing.T) {
+// TestRunsWithSameRequestIDAreDistinct checks that the request id chosen by one tenant cannot end or hide a
+// run of another tenant.
+func TestRunsWithSameRequestIDAreDistinct(t *testing.T) {
 	g := NewWithT(t)
 	full := &fullCoordinator{}
 	for _, handler := range []*gateway.Handler{newEngineHandler(parser{}, full), newEngineHandler(parser{}, full)} {
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// leastFirstEventLimit bounds from below how long a decode engine may be silent after its
-	// prompt was read, where the answer can begin at another engine. On the sites' engines the
-	// first event takes some ten milliseconds, and fetching the prompt as much; the limit leaves
-	// most objectives enough time for another engine.
-	leastFirstEventLimit = 400 * time.Millisecond
-	// firstEventFactor is how many times the usual time an engine may be silent.
+	// minFirstEventLimit bounds from below how long a decode engine may be silent after the prefill if the
+	// answer can start at another engine. On the sites' engines the first event takes some ten
+	// milliseconds, and fetching the prompt as much; the limit leaves enough time for another engine within
+	// most objectives.
+	minFirstEventLimit = 400 * time.Millisecond
+	// firstEventFactor is how many times the mean first-event time an engine may be silent.
 	firstEventFactor = 4
-	// unknownFirstEventLimit is the limit before the usual time is known, from so many answers
-	// on. It is below the two seconds after which callers leave.
-	unknownFirstEventLimit = 1500 * time.Millisecond
-	leastFirstEvents       = 10
-	// firstEventWeight is the weight of one answer in the usual time.
+	// initialFirstEventLimit is the limit before minFirstEvents answers have been observed. It is below the
+	// two seconds after which callers disconnect.
+	initialFirstEventLimit = 1500 * time.Millisecond
+	minFirstEvents         = 10
+	// firstEventWeight is the weight of one answer in the mean.
 	firstEventWeight = 0.1
-	// pauseLimitFactor is how many times the longest pause that is in time an engine may be
-	// silent within a stream that can go on elsewhere.
+	// pauseLimitFactor is how many times the longest pause that is in time an engine may be silent within a
+	// stream that can continue at another engine.
 	pauseLimitFactor = 3
-	// leastPauseLimit bounds that from below, where the route names no longest pause.
-	leastPauseLimit = time.Second
+	// minPauseLimit bounds that from below, if the route sets no longest pause.
+	minPauseLimit = time.Second
 )
 
-// errSilent is why an answer was given up whose engine said nothing for too long.
+// errSilent is the cause of an answer abandoned because its engine was silent for too long.
 var errSilent = errors.New("gateway: engine is silent")
 
-// silenceWatch ends an answer whose engine says nothing for too long. A nil watch does nothing.
+// silenceWatch ends an answer whose engine is silent for too long. A nil watch does nothing.
 type silenceWatch struct {
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// watchSilence returns a context that ends with errSilent once a limit has passed since the
-// last call of heard. Stop must be called.
+// watchSilence returns a context that ends with errSilent once the limit has passed since the last call of
+// reset. Stop must be called.
 func watchSilence(ctx context.Context, limit time.Duration) (context.Context, *silenceWatch) {
 	watched, cancel := context.WithCancelCause(ctx)
 	watch := &silenceWatch{cancel: cancel}
@@ -47,8 +47,8 @@
 	return watched, watch
 }
 
-// heard begins the time anew, with another limit.
-func (w *silenceWatch) heard(limit time.Duration) {
+// reset restarts the timer with another limit.
+func (w *silenceWatch) reset(limit time.Duration) {
 	if w != nil {
 		w.timer.Reset(limit)
 	}
@@ -64,11 +64,11 @@
 
 // pauseLimit returns how long an engine may be silent within a stream.
 func (x *exchange) pauseLimit() time.Duration {
-	return max(leastPauseLimit, pauseLimitFactor*x.route.MaxPause)
+	return max(minPauseLimit, pauseLimitFactor*x.route.MaxPause)
 }
 
-// firstEvents learns how long the first event of an answer usually takes, by service. It is safe
-// for concurrent use.
+// firstEvents tracks the mean time to the first event of an answer, by service. It is safe for concurrent
+// use.
 type firstEvents struct {
 	mu        sync.Mutex
 	byService map[string]firstEventTime
@@ -76,45 +76,45 @@
 
 type firstEventTime struct {
 	answers int
-	usual   time.Duration
+	mean    time.Duration
 }
 
-// observe takes note of one answer.
+// observe records one answer.
 func (e *firstEvents) observe(service string, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.byService == nil {
 		e.byService = map[string]firstEventTime{}
 	}
-	known := e.byService[service]
-	known.answers++
-	// The first answers count alike.
-	weight := max(firstEventWeight, 1/float64(known.answers))
-	known.usual += time.Duration(weight * float64(took-known.usual))
-	e.byService[service] = known
+	stats := e.byService[service]
+	stats.answers++
+	// The first answers have equal weights.
+	weight := max(firstEventWeight, 1/float64(stats.answers))
+	stats.mean += time.Duration(weight * float64(took-stats.mean))
+	e.byService[service] = stats
 }
 
 // limit returns how long an engine of a service may be silent before its first event.
 func (e *firstEvents) limit(service string) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	known := e.byService[service]
-	if known.answers < leastFirstEvents {
-		return unknownFirstEventLimit
+	stats := e.byService[service]
+	if stats.answers < minFirstEvents {
+		return initialFirstEventLimit
 	}
-	return max(leastFirstEventLimit, firstEventFactor*known.usual)
+	return max(minFirstEventLimit, firstEventFactor*stats.mean)
 }
 
-// watchDecode watches an engine that is about to answer, if the answer could begin elsewhere.
-func (x *exchange) watchDecode(ctx context.Context, taken *reservedEngine) context.Context {
+// watchDecode watches an engine that is about to answer, if the answer could start at another engine.
+func (x *exchange) watchDecode(ctx context.Context, reserved *reservedEngine) context.Context {
 	if !x.route.Resumable || x.runs+1 >= x.route.MaxAttempts {
 		return ctx
 	}
 	limit := x.handler.firstEvents.limit(x.service)
-	if taken.readsItself {
-		limit += prefillLimit(taken.promptReady)
+	if reserved.localPrefill {
+		limit += prefillLimit(reserved.expectedPrefill)
 	}
 	watched, watch := watchSilence(ctx, limit)
-	taken.silence = watch
+	reserved.silence = watch
 	return watched
 }
--- a/gateway/tenantcounts.go
+++ b/gateway/tenantcounts.go
@@ -4,25 +4,23 @@
 
 // TenantCounts are the requests of one tenant that have ended since the last report.
 type TenantCounts struct {
-	// Asked counts all requests.
-	Asked int `json:"asked"`
+	// Requests counts all requests.
+	Requests int `json:"asked"`
 	// InTime counts answers within the objective, Late the other answers.
 	InTime int `json:"in_time"`
 	Late   int `json:"late"`
-	// Limited counts refusals because of the tenant's limit, Refused other refusals that have
-	// certainly not run, and Failed requests without a good answer that may have run, or whose
-	// caller left.
+	// Limited counts rejections by the tenant's quota, Refused other rejections that have certainly not
+	// run, and Failed requests without a successful answer that may have run, or whose caller disconnected.
 	Limited int `json:"limited"`
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 }
 
 const (
-	// mostTenants bounds the tenants that are counted by name in one report: with 13,000 tenants a
-	// node sees some tens a second.
-	mostTenants = 64
-	// otherTenants is the name under which the rest is counted; no tenant can have it, since names
-	// are not empty.
+	// maxNamedTenants bounds the tenants that are counted by name in one report: with 13,000 tenants a node
+	// serves some tens of them a second.
+	maxNamedTenants = 64
+	// otherTenants is the name for all further tenants; no tenant can have it, since names are not empty.
 	otherTenants = ""
 )
 
@@ -43,7 +41,7 @@
 		c.byTenant = map[string]*TenantCounts{}
 	}
 	name := x.tenant.Name
-	if c.byTenant[name] == nil && len(c.byTenant) >= mostTenants {
+	if c.byTenant[name] == nil && len(c.byTenant) >= maxNamedTenants {
 		name = otherTenants
 	}
 	counts := c.byTenant[name]
@@ -51,7 +49,7 @@
 		counts = &TenantCounts{}
 		c.byTenant[name] = counts
 	}
-	counts.Asked++
+	counts.Requests++
 	change(counts)
 }
 
@@ -59,12 +57,12 @@
 func (c *tenantCounters) take() map[string]*TenantCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	taken := c.byTenant
+	snapshot := c.byTenant
 	c.byTenant = nil
-	return taken
+	return snapshot
 }
 
-// countTenantFailure counts a request of a tenant that got the gateway's own answer.
+// countTenantFailure counts a request of a tenant that the gateway answered itself.
 func (h *Handler) countTenantFailure(x *exchange, final *failure) {
 	h.tenantCounters.add(x, func(counts *TenantCounts) {
 		switch {
--- a/gateway/waits.go
+++ b/gateway/waits.go
@@ -8,56 +8,59 @@
 )
 
 const (
-	// retryAge is the age from which a caller counts as refused before: more than clocks, links and
-	// the callers' own scheduling take from a deadline (3 ms to clients on the sites' sheets).
-	retryAge = 100 * time.Millisecond
-	// fullMargin is by how much a full deadline may be shorter than the longest: callers count it
-	// in whole milliseconds, some from when they began to connect.
-	fullMargin = 20 * time.Millisecond
-	// leastTries is how many tries of a route must have been seen before deadlines tell anything.
-	leastTries = 6
-	// leastFullShare is the least share of tries with the full deadline by which a shorter one shows
-	// a retry. Where all callers wait equally long and each refused one comes back once, it is at
-	// least a half, and 0.4 where three in ten of them repeat three times more. Where callers wait
-	// for 2.55 to 3 s, it is 0.05.
-	leastFullShare = 0.25
-	// rememberedTries bounds how many tries the share is taken of, so that it follows the callers.
-	rememberedTries = 64
+	// minClientRetryAge is the age from which a request counts as a client retry: more than clock
+	// differences, links and the callers' own scheduling take from a deadline (3 ms to clients on the
+	// sites' sheets).
+	minClientRetryAge = 100 * time.Millisecond
+	// fullDeadlineMargin is by how much a full deadline may be shorter than the longest: callers count it
+	// in whole milliseconds, some from when they started to connect.
+	fullDeadlineMargin = 20 * time.Millisecond
+	// minAttempts is how many attempts of a route must have been observed before its deadlines are
+	// evidence.
+	minAttempts = 6
+	// minFullShare is the least share of attempts with the full deadline at which a shorter deadline
+	// indicates a client retry. If all callers wait equally long and each rejected one retries once, it is
+	// at least a half, and 0.4 if three in ten of them retry three times more. If callers wait for 2.55 to
+	// 3 s, it is 0.05.
+	minFullShare = 0.25
+	// attemptWindow bounds the attempts that the share is computed over, so that it adapts to changes of
+	// the callers.
+	attemptWindow = 64
 )
 
-// waitHistory knows how long callers of each route wait. A caller that comes back after a refusal
-// has less time left, by as much as it has waited. That shows only where all callers of a route
-// wait equally long: where deadlines differ by themselves, a first try with a short one would be
-// put behind as a retry, and served late. It is safe for concurrent use.
+// waitHistory tracks how long callers of each route wait. A client retry has less time left, by as much as
+// its caller has waited already. That is evidence only if all callers of a route wait equally long: where
+// deadlines vary by themselves, a first attempt with a short one would be ordered behind others as a retry,
+// and served late. It is safe for concurrent use.
 type waitHistory struct {
 	mu      sync.Mutex
 	byRoute map[routeKey]*routeWaits
 }
 
-// routeKey names a route over all versions of the configuration.
+// routeKey identifies a route across versions of the configuration.
 type routeKey struct{ host, prefix string }
 
-// routeWaits is what is known of one route.
+// routeWaits are the statistics of one route.
 type routeWaits struct {
-	// longest is the longest deadline seen.
+	// longest is the longest deadline observed.
 	longest time.Duration
-	// tries counts those seen, full those of them with about the longest deadline.
-	tries, full float64
+	// attempts counts the observed attempts, full those of them with about the longest deadline.
+	attempts, full float64
 }
 
-// retryEvidence is how long ago a caller seems to have asked first, and how sure that is.
-type retryEvidence struct {
-	// age is zero for a first attempt, and where nothing shows a retry.
+// clientRetryEvidence is the estimated time since the caller's first attempt, and the strength of the
+// evidence.
+type clientRetryEvidence struct {
+	// age is zero for a first attempt, and if nothing indicates a retry.
 	age time.Duration
-	// fullShare is the share of the route's tries that had the full deadline.
+	// fullShare is the share of the route's attempts that had the full deadline.
 	fullShare float64
 }
 
-// observe takes note of a try and judges whether it is a retry, by the time that its caller
-// still waits.
-func (h *waitHistory) observe(route *routing.Route, wait time.Duration) retryEvidence {
+// observe records an attempt and judges by the time left to its caller whether it is a client retry.
+func (h *waitHistory) observe(route *routing.Route, wait time.Duration) clientRetryEvidence {
 	if wait <= 0 {
-		return retryEvidence{}
+		return clientRetryEvidence{}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -65,39 +68,39 @@
 		h.byRoute = map[routeKey]*routeWaits{}
 	}
 	key := routeKey{route.Host, route.PathPrefix}
-	known := h.byRoute[key]
-	if known == nil {
-		known = &routeWaits{}
-		h.byRoute[key] = known
+	waits := h.byRoute[key]
+	if waits == nil {
+		waits = &routeWaits{}
+		h.byRoute[key] = waits
 	}
-	known.add(wait)
-	return known.judge(wait)
+	waits.add(wait)
+	return waits.judge(wait)
 }
 
-// add counts a try.
+// add counts an attempt.
 func (w *routeWaits) add(wait time.Duration) {
-	if w.tries >= rememberedTries {
-		w.tries, w.full = w.tries/2, w.full/2 //nolint:mnd // half
+	if w.attempts >= attemptWindow {
+		w.attempts, w.full = w.attempts/2, w.full/2 //nolint:mnd // half
 	}
-	w.tries++
-	if wait > w.longest+fullMargin {
-		// What seemed to be full deadlines were shorter ones.
+	w.attempts++
+	if wait > w.longest+fullDeadlineMargin {
+		// The deadlines counted as full before were shorter ones.
 		w.full = 0
 	}
 	w.longest = max(w.longest, wait)
-	if w.longest-wait <= fullMargin {
+	if w.longest-wait <= fullDeadlineMargin {
 		w.full++
 	}
 }
 
-// judge tells a retry by its deadline, where most first tries have the same one. The longest
-// deadline itself is always a full one, and shows nothing.
-func (w *routeWaits) judge(wait time.Duration) retryEvidence {
-	if w.tries < leastTries {
-		return retryEvidence{}
+// judge detects a client retry by its deadline, if most first attempts have the same one. The longest
+// deadline itself is always full, and is no evidence.
+func (w *routeWaits) judge(wait time.Duration) clientRetryEvidence {
+	if w.attempts < minAttempts {
+		return clientRetryEvidence{}
 	}
-	evidence := retryEvidence{fullShare: max(0, w.full-1) / (w.tries - 1)}
-	if evidence.fullShare >= leastFullShare {
+	evidence := clientRetryEvidence{fullShare: max(0, w.full-1) / (w.attempts - 1)}
+	if evidence.fullShare >= minFullShare {
 		evidence.age = w.longest - wait
 	}
 	return evidence
