--- a/routing/configuration.go
+++ b/routing/configuration.go
@@ -21,10 +21,10 @@
 	RoleChangeTime time.Duration
 }
 
-// Service is a set of back ends that are alike.
+// Service is a set of interchangeable backends.
 type Service struct {
 	Name string
-	// MaxConnections is how many connections a back end accepts from all callers.
+	// MaxConnections is how many connections a backend accepts from all callers together.
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *EngineProfile
@@ -38,20 +38,19 @@
 	IdleTimeout    time.Duration
 }
 
-// Configuration is one version of all routes, services and limits. It is not
-// changed after New.
+// Configuration is one version of all routes, services and limits. It is immutable after New.
 type Configuration struct {
 	Version  int64
 	Services map[string]*Service
 	Limits   Limits
-	// Tenants are the callers that are known by their keys; nil where callers need none.
+	// Tenants are the callers identified by their keys; nil if callers need none.
 	Tenants *tenant.Directory
-	// routes holds the routes of each host by their prefixes.
+	// routes holds the routes of each host by path prefix.
 	routes map[string]map[string]*Route
 	count  int
 }
 
-// New returns a configuration of the given parts.
+// New returns a configuration with the given parts.
 func New(version int64, routes []*Route, services []*Service, limits Limits) *Configuration {
 	c := &Configuration{
 		Version:  version,
@@ -69,7 +68,7 @@
 	return c
 }
 
-// add puts a route in. Of two with the same prefix the first one counts.
+// add adds a route. The first of two with the same prefix wins.
 func (c *Configuration) add(route *Route) {
 	if c.routes[route.Host] == nil {
 		c.routes[route.Host] = map[string]*Route{}
@@ -79,13 +78,13 @@
 	}
 }
 
-// Match returns the route of a host whose prefix begins the path and is the
-// longest, or nil. Prefixes end with a slash, so that it looks each part of the path that does
-// up, and the cost goes by the path and not by the number of routes.
+// Match returns the route of the host with the longest prefix of the path, or nil. Prefixes end
+// with a slash, so it looks up each prefix of the path that ends with one; the cost depends on the
+// path and not on the number of routes.
 func (c *Configuration) Match(host, path string) *Route {
-	ofHost := c.routes[host]
+	hostRoutes := c.routes[host]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
-		if route := ofHost[path[:end+1]]; route != nil {
+		if route := hostRoutes[path[:end+1]]; route != nil {
 			return route
 		}
 	}
--- a/routing/match_bench_test.go
+++ b/routing/match_bench_test.go
@@ -7,8 +7,7 @@
 	"github.com/reelrun/reelrun/routing"
 )
 
-// BenchmarkMatch measures what finding the route of a request costs, by the number of routes of its
-// host.
+// BenchmarkMatch measures the cost of matching a route, by the number of routes of the host.
 func BenchmarkMatch(b *testing.B) {
 	for _, count := range []int{48, 1_448, 14_048, 20_048} {
 		b.Run(fmt.Sprintf("routes=%d", count), func(b *testing.B) {
--- a/routing/route.go
+++ b/routing/route.go
@@ -7,11 +7,11 @@
 
 // The kinds of a route.
 const (
-	// KindIdempotent may run more than once.
+	// KindIdempotent requests may run more than once.
 	KindIdempotent Kind = "repeatable"
-	// KindNonIdempotent may run at most once for each attempt of a caller.
+	// KindNonIdempotent requests may run at most once for each attempt of a caller.
 	KindNonIdempotent Kind = "once"
-	// KindStream answers with events and may run at most once, unless it is
+	// KindStream requests are answered with events and may run at most once, unless the route is
 	// resumable.
 	KindStream Kind = "stream"
 )
@@ -19,7 +19,7 @@
 // Target is a service that takes a share of a route's requests.
 type Target struct {
 	Service string
-	// Weight is the share of the target, relative to the other targets.
+	// Weight is the relative share of the target among the targets of the route.
 	Weight int
 }
 
@@ -30,25 +30,24 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time that a request is held.
+	// Timeout is the longest time for which a request is held.
 	Timeout time.Duration
-	// Objective is the time inside which an answer (of a stream: its first event)
-	// is in time.
+	// Objective is the time within which an answer (of a stream: its first event) is in time.
 	Objective time.Duration
-	// MaxPause is the longest pause between events of a stream that is in time.
+	// MaxPause is the longest pause between events at which a stream is in time.
 	MaxPause time.Duration
-	// CallerEventTimeout is how long a caller waits for the first event of a stream, or for the next one,
-	// before it leaves; zero where that is not known.
+	// CallerEventTimeout is how long a caller waits for the first event of a stream, or for the
+	// next one, before it disconnects; zero if that is not known.
 	CallerEventTimeout time.Duration
 	// Priority is the rank of the route; 0 is the highest.
 	Priority int
-	// Targets share the requests by weight.
+	// Targets are the services that share the requests by weight.
 	Targets []Target
-	// MaxAttempts is the largest number of back ends that one request may run on.
+	// MaxAttempts is the largest number of backends that one request may run on.
 	MaxAttempts int
-	// Public routes need no key, also where the configuration has tenants.
+	// Public routes need no key, even if the configuration has tenants.
 	Public bool
-	// Resumable streams may go on at another back end after the last event.
+	// Resumable streams may continue at another backend after the last event.
 	Resumable bool
 }
 
@@ -57,8 +56,7 @@
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
-// Target picks the service of a request. The draw is a number from 0 up to,
-// but not including, 1.
+// Target picks the service of a request. The draw is a number in [0, 1).
 func (r *Route) Target(draw float64) string {
 	total := 0
 	for _, target := range r.Targets {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -10,7 +10,7 @@
 	"github.com/reelrun/reelrun/routing"
 )
 
-// TestLongestPrefixWins compares the table with a search over all routes.
+// TestLongestPrefixWins compares Match with a linear search over all routes.
 func TestLongestPrefixWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"a", "b", "ab"})
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestTargetsShareByWeight(t *testing.T) {
+func TestTargetsSplitByWeight(t *testing.T) {
 	g := NewWithT(t)
 	route := &routing.Route{Targets: []routing.Target{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}}}
 	counts := map[string]int{}
