--- a/backendhttp/doc.go
+++ b/backendhttp/doc.go
@@ -1,3 +1,3 @@
-// Package backendhttp sends requests to back ends over HTTP/1.1 and tells whether any byte
-// of a request left this node: one that did not has certainly not run.
+// Package backendhttp sends requests to backends over HTTP/1.1 and determines whether any byte of a
+// request left this node: a request that did not leave has certainly not run.
 package backendhttp
--- a/backendhttp/exchange.go
+++ b/backendhttp/exchange.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to a back end.
+	// dialTimeout bounds the opening of a connection to a backend.
 	dialTimeout = 500 * time.Millisecond
-	// idleTimeout is how long an unused connection to a back end is kept.
+	// idleTimeout is how long an idle connection to a backend is kept.
 	idleTimeout = 2 * time.Second
-	// idlePerBackend is how many unused connections to a back end are kept.
-	idlePerBackend = 16
+	// maxIdlePerBackend is how many idle connections to a backend are kept.
+	maxIdlePerBackend = 16
 	// maxAnswerHeadBytes bounds the head of an answer.
 	maxAnswerHeadBytes = 64 << 10
 )
@@ -33,8 +33,7 @@
 // DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Conn counts what was written to it, so that a failed call can tell whether anything
-// was sent.
+// Conn counts the bytes written to it, so that a failed call can tell whether anything was sent.
 type Conn struct {
 	net.Conn
 	written atomic.Int64
@@ -47,17 +46,17 @@
 	return n, err
 }
 
-// Transport sends requests. It is safe for concurrent use.
+// Transport sends requests to backends. It is safe for concurrent use.
 type Transport struct {
 	http  *http.Transport
 	clock *clock.Clock
-	// usedAt is when a request was last sent, by the clock, in nanoseconds.
-	usedAt atomic.Int64
+	// lastUsedAt is when a request was last sent, by the clock, in nanoseconds.
+	lastUsedAt atomic.Int64
 }
 
-// NewTransport returns a transport that opens connections by a function.
-func NewTransport(dial DialFunc, counting *clock.Clock) *Transport {
-	return &Transport{clock: counting, http: &http.Transport{
+// NewTransport returns a transport that opens connections with the given function.
+func NewTransport(dial DialFunc, source *clock.Clock) *Transport {
+	return &Transport{clock: source, http: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
@@ -68,14 +67,14 @@
 			return &Conn{Conn: conn}, nil
 		},
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    idlePerBackend,
+		MaxIdleConnsPerHost:    maxIdlePerBackend,
 		IdleConnTimeout:        idleTimeout,
 		MaxResponseHeaderBytes: maxAnswerHeadBytes,
 	}}
 }
 
-// Refuses reports whether nothing listens at an address. It is false where the connection comes up,
-// or where nothing is heard in time.
+// Refuses reports whether nothing listens at an address. It is false if the connection is
+// established, or if the attempt times out.
 func (t *Transport) Refuses(ctx context.Context, address string) bool {
 	conn, err := t.http.DialContext(ctx, "tcp", address)
 	if err == nil {
@@ -85,17 +84,17 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// CloseIdle closes the connections that are not in use.
+// CloseIdle closes the idle connections.
 func (t *Transport) CloseIdle() { t.http.CloseIdleConnections() }
 
-// onceBody is a request's body that the transport cannot send a second time by itself, as
-// it would for some methods.
-type onceBody struct{ io.Reader }
+// singleUseBody is a request body that the transport cannot send again by itself, as it would for
+// some methods.
+type singleUseBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (singleUseBody) Close() error { return nil }
 
-// NewRequest returns a request to a back end. The URI is a path with its query.
+// NewRequest returns a request to a backend. The URI is a path with its query.
 func NewRequest(ctx context.Context, method, address, uri string, body []byte) (*http.Request, error) {
 	target, err := url.ParseRequestURI(uri)
 	if err != nil {
@@ -105,17 +104,17 @@
 	request := &http.Request{
 		Method: method, URL: target, Host: address, Header: http.Header{},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Body: onceBody{bytes.NewReader(body)}, ContentLength: int64(len(body)),
+		Body: singleUseBody{bytes.NewReader(body)}, ContentLength: int64(len(body)),
 	}
 	return request.WithContext(ctx), nil
 }
 
-// closeOutdated closes the unused connections if none has been used for longer than they are kept. The
-// timers by which they are closed stand still while the machine is suspended; back ends close them
-// meanwhile, and a request that may run only once would be lost on one.
-func (t *Transport) closeOutdated() {
+// closeStaleIdle closes the idle connections if none has been used for longer than idleTimeout. The
+// transport's idle timers stop while the machine is suspended; backends close the connections
+// meanwhile, and a non-idempotent request sent on one would be lost.
+func (t *Transport) closeStaleIdle() {
 	now := t.clock.Now().UnixNano()
-	if before := t.usedAt.Swap(now); now-before > int64(idleTimeout) {
+	if before := t.lastUsedAt.Swap(now); now-before > int64(idleTimeout) {
 		t.CloseIdle()
 	}
 }
@@ -123,7 +122,7 @@
 // Exchange sends a request and returns the response with the connection used. The error is
 // marked by gateway.ErrNotSent where no byte was written.
 func (t *Transport) Exchange(request *http.Request) (*http.Response, *Conn, error) {
-	t.closeOutdated()
+	t.closeStaleIdle()
 	var mu sync.Mutex
 	var used *Conn
 	var before int64
@@ -145,7 +144,8 @@
 		return response, used, nil
 	}
 	if reused && errors.Is(err, context.DeadlineExceeded) {
-		// Where one kept connection has fallen silent, others may have as well. New ones work.
+		// If one idle connection has become unresponsive, others may have as well. New connections
+		// are not affected.
 		t.CloseIdle()
 	}
 	if used == nil || used.written.Load() == before {
@@ -154,7 +154,7 @@
 	return nil, used, err
 }
 
-// Abandon closes a response's connection, so that nothing follows on it.
+// Abandon closes a response and its connection, so that the connection is not reused.
 func Abandon(response *http.Response, conn *Conn) {
 	_ = response.Body.Close()
 	if conn != nil {
--- a/backendhttp/exchange_test.go
+++ b/backendhttp/exchange_test.go
@@ -43,13 +43,13 @@
 	return err
 }
 
-// TestNotSent tells a back end that was never reached from one that may have run the
-// request before it closed the connection.
+// TestNotSent distinguishes a backend that was never reached from one that may have run the request
+// before it closed the connection.
 func TestNotSent(t *testing.T) {
 	g := NewWithT(t)
-	gone := listen(t)
-	g.Expect(gone.Close()).To(Succeed())
-	g.Expect(errors.Is(exchange(t, gone.Addr().String()), gateway.ErrNotSent)).To(BeTrue())
+	closed := listen(t)
+	g.Expect(closed.Close()).To(Succeed())
+	g.Expect(errors.Is(exchange(t, closed.Addr().String()), gateway.ErrNotSent)).To(BeTrue())
 
 	closing := listen(t)
 	received := make(chan []byte, 1)
@@ -69,9 +69,10 @@
 	g.Expect(string(<-received)).To(Equal("PUT /x?y=1"))
 }
 
-// TestConnectionsFromBeforeASuspensionAreNotUsed: a back end closes an unused connection after some
-// seconds, which the timers of a suspended machine do not count. A request on it would be lost.
-func TestConnectionsFromBeforeASuspensionAreNotUsed(t *testing.T) {
+// TestIdleConnectionsAreClosedAfterSuspension guards against sending a request on an idle
+// connection from before a suspension of the machine. A backend closes it after some seconds, which
+// the timers of a suspended machine do not count, and the request would be lost.
+func TestIdleConnectionsAreClosedAfterSuspension(t *testing.T) {
 	g := NewWithT(t)
 	var opened atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -84,8 +85,8 @@
 	t.Cleanup(server.Close)
 	var suspended atomic.Int64
 	started := time.Now()
-	counting := clock.New(func() time.Duration { return time.Since(started) + time.Duration(suspended.Load()) })
-	transport := backendhttp.NewTransport(new(net.Dialer).DialContext, counting)
+	source := clock.New(func() time.Duration { return time.Since(started) + time.Duration(suspended.Load()) })
+	transport := backendhttp.NewTransport(new(net.Dialer).DialContext, source)
 	t.Cleanup(transport.CloseIdle)
 	send := func() {
 		request, err := backendhttp.NewRequest(t.Context(), http.MethodPut, server.Listener.Addr().String(), "/x", []byte("body"))
@@ -99,7 +100,7 @@
 	send()
 	g.Expect(opened.Load()).To(BeEquivalentTo(1))
 	suspended.Add(int64(10 * time.Second))
-	counting.Exact()
+	source.Exact()
 	send()
 	g.Expect(opened.Load()).To(BeEquivalentTo(2))
 }
