--- a/httpheader/endtoend.go
+++ b/httpheader/endtoend.go
@@ -1,5 +1,5 @@
-// Package httpheader reads headers of HTTP messages: it parts those that concern one connection from
-// those that are passed on, and decodes when a server wants to be called again.
+// Package httpheader processes headers of HTTP messages: it removes hop-by-hop headers and parses
+// Retry-After.
 package httpheader
 
 import (
@@ -8,15 +8,14 @@
 	"strings"
 )
 
-// connectionHeaders concern one connection and are never passed on (RFC 9110, section
-// 7.6.1).
-var connectionHeaders = []string{
+// hopByHopHeaders concern one connection and are never forwarded (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns the headers without those that concern one connection, also those that
-// the Connection header names.
+// EndToEnd returns the headers without the hop-by-hop ones, including those that the Connection
+// header names.
 func EndToEnd(header http.Header) http.Header {
 	passed := header.Clone()
 	for _, value := range header["Connection"] {
@@ -24,7 +23,7 @@
 			passed.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		passed.Del(name)
 	}
 	return passed
--- a/httpheader/endtoend_test.go
+++ b/httpheader/endtoend_test.go
@@ -9,8 +9,8 @@
 	"github.com/reelrun/reelrun/httpheader"
 )
 
-// TestEndToEnd wants exactly the headers of one connection left out, and the given ones
-// unchanged.
+// TestEndToEnd checks that exactly the hop-by-hop headers are removed, and that the given headers
+// are unchanged.
 func TestEndToEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfDistinct(rapid.SampledFrom([]string{"X-One", "X-Two", "X-Three", "Te", "Upgrade"}), rapid.ID[string]).Draw(t, "names")
@@ -22,8 +22,8 @@
 		before := header.Clone()
 		passed := httpheader.EndToEnd(header)
 		for name := range before {
-			ofConnection := name == "Connection" || name == "Te" || name == "Upgrade" || name == http.CanonicalHeaderKey(named)
-			if _, kept := passed[name]; kept == ofConnection {
+			hopByHop := name == "Connection" || name == "Te" || name == "Upgrade" || name == http.CanonicalHeaderKey(named)
+			if _, kept := passed[name]; kept == hopByHop {
 				t.Fatalf("%s kept: %t", name, kept)
 			}
 			if len(header[name]) != len(before[name]) {
--- a/httpheader/retryafter.go
+++ b/httpheader/retryafter.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// longestRetryAfter bounds for how long a back end is left alone on its own word. A longer wish is more
-// likely a fault; a back end that still wants backoff then says so in its next answer.
-const longestRetryAfter = 10 * time.Minute
+// maxRetryAfter bounds how long a backend is avoided at its own request. A longer time is more
+// likely a fault; a backend that still wants backoff then says so in its next answer.
+const maxRetryAfter = 10 * time.Minute
 
-// RetryAfter returns how long a back end asks its caller to stay away, or zero where it does not. It
-// reads the form in seconds (RFC 9110, section 10.2.3), also with fractions; a date is not read,
+// RetryAfter returns for how long a backend asks its caller to stay away, or zero if it does not.
+// It parses the form in seconds (RFC 9110, section 10.2.3), also with fractions; a date is ignored,
 // because clocks differ between machines by more than the times asked for.
 func RetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(header.Get("Retry-After")), 64)
 	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
 		return 0
 	}
-	if seconds >= longestRetryAfter.Seconds() {
-		return longestRetryAfter
+	if seconds >= maxRetryAfter.Seconds() {
+		return maxRetryAfter
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/httpheader/retryafter_test.go
+++ b/httpheader/retryafter_test.go
@@ -21,7 +21,7 @@
 	NewWithT(t).Expect(httpheader.RetryAfter(nil)).To(BeZero())
 }
 
-// FuzzRetryAfter wants a bounded time from any text.
+// FuzzRetryAfter checks that any text gives a bounded time.
 func FuzzRetryAfter(f *testing.F) {
 	for _, text := range []string{"3", "0.5", "-0", "1e-320", "0x1p4", "9223372036854775807"} {
 		f.Add(text)
