--- a/engine/client.go
+++ b/engine/client.go
@@ -64,21 +64,22 @@
 	return newStream(response.Body, attempt, offset), nil
 }
 
-// Cancel ends an attempt at an engine and frees its memory. The engine refuses
-// the attempt if it arrives later. Cancel can be repeated.
+// Cancel ends an attempt at an engine and frees its memory. The engine rejects the
+// attempt if it arrives later. Cancel is idempotent.
 func (c *Client) Cancel(ctx context.Context, address string, attempt Attempt) error {
 	return c.control(ctx, http.MethodPost, address, PathStreams+"/"+attempt.String()+"/cancel", nil)
 }
 
-// Streams lists what the engine holds.
+// Streams lists the prefill results and streams that the engine holds.
 func (c *Client) Streams(ctx context.Context, address string) ([]StreamStatus, error) {
 	var streams []StreamStatus
 	err := c.control(ctx, http.MethodGet, address, PathStreams, &streams)
 	return streams, err
 }
 
-// Ended reports whether the engine's process is known to have ended: nothing listens at its address
-// any more. It is false where that cannot be found out before the context ends.
+// Ended reports whether the engine's process is known to have terminated: nothing
+// listens at its address any more. It is false if that cannot be determined before
+// the context ends.
 func (c *Client) Ended(ctx context.Context, address string) bool {
 	target := url.URL{Scheme: "http", Host: address, Path: PathLoad}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), http.NoBody)
@@ -92,7 +93,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Load returns the engine's lagging load report.
+// Load returns the engine's load report, which lags behind.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
 	var load Load
 	err := c.control(ctx, http.MethodGet, address, PathLoad, &load)
@@ -107,9 +108,9 @@
 	return events, err
 }
 
-// Order sends a fenced order. The context bounds the time it can be under way.
-// Guard is asked when the connection stands, right before the order is written;
-// its error keeps the order from being sent.
+// Order sends a fenced order. The context bounds the time that it can be in flight.
+// Guard is called when the connection is established, right before the order is
+// written; its error prevents the order from being sent.
 func (c *Client) Order(ctx context.Context, address string, order Order, guard func() error) error {
 	encoded, err := json.Marshal(order)
 	if err != nil {
@@ -126,18 +127,18 @@
 	return response.Body.Close()
 }
 
-// guardedReader asks its guard before the first byte is read.
+// guardedReader calls its guard before the first byte is read.
 type guardedReader struct {
 	reader  io.Reader
 	guard   func() error
-	asked   bool
+	checked bool
 	refused error
 }
 
 // Read implements io.Reader.
 func (r *guardedReader) Read(buffer []byte) (int, error) {
-	if !r.asked {
-		r.asked = true
+	if !r.checked {
+		r.checked = true
 		r.refused = r.guard()
 	}
 	if r.refused != nil {
@@ -168,7 +169,7 @@
 	}
 	decoder := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes))
 	if err := decoder.Decode(result); err != nil {
-		return unknown(err)
+		return unknownOutcome(err)
 	}
 	return nil
 }
@@ -203,7 +204,7 @@
 		if !connected.Load() {
 			return nil, api.NewError(http.StatusBadGateway, api.CodeBackendFailed, api.OutcomeNotRun, "engine cannot be reached")
 		}
-		return nil, unknown(err)
+		return nil, unknownOutcome(err)
 	}
 	if response.StatusCode != http.StatusOK {
 		defer func() { _ = response.Body.Close() }()
@@ -212,22 +213,22 @@
 	return response, nil
 }
 
-// unknown hides the cause, which may name addresses, from the caller's message
-// but keeps it for logs.
-func unknown(cause error) error {
-	typed := api.NewError(http.StatusBadGateway, api.CodeBackendFailed, api.OutcomeUnknown, "engine failed during the request")
-	return errors.WithSecondaryError(typed, cause)
+// unknownOutcome hides the cause, which may contain addresses, from the message to
+// the caller but keeps it for logs.
+func unknownOutcome(cause error) error {
+	apiErr := api.NewError(http.StatusBadGateway, api.CodeBackendFailed, api.OutcomeUnknown, "engine failed during the request")
+	return errors.WithSecondaryError(apiErr, cause)
 }
 
 func errorReply(response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	if err != nil {
-		return unknown(err)
+		return unknownOutcome(err)
 	}
-	typed := &api.Error{}
-	if json.Unmarshal(body, typed) != nil || typed.Code == "" {
-		return unknown(errors.Newf("status %d", response.StatusCode))
+	apiErr := &api.Error{}
+	if json.Unmarshal(body, apiErr) != nil || apiErr.Code == "" {
+		return unknownOutcome(errors.Newf("status %d", response.StatusCode))
 	}
-	typed.Status = response.StatusCode
-	return typed
+	apiErr.Status = response.StatusCode
+	return apiErr
 }
--- a/engine/dialect/answer.go
+++ b/engine/dialect/answer.go
@@ -11,19 +11,20 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// answerBody is an engine's stream as the events that a caller receives.
+// answerBody converts an engine's stream into the events that a caller receives.
 type answerBody struct {
 	stream *engine.Stream
 	// next is the offset of the first token that the caller lacks.
 	next int
-	// release frees what the engines keep: the prompt, and the stream unless it is whole.
+	// release frees what the engines keep: the prefill result, and the stream unless it is
+	// complete.
 	release func(whole bool)
-	// pending is what has not been read of the last event.
+	// pending is the unread part of the last event.
 	pending bytes.Buffer
 	whole   bool
 }
 
-// Read implements io.Reader. It fails where the stream ends before its last token.
+// Read implements io.Reader. It fails if the stream ends before its last token.
 func (b *answerBody) Read(buffer []byte) (int, error) {
 	for b.pending.Len() == 0 {
 		if b.whole {
@@ -36,7 +37,7 @@
 	return b.pending.Read(buffer)
 }
 
-// advance takes the next token, or the end, from the stream.
+// advance reads the next token, or the end, from the stream.
 func (b *answerBody) advance() error {
 	token, _, err := b.stream.Next()
 	switch {
@@ -54,7 +55,8 @@
 	return errors.Wrap(err, "encode event")
 }
 
-// Close implements io.Closer. Engines keep prompts and streams until they are cancelled.
+// Close implements io.Closer. Engines keep prefill results and streams until they are
+// cancelled.
 func (b *answerBody) Close() error {
 	b.stream.Close()
 	b.release(b.whole)
--- a/engine/dialect/dialect.go
+++ b/engine/dialect/dialect.go
@@ -20,12 +20,12 @@
 
 // Headers of requests.
 const (
-	// HeaderRequestID is the caller's name of an attempt.
+	// HeaderRequestID is the caller's identifier of an attempt.
 	HeaderRequestID = "Reelrun-Request-Id"
-	// HeaderWait is how long the caller waits, and to back ends how long is left, in
+	// HeaderWait is how long the caller waits, and to backends the time left, in
 	// milliseconds.
 	HeaderWait = "Reelrun-Wait-Ms"
-	// HeaderLastEvent is the id of the last event that the caller has.
+	// HeaderLastEvent is the id of the last event that the caller has received.
 	HeaderLastEvent = "Last-Event-Id"
 )
 
@@ -34,21 +34,21 @@
 
 // Options are the parts of a Dialect.
 type Options struct {
-	// Node names this node to engines as the holder of its streams.
+	// Node identifies this node to engines as the holder of its streams.
 	Node string
 	// Engines calls the engines.
 	Engines *engine.Client
 	// Services sends requests to plain services.
 	Services *backendhttp.Transport
-	// Observe is called with what plain services say of themselves. Default: nobody hears it.
+	// Observe is called with the notices of plain services. Default: they are ignored.
 	Observe backend.Observer
 }
 
-// Dialect speaks the product's own engine protocol. It is safe for concurrent use.
+// Dialect implements the product's own engine protocol. It is safe for concurrent use.
 type Dialect struct {
 	options Options
-	// name is part of the name of each attempt, so that nothing that a caller chooses
-	// names one.
+	// name is part of the identifier of each attempt, so that no identifier is chosen by a
+	// caller.
 	name     string
 	attempts atomic.Uint32
 }
@@ -63,7 +63,7 @@
 	return &Dialect{options: options, name: uuid.NewString()}
 }
 
-// generationBody is what the dialect reads of a request's body.
+// generationBody is the part of a request's body that the dialect reads.
 type generationBody struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -92,7 +92,7 @@
 	return request, nil
 }
 
-// Measure implements gateway.Dialect. The sizes stand in the body.
+// Measure implements gateway.Dialect. The sizes are in the body.
 func (d *Dialect) Measure(request *gateway.Request) error {
 	body, err := parseBody(request)
 	if err != nil {
@@ -129,13 +129,12 @@
 	return last + 1, nil
 }
 
-// newAttempt names an attempt that no engine has seen.
+// newAttempt returns an attempt with an identifier that no engine has seen.
 func (d *Dialect) newAttempt() engine.Attempt { return d.attempt(d.attempts.Add(1)) }
 
 func (d *Dialect) holder() engine.Holder { return engine.Holder{Node: d.options.Node} }
 
-// Send implements gateway.Dialect. These services state nothing of requests that they have
-// not run.
+// Send implements gateway.Dialect. Plain services do not state that a request has not run.
 func (d *Dialect) Send(ctx context.Context, target backend.Backend, request *gateway.Request, left time.Duration) (*gateway.Answer, error) {
 	outgoing, err := backendhttp.NewRequest(ctx, request.Method, target.Address, request.URI, request.Body)
 	if err != nil {
@@ -155,8 +154,8 @@
 	return &gateway.Answer{Status: response.StatusCode, Header: httpheader.EndToEnd(response.Header), Body: response.Body}, nil
 }
 
-// Reserve implements gateway.Dialect. These engines have no reservations: room is known
-// when the answer begins.
+// Reserve implements gateway.Dialect. These engines have no reservations: whether there is
+// capacity is known when the answer starts.
 func (d *Dialect) Reserve(context.Context, backend.Backend, int, time.Duration) (*gateway.Reservation, error) {
 	return &gateway.Reservation{}, nil
 }
@@ -166,11 +165,11 @@
 
 // Discard implements gateway.Dialect.
 func (d *Dialect) Discard(ctx context.Context, target backend.Backend, result gateway.PrefillResult) error {
-	read, err := parseHandle(result.Handle)
+	prefilled, err := parseHandle(result.Handle)
 	if err != nil {
 		return err
 	}
-	return d.options.Engines.Cancel(ctx, target.Address, d.attempt(read.number))
+	return d.options.Engines.Cancel(ctx, target.Address, d.attempt(prefilled.number))
 }
 
 // cancel frees what an engine keeps of an attempt. It does not wait.
@@ -178,8 +177,8 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	go func() {
 		defer cancel()
-		// An engine that does not hear of it drops a prompt after a while; a stream that
-		// nobody reads is found by its holder's name.
+		// If the call is lost, the engine drops a prefill result after a while; a stream
+		// without a reader is found by the name of its holder.
 		_ = d.options.Engines.Cancel(ctx, address, attempt)
 	}()
 }
--- a/engine/dialect/dialect_test.go
+++ b/engine/dialect/dialect_test.go
@@ -35,12 +35,12 @@
 const (
 	model  = "plan-llm"
 	prompt = "a history of some length, read before the answer begins"
-	// memory is that of one engine, in tokens.
-	memory = 1000
-	soon   = 5 * time.Second
+	// memory is the memory of one engine, in tokens.
+	memory            = 1000
+	eventuallyTimeout = 5 * time.Second
 )
 
-// fixture is a gateway before stand-in engines of the product's own protocol.
+// fixture is a gateway with simulated engines of the product's own protocol.
 type fixture struct {
 	caller   *httptest.Server
 	backends *backend.Registry
@@ -65,7 +65,7 @@
 	handler := gateway.New(gateway.Options{
 		Dialect: dialect.New(dialect.Options{
 			Node: "node", Engines: engine.NewClient(calls), Services: services,
-			Observe: func(target backend.Backend, said backend.Notice) { f.backends.Heard(target, said) },
+			Observe: func(target backend.Backend, notice backend.Notice) { f.backends.Heard(target, notice) },
 		}),
 		Backends: f.backends,
 		Budget: retrybudget.New(retrybudget.Options{
@@ -110,8 +110,8 @@
 	})
 }
 
-// ask sends a request on a path and returns the answer with its body unread.
-func (f *fixture) ask(ctx context.Context, t *testing.T, path, body, lastEvent string) *http.Response {
+// send sends a request on a path and returns the answer with its body unread.
+func (f *fixture) send(ctx context.Context, t *testing.T, path, body, lastEvent string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.caller.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -150,17 +150,17 @@
 	return ids, joined.String(), lines.Err()
 }
 
-// holdsNothing waits until no engine keeps anything.
-func (f *fixture) holdsNothing(g *WithT) {
+// expectNothingHeld waits until no engine holds memory.
+func (f *fixture) expectNothingHeld(g *WithT) {
 	for name, held := range f.engines {
-		g.Eventually(func() int { return held.Report().HeldKVTokens }, soon).Should(BeZero(), name)
+		g.Eventually(func() int { return held.Report().HeldKVTokens }, eventuallyTimeout).Should(BeZero(), name)
 	}
 }
 
 func TestWholeAnswer(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, time.Millisecond)
-	response := f.ask(t.Context(), t, "/plan/draft", generation(20), "")
+	response := f.send(t.Context(), t, "/plan/draft", generation(20), "")
 	g.Expect(response.StatusCode).To(Equal(http.StatusOK))
 	ids, joined, err := text(response.Body)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -169,10 +169,10 @@
 	g.Expect(ids[19]).To(Equal("19"))
 }
 
-func TestAnswerGoesOnAfterTheLastEvent(t *testing.T) {
+func TestAnswerResumesAfterLastEvent(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, time.Millisecond)
-	response := f.ask(t.Context(), t, "/plan/draft", generation(20), "11")
+	response := f.send(t.Context(), t, "/plan/draft", generation(20), "11")
 	ids, joined, err := text(response.Body)
 	g.Expect(err).NotTo(HaveOccurred())
 	whole := answer.Whole(model, prompt, 20)
@@ -180,12 +180,12 @@
 	g.Expect(ids[0]).To(Equal("12"))
 }
 
-// TestEngineDiesMidway breaks the connections of the decode engine in the middle of an
-// answer: it goes on at another engine, each token once.
-func TestEngineDiesMidway(t *testing.T) {
+// TestEngineFailsMidStream breaks the connections of the decode engine in the middle of an
+// answer: it must continue at another engine, with each token once.
+func TestEngineFailsMidStream(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 2*time.Millisecond)
-	response := f.ask(t.Context(), t, "/plan/draft", generation(300), "")
+	response := f.send(t.Context(), t, "/plan/draft", generation(300), "")
 	reader := bufio.NewReader(response.Body)
 	first, err := reader.ReadString('\n')
 	g.Expect(err).NotTo(HaveOccurred())
@@ -195,29 +195,29 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(joined).To(Equal(answer.Whole(model, prompt, 300)))
 	g.Expect(ids).To(HaveLen(300))
-	f.holdsNothing(g)
+	f.expectNothingHeld(g)
 }
 
-func TestCallerThatLeavesHoldsNothing(t *testing.T) {
+func TestCallerDisconnectFreesEngines(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 20*time.Millisecond)
-	ctx, leave := context.WithCancel(t.Context())
-	response := f.ask(ctx, t, "/plan/draft", generation(500), "")
+	ctx, disconnect := context.WithCancel(t.Context())
+	response := f.send(ctx, t, "/plan/draft", generation(500), "")
 	_, err := bufio.NewReader(response.Body).ReadString('\n')
 	g.Expect(err).NotTo(HaveOccurred())
-	leave()
-	f.holdsNothing(g)
+	disconnect()
+	f.expectNothingHeld(g)
 }
 
-// TestFullEngineRefuses asks for more than an engine holds: nothing has run, the caller is
-// told when to come back, and no prompt is kept.
-func TestFullEngineRefuses(t *testing.T) {
+// TestFullEngineRejects requests more than an engine holds: nothing has run, the caller
+// gets a Retry-After, and no prefill result is kept.
+func TestFullEngineRejects(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, time.Millisecond)
-	response := f.ask(t.Context(), t, "/plan/draft", generation(memory+1), "")
+	response := f.send(t.Context(), t, "/plan/draft", generation(memory+1), "")
 	g.Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(response.Header.Get("Retry-After")).NotTo(BeEmpty())
-	f.holdsNothing(g)
+	f.expectNothingHeld(g)
 }
 
 func TestMalformedRequests(t *testing.T) {
@@ -230,7 +230,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			f := newFixture(t, time.Millisecond)
-			g.Expect(f.ask(t.Context(), t, "/plan/draft", test.body, test.lastEvent).StatusCode).To(Equal(http.StatusBadRequest))
+			g.Expect(f.send(t.Context(), t, "/plan/draft", test.body, test.lastEvent).StatusCode).To(Equal(http.StatusBadRequest))
 		})
 	}
 }
@@ -238,27 +238,27 @@
 func TestPlainService(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, time.Millisecond)
-	response := f.ask(t.Context(), t, "/app/log?x=1", "body", "")
+	response := f.send(t.Context(), t, "/app/log?x=1", "body", "")
 	g.Expect(response.StatusCode).To(Equal(http.StatusOK))
 	body, err := io.ReadAll(response.Body)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(bytes.Contains(body, []byte(`"/app/log"`))).To(BeTrue(), string(body))
 }
 
-// TestAPlainServiceGetsTheBackoffThatItAsksFor has the only back end of a service ask for backoff.
-func TestAPlainServiceGetsTheBackoffThatItAsksFor(t *testing.T) {
+// TestPlainServiceBackoffIsHonored has the only backend of a service request backoff.
+func TestPlainServiceBackoffIsHonored(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, time.Millisecond)
 	var received atomic.Int32
-	tired := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	overloaded := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		received.Add(1)
 		w.Header().Set("Retry-After", "60")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	t.Cleanup(tired.Close)
-	f.backends.Update(backend.Backend{ID: "app", Service: "plain", Address: tired.Listener.Addr().String(), State: backend.StateReady})
+	t.Cleanup(overloaded.Close)
+	f.backends.Update(backend.Backend{ID: "app", Service: "plain", Address: overloaded.Listener.Addr().String(), State: backend.StateReady})
 	for range 5 {
-		f.ask(t.Context(), t, "/app/x", "b", "")
+		f.send(t.Context(), t, "/app/x", "b", "")
 	}
 	g.Expect(received.Load()).To(BeEquivalentTo(1))
 }
--- a/engine/dialect/generate.go
+++ b/engine/dialect/generate.go
@@ -16,11 +16,11 @@
 	"github.com/reelrun/reelrun/gateway"
 )
 
-// readOnly is the least number of tokens for which a prefill engine only reads the prompt;
-// asked for one, it answers by itself.
-const readOnly = 2
+// minPrefillOnlyTokens is the least number of tokens for which a prefill engine only
+// prefills the prompt; asked for one token, it answers the request without a decode engine.
+const minPrefillOnlyTokens = 2
 
-// handle names a prompt that was read: the number of its attempt and the engine's result.
+// handle identifies a prefilled prompt: the number of its attempt and the engine's result.
 type handle struct {
 	number uint32
 	result string
@@ -32,7 +32,7 @@
 	number, result, found := strings.Cut(text, "/")
 	parsed, err := strconv.ParseUint(number, 10, 32)
 	if err != nil || !found {
-		return handle{}, errors.Newf("%q names no prompt", text)
+		return handle{}, errors.Newf("%q is not a handle of a prefill result", text)
 	}
 	return handle{uint32(parsed), result}, nil
 }
@@ -48,8 +48,8 @@
 	defer cancel()
 	result, err := d.options.Engines.Prefill(limited, target.Address, engine.PrefillRequest{
 		Attempt: attempt, Holder: d.holder(), Model: body.Model, Salt: request.Host, Prompt: body.Prompt,
-		MaxTokens: max(readOnly, body.MaxTokens),
-		// The same for all attempts, so that one can go on with another one's answer.
+		MaxTokens: max(minPrefillOnlyTokens, body.MaxTokens),
+		// All attempts have the same seed, so that one can continue another one's answer.
 		Seed: xxhash.Sum64String(request.Host + "\x00" + request.ID),
 	})
 	if err == nil {
@@ -62,23 +62,23 @@
 	return nil, refusal, err
 }
 
-// refusalOf returns the answer of an engine that has refused, or the error of one that did
-// not answer.
+// refusalOf returns the answer of an engine that has rejected a call, or the error of one
+// that did not answer.
 func refusalOf(err error) (*gateway.Answer, error) {
-	var typed *api.Error
+	var apiErr *api.Error
 	switch {
-	case !errors.As(err, &typed):
+	case !errors.As(err, &apiErr):
 		return nil, err
-	case typed.Outcome != api.OutcomeNotRun:
+	case apiErr.Outcome != api.OutcomeNotRun:
 		return nil, err
-	case typed.Code == api.CodeBackendFailed && typed.Status == http.StatusBadGateway:
+	case apiErr.Code == api.CodeBackendFailed && apiErr.Status == http.StatusBadGateway:
 		return nil, errors.CombineErrors(gateway.ErrNotSent, err)
 	}
-	return &gateway.Answer{Status: typed.Status, NotRun: true, Body: http.NoBody}, nil
+	return &gateway.Answer{Status: apiErr.Status, NotRun: true, Body: http.NoBody}, nil
 }
 
-// Decode implements gateway.Dialect. An answer that goes on after an event is made anew, with
-// the same seed, and what the caller has is left out.
+// Decode implements gateway.Dialect. An answer that resumes after an event is generated
+// again with the same seed, and the tokens that the caller has are omitted.
 func (d *Dialect) Decode(ctx context.Context, target backend.Backend, request *gateway.Request, _ time.Duration, options gateway.DecodeOptions) (*gateway.Answer, error) {
 	body, err := parseBody(request)
 	if err != nil {
@@ -89,15 +89,15 @@
 		return nil, errors.CombineErrors(gateway.ErrNotSent, err)
 	}
 	if options.Prefill == nil {
-		return nil, errors.CombineErrors(gateway.ErrNotSent, errors.New("no prompt was read"))
+		return nil, errors.CombineErrors(gateway.ErrNotSent, errors.New("decode without a prefill result"))
 	}
-	read, err := parseHandle(options.Prefill.Handle)
+	prefilled, err := parseHandle(options.Prefill.Handle)
 	if err != nil {
 		return nil, errors.CombineErrors(gateway.ErrNotSent, err)
 	}
-	attempt := d.attempt(read.number)
+	attempt := d.attempt(prefilled.number)
 	stream, err := d.options.Engines.Decode(ctx, target.Address, engine.DecodeRequest{
-		Attempt: attempt, Holder: d.holder(), SourceAddress: options.Prefill.Address, ResultID: read.result,
+		Attempt: attempt, Holder: d.holder(), SourceAddress: options.Prefill.Address, ResultID: prefilled.result,
 		Model: body.Model, MaxTokens: body.MaxTokens,
 	})
 	if err != nil {
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -33,7 +33,7 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Attempt identifies one try of a request. A cancelled attempt never runs again.
+// Attempt identifies one attempt of a request. A cancelled attempt never runs again.
 type Attempt struct {
 	RequestID string `json:"request_id"`
 	Number    uint32 `json:"attempt"`
@@ -52,19 +52,20 @@
 	Salt     string `json:"salt"`
 	Prompt   string `json:"prompt"`
 	Priority int    `json:"priority"`
-	// MaxTokens is one if the engine is to answer the request by itself.
+	// MaxTokens is one if the engine is to answer the request without a decode
+	// engine.
 	MaxTokens int `json:"max_tokens"`
-	// Generated is the part of the answer that an earlier attempt produced, and
+	// Generated is the part of the answer that an earlier attempt generated, and
 	// Offset its length in tokens. The attempt continues from there.
 	Generated string `json:"generated,omitempty"`
 	Offset    int    `json:"offset,omitempty"`
-	// Seed fixes the sampling, so that another attempt yields the same answer.
+	// Seed fixes the sampling, so that another attempt generates the same answer.
 	Seed uint64 `json:"seed"`
 }
 
 // PrefillResult describes a kept KV cache.
 type PrefillResult struct {
-	// ResultID names the result at its engine.
+	// ResultID identifies the result at its engine.
 	ResultID string `json:"result_id"`
 	// PromptTokens and CachedTokens are the prompt's length and the part of it
 	// that came from the prefix cache.
@@ -80,12 +81,12 @@
 type DecodeRequest struct {
 	Attempt
 	Holder Holder `json:"holder"`
-	// SourceAddress and ResultID name the prefill result to import.
+	// SourceAddress and ResultID identify the prefill result to import.
 	SourceAddress string `json:"source_address"`
 	ResultID      string `json:"result_id"`
 	Model         string `json:"model"`
-	// MaxTokens bounds the whole answer, the Offset tokens before this attempt
-	// included.
+	// MaxTokens bounds the whole answer, including the Offset tokens before this
+	// attempt.
 	MaxTokens int `json:"max_tokens"`
 	Offset    int `json:"offset,omitempty"`
 	Priority  int `json:"priority"`
@@ -99,7 +100,7 @@
 	Text   string `json:"text"`
 }
 
-// Done ends a stream.
+// Done ends a complete stream.
 type Done struct {
 	Attempt
 	// Tokens is the length of the whole answer.
@@ -111,19 +112,19 @@
 type StreamStatus struct {
 	Attempt
 	Holder Holder `json:"holder"`
-	// Phase is what the stream does: "prefill" or "decode".
+	// Phase is the current phase of the request: "prefill" or "decode".
 	Phase api.Role `json:"phase"`
-	// Attached states that a connection reads the stream at present.
+	// Attached is set while a connection reads the stream.
 	Attached bool `json:"attached"`
-	// KVTokens is the memory held.
+	// KVTokens is the KV cache memory held, in tokens.
 	KVTokens int `json:"kv_tokens"`
-	// Offset is the number of tokens produced.
+	// Offset is the number of tokens generated.
 	Offset int `json:"offset"`
-	// MaxTokens is the bound of the answer.
+	// MaxTokens is the limit of the answer.
 	MaxTokens int `json:"max_tokens"`
 }
 
-// Load is an engine's report of its load, as of some time ago.
+// Load is an engine's load report, as of some time ago.
 type Load struct {
 	Role          api.Role `json:"role"`
 	Model         string   `json:"model"`
@@ -142,7 +143,7 @@
 	Evicted  bool   `json:"evicted"`
 }
 
-// OrderKind is what an order changes.
+// OrderKind is the setting that an order changes.
 type OrderKind string
 
 // The kinds of an Order.
@@ -154,8 +155,8 @@
 
 // Order changes an engine's role, model version or adapters.
 type Order struct {
-	// Fence rises with each holder of the pool's lease. An engine that checks
-	// fences rejects an order below the highest fence it has seen.
+	// Fence increases with each holder of the pool's lease. An engine that checks
+	// fences rejects an order with a fence below the highest one it has seen.
 	Fence uint64    `json:"fence"`
 	ID    string    `json:"id"`
 	Kind  OrderKind `json:"kind"`
@@ -172,9 +173,9 @@
 // BlockTokens is the size of a prefix-cache block.
 const BlockTokens = scheduler.BlockTokens
 
-// BlockHashes returns a chain of hashes, one a full block of the prompt. Each
-// depends on all blocks before it and on the salt, so that equal prompts of two
-// tenants have nothing in common.
+// BlockHashes returns a chain of hashes, one for each full block of the prompt.
+// Each depends on all blocks before it and on the salt, so that equal prompts of
+// two tenants share no hash.
 func BlockHashes(salt, model, prompt string) []uint64 {
 	const blockBytes = BlockTokens * bytesPerToken
 	hashes := make([]uint64, 0, len(prompt)/blockBytes)
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -15,20 +15,20 @@
 // ErrForeignToken is returned when a stream carries another request's token.
 var ErrForeignToken = errors.New("engine: token of another request")
 
-// ErrGap is returned when a stream leaves out tokens. Resume fills the gap.
+// ErrGap is returned when tokens are missing from a stream. Resume fills the gap.
 var ErrGap = errors.New("engine: gap in stream")
 
 // ErrBroken is returned when a stream ends without a Done event. The engine may
-// still hold it.
+// still hold the stream.
 var ErrBroken = errors.New("engine: stream broken")
 
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 64 << 10
 
-// Stream reads the tokens of one attempt in order, each once.
+// Stream reads the tokens of one attempt in order, each exactly once.
 type Stream struct {
 	attempt Attempt
-	// next is the offset of the token that is due.
+	// next is the offset of the expected token.
 	next int
 	body io.Closer
 	pull func() (sse.Event, error, bool)
@@ -44,8 +44,8 @@
 // Offset returns the number of tokens read or skipped so far.
 func (s *Stream) Offset() int { return s.next }
 
-// Next returns the next token, or the Done event as io.EOF with its content.
-// Tokens that were read before are dropped.
+// Next returns the next token, or the Done event with io.EOF as the error. Tokens
+// that were read before are dropped.
 func (s *Stream) Next() (Token, Done, error) {
 	for {
 		event, err, ok := s.pull()
@@ -98,11 +98,11 @@
 }
 
 func streamError(data string) error {
-	typed := &api.Error{Status: http.StatusBadGateway}
-	if err := json.Unmarshal([]byte(data), typed); err != nil {
+	apiErr := &api.Error{Status: http.StatusBadGateway}
+	if err := json.Unmarshal([]byte(data), apiErr); err != nil {
 		return errors.CombineErrors(ErrBroken, err)
 	}
-	return typed
+	return apiErr
 }
 
 // Close ends the connection. The engine keeps the stream until it is cancelled.
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -29,7 +29,7 @@
 	return "event: done\ndata: " + string(data) + "\n\n"
 }
 
-// read returns the offsets that a stream yields and its end.
+// read returns the offsets of the tokens of a stream, and the final error.
 func read(text string) ([]int, error) {
 	stream := newStream(io.NopCloser(strings.NewReader(text)), testAttempt, 0)
 	defer stream.Close()
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestStreamYieldsEachTokenOnce writes the tokens of an answer with repetitions,
-// leaves some out, mixes in tokens of another request, and cuts it off. A reader
-// gets a prefix of the answer, in order, and io.EOF only after all of it.
+// TestStreamYieldsEachTokenOnce generates a stream with duplicate and missing
+// tokens and tokens of another request, and truncates it. A reader must get a
+// prefix of the answer, in order, and io.EOF only after all of it.
 func TestStreamYieldsEachTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(0, 20).Draw(t, "length")
@@ -76,9 +76,9 @@
 	})
 }
 
-func TestStreamNamesItsFaults(t *testing.T) {
+func TestStreamErrors(t *testing.T) {
 	foreign := Attempt{RequestID: "other", Number: 1}
-	for name, tried := range map[string]struct {
+	for name, test := range map[string]struct {
 		text string
 		want error
 	}{
@@ -88,7 +88,7 @@
 		"short end":     {tokenEvent(testAttempt, 0) + doneEvent(testAttempt, 2), ErrGap},
 		"cut":           {tokenEvent(testAttempt, 0), ErrBroken},
 	} {
-		if _, err := read(tried.text); !errors.Is(err, tried.want) {
+		if _, err := read(test.text); !errors.Is(err, test.want) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
