--- a/filter/authenticate.go
+++ b/filter/authenticate.go
@@ -18,7 +18,7 @@
 	return header[len(bearerPrefix):], true
 }
 
-// Authenticate finds the tenant of the bearer token.
+// Authenticate identifies the tenant by the bearer token.
 type Authenticate struct{}
 
 var errToken = api.NewError(http.StatusUnauthorized, api.CodeUnauthenticated, api.OutcomeNotRun, "the bearer token is missing or unknown")
--- a/filter/chain.go
+++ b/filter/chain.go
@@ -14,20 +14,20 @@
 	ServeHTTP(w http.ResponseWriter, r *http.Request) error
 }
 
-// HandlerFunc is a function that is a Handler.
+// HandlerFunc is a function that implements Handler.
 type HandlerFunc func(w http.ResponseWriter, r *http.Request) error
 
 // ServeHTTP implements Handler.
 func (f HandlerFunc) ServeHTTP(w http.ResponseWriter, r *http.Request) error { return f(w, r) }
 
-// Filter does one thing with a request and calls next.
+// Filter performs one step of handling a request and calls next.
 type Filter interface {
 	ServeHTTP(w http.ResponseWriter, r *http.Request, next Handler) error
 }
 
-// Exchange is what the chain knows of one request.
+// Exchange is the state of one request in the chain.
 type Exchange struct {
-	// RequestID names the request in logs, events and at the engines.
+	// RequestID identifies the request in logs, events and at the engines.
 	RequestID string
 	// Arrival is when the request was accepted.
 	Arrival time.Time
@@ -39,13 +39,14 @@
 
 type exchangeKey struct{}
 
-// ExchangeOf returns the exchange of a request in the chain.
+// ExchangeOf returns the exchange that WithExchange attached to the request, or
+// nil.
 func ExchangeOf(r *http.Request) *Exchange {
 	exchange, _ := r.Context().Value(exchangeKey{}).(*Exchange)
 	return exchange
 }
 
-// WithExchange returns the request with an exchange.
+// WithExchange returns the request with an exchange in its context.
 func WithExchange(r *http.Request, exchange *Exchange) *http.Request {
 	return r.WithContext(context.WithValue(r.Context(), exchangeKey{}, exchange))
 }
@@ -67,14 +68,15 @@
 			return
 		}
 		if tracked.started {
-			// The status is sent; cutting the connection is the only sign left.
+			// The status has been sent; only closing the connection can still
+			// signal the failure.
 			panic(http.ErrAbortHandler)
 		}
 		api.AsError(err, api.OutcomeUnknown).WriteHTTP(w)
 	})
 }
 
-// responseWriter notes whether the response has started.
+// responseWriter records whether the response has started.
 type responseWriter struct {
 	http.ResponseWriter
 	started bool
--- a/filter/identify.go
+++ b/filter/identify.go
@@ -13,11 +13,11 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// HeaderRequestID carries the request's identity in the response.
+// HeaderRequestID carries the request's identifier in the response.
 const HeaderRequestID = "Reelrun-Request-Id"
 
-// Identify gives each request its identity and the configuration in force, and
-// counts how it ended. It is the outermost filter.
+// Identify assigns each request its identifier and the configuration in force, and
+// counts the outcome. It is the outermost filter.
 type Identify struct {
 	Configuration *configuration.Holder
 	Metrics       *metrics.Set
@@ -52,8 +52,8 @@
 		f.Events.Record(event)
 		return
 	}
-	typed := api.AsError(err, api.OutcomeUnknown)
-	f.Metrics.Add("requests_refused_"+string(typed.Code), 1)
-	event.Detail = string(typed.Code) + " " + string(typed.Outcome)
+	apiErr := api.AsError(err, api.OutcomeUnknown)
+	f.Metrics.Add("requests_refused_"+string(apiErr.Code), 1)
+	event.Detail = string(apiErr.Code) + " " + string(apiErr.Outcome)
 	f.Events.Record(event)
 }
--- a/filter/limit.go
+++ b/filter/limit.go
@@ -9,7 +9,7 @@
 )
 
 // Limit bounds the requests in flight of each tenant, so that one tenant cannot
-// take a node's memory from the others, and the size of their bodies.
+// exhaust a node's memory, and the size of their bodies.
 type Limit struct {
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
@@ -18,7 +18,7 @@
 	inFlight map[string]int
 }
 
-// limitRetryAfter is when a tenant at its limit may come back.
+// limitRetryAfter is the Retry-After for a tenant at its limit.
 const limitRetryAfter = 500 * time.Millisecond
 
 // ServeHTTP implements Filter.
--- a/filter/ready.go
+++ b/filter/ready.go
@@ -7,10 +7,10 @@
 	"github.com/reelrun/reelrun/api"
 )
 
-// Ready refuses requests while the node must not take new work: before it has a
-// configuration, and while it is cut off from both its peers and the platform.
+// Ready rejects requests while the node must not accept new work: before it has a
+// configuration, and while it is disconnected from both its peers and the platform.
 type Ready struct {
-	// Accepts reports whether the node takes new work.
+	// Accepts reports whether the node accepts new work.
 	Accepts func() bool
 }
 
--- a/gateway/charge.go
+++ b/gateway/charge.go
@@ -28,7 +28,7 @@
 	// that comes sooner competes with the callers that were rejected with it.
 	minQuotaRetryAfter = 200 * time.Millisecond
 	// quotaRetryJitter is the jitter added to Retry-After, as a share, so that callers rejected together
-	// clientRetry at different times.
+	// retry at different times.
 	quotaRetryJitter = 0.2
 )
 
--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -119,7 +119,7 @@
 }
 
 // logUpstreamRetries writes a line for each service that had upstream retries, or was denied them by the
-// clientRetry budget, since the last call: what was sent and what the budget counted for it.
+// retry budget, since the last call: what was sent and what the budget counted for it.
 func (h *Handler) logUpstreamRetries() {
 	sent := h.retryCounters.take()
 	for _, report := range h.options.Budget.Report() {
