--- a/completion/cancel.go
+++ b/completion/cancel.go
@@ -12,8 +12,8 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// Retry intervals of a cancellation. It is given up when the engine must have
-// been restarted or the owner's look at the engine has made up for it.
+// Retry intervals of a cancellation. It is abandoned once the engine must have been
+// restarted or the owner's inspection of the engine has cleaned up instead.
 const (
 	cancelFirstInterval = 50 * time.Millisecond
 	cancelMaxInterval   = time.Second
@@ -30,7 +30,7 @@
 	running tasks.Group
 }
 
-// cancel returns at once; the cancellation goes on by itself.
+// cancel returns at once; the cancellation continues in the background.
 func (c *canceller) cancel(name, address string, attempt engine.Attempt) {
 	c.running.Go(func() {
 		policy := backoff.NewExponentialBackOff(
--- a/completion/decode.go
+++ b/completion/decode.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// progressTimeout bounds the wait for a decode engine while the prefill
-	// result lives.
+	// progressTimeout bounds the wait for a decode engine while the prefill result
+	// is kept.
 	progressTimeout = 4 * time.Second
-	// stallIntervals is how many token intervals may pass before a stream counts
-	// as stalled.
+	// stallIntervals is how many token intervals may pass before a stream counts as
+	// stalled.
 	stallIntervals = 40
 	// minStall is the shortest such time.
 	minStall = 2 * time.Second
-	// resumeTries bounds the resumption of a broken stream at the same engine.
-	resumeTries = 3
-	// firstResumeDelay is the pause before the second try.
+	// maxResumes bounds the attempts to resume a broken stream at the same engine.
+	maxResumes = 3
+	// firstResumeDelay is the pause before the second of them.
 	firstResumeDelay = 50 * time.Millisecond
 )
 
-// decode moves the prefill result to a decode engine and relays its tokens. If
-// the transfer fails while the result lives, another decode engine is tried.
+// decode moves the prefill result to a decode engine and relays its tokens. If the
+// transfer fails while the result is kept, another decode engine is used.
 func (r *run) decode(ctx context.Context, held *grant, result engine.PrefillResult, source string) error {
 	expires := r.service.options.Now().Add(time.Duration(result.HoldMillis) * time.Millisecond)
 	failed := ""
@@ -41,7 +41,7 @@
 		err = r.decodeAt(ctx, held, name, source, result.ResultID)
 		switch {
 		case err == nil:
-			r.service.grants.giveBack(held, r.offset, "")
+			r.service.grants.release(held, r.offset, "")
 			return nil
 		case errors.Is(err, errTakenOver):
 			r.service.grants.forget(held)
@@ -59,7 +59,7 @@
 	}
 }
 
-// errNoStream marks the failure of a transfer: no token was produced.
+// errNoStream marks the failure of a transfer: no token was generated.
 var errNoStream = errors.New("completion: no stream")
 
 func (r *run) decodeEngine(ctx context.Context, held *grant, failed string) (string, error) {
@@ -68,9 +68,9 @@
 	return r.service.grants.decodeEngine(ctx, held, failed)
 }
 
-// abandon gives a grant back and drops its prefill result.
+// abandon releases a grant and drops its prefill result.
 func (r *run) abandon(ctx context.Context, held *grant, failedEngine string) {
-	r.service.grants.giveBack(held, -1, failedEngine)
+	r.service.grants.release(held, -1, failedEngine)
 	if ctx.Err() == nil && failedEngine == "" {
 		r.excluded = append(r.excluded, held.prefillEngine())
 	}
@@ -101,25 +101,26 @@
 	if err != nil {
 		return errors.CombineErrors(errors.Mark(err, errNoStream), err)
 	}
-	r.turn.placed(held, name)
-	r.reportPlace()
+	r.turn.recordPlacement(held, name)
+	r.reportPlacement()
 	err = r.relay(ctx, stream, watched)
-	if err != nil && r.attempted(err) {
+	if err != nil && r.isStreamFailure(err) {
 		return r.resume(ctx, ref.Engine.Address, err)
 	}
 	return err
 }
 
-// attempted reports whether the failure is of the stream and not of the caller.
-func (r *run) attempted(err error) bool {
-	return !errors.Is(err, errCallerGone) && !errors.Is(err, errTakenOver)
+// isStreamFailure reports whether the failure is one of the stream, and not of the
+// caller.
+func (r *run) isStreamFailure(err error) bool {
+	return !errors.Is(err, errCallerDisconnected) && !errors.Is(err, errTakenOver)
 }
 
 func (r *run) stallTime() time.Duration {
 	return max(stallIntervals*r.request.class.TokenInterval.Std(), minStall)
 }
 
-// relay hands the tokens of a stream to the caller until it ends.
+// relay delivers the tokens of a stream to the caller until it ends.
 func (r *run) relay(ctx context.Context, stream *engine.Stream, watched *watchdog) error {
 	defer stream.Close()
 	release := r.turn.onYield(watched.cancel)
@@ -136,7 +137,7 @@
 		case err != nil:
 			return err
 		}
-		// A slow caller holds the stream back; this is no stall of the engine.
+		// A slow caller delays the stream; this is not a stall of the engine.
 		watched.pause()
 		if err := r.deliver(token.Offset, token.Text); err != nil {
 			return err
@@ -145,17 +146,17 @@
 	}
 }
 
-// resume reads on at the same engine after a broken connection.
+// resume continues reading at the same engine after a broken connection.
 func (r *run) resume(ctx context.Context, address string, cause error) error {
 	delays := backoff.NewExponentialBackOff(backoff.WithInitialInterval(firstResumeDelay))
-	for range resumeTries {
+	for range maxResumes {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		r.service.options.Metrics.Add("stream_resumes", 1)
 		r.event("stream-resumed", "", "")
 		err := r.resumeOnce(ctx, address)
-		if err == nil || !r.attempted(err) || isFinal(err) {
+		if err == nil || !r.isStreamFailure(err) || isStreamLost(err) {
 			return err
 		}
 		cause = err
@@ -166,8 +167,9 @@
 	return cause
 }
 
-// isFinal reports whether the engine has said that it does not hold the stream.
-func isFinal(err error) bool {
+// isStreamLost reports whether the engine has answered that it does not hold the
+// stream.
+func isStreamLost(err error) bool {
 	return api.IsCode(err, api.CodeNotFound) || api.IsCode(err, api.CodeCancelled)
 }
 
@@ -192,7 +194,7 @@
 	}
 }
 
-// watchdog cancels a context when it has not been reset for a while.
+// watchdog cancels a context if it has not been reset within the limit.
 type watchdog struct {
 	ctx    context.Context
 	cancel context.CancelFunc
--- a/completion/grants.go
+++ b/completion/grants.go
@@ -13,18 +13,18 @@
 	"github.com/reelrun/reelrun/tasks"
 )
 
-// releaseTimeout bounds the return of a grant. A lost return is made up for by
-// the owner's look at the engines.
+// releaseTimeout bounds the release of a grant. The owner's inspection of the
+// engines makes up for a lost release.
 const releaseTimeout = 2 * time.Second
 
-// grant is work granted to this node.
+// grant is the permission of a pool's owner to run an attempt at its engines.
 type grant struct {
 	request *peerpb.Grant
 	zone    string
 
 	mu      sync.Mutex
 	granted *peerpb.Granted
-	// owner is the node that knows of the grant.
+	// owner is the node that has a record of the grant.
 	owner string
 }
 
@@ -34,8 +34,8 @@
 	return g.granted.GetPrefillEngine()
 }
 
-// grants asks the owners of pools for work, and tells new owners of what the
-// node holds. It is safe for concurrent use.
+// grants requests grants from the owners of pools, and reports the grants that the
+// node holds to new owners. It is safe for concurrent use.
 type grants struct {
 	cluster *cluster.Cluster
 	metrics *metrics.Set
@@ -52,8 +52,8 @@
 	return &grants{ctx: ctx, cluster: fleet, metrics: set, held: map[*grant]struct{}{}}
 }
 
-// ask waits for a prefill engine of the pool.
-func (g *grants) ask(ctx context.Context, pool *api.Pool, request *peerpb.Grant) (*grant, error) {
+// requestGrant waits for a prefill engine of the pool.
+func (g *grants) requestGrant(ctx context.Context, pool *api.Pool, request *peerpb.Grant) (*grant, error) {
 	request.Pool = pool.Name
 	node, err := g.cluster.Owner(pool.Zone, owner.Key(pool.Name))
 	if err != nil {
@@ -61,15 +61,15 @@
 	}
 	g.metrics.Add("grant_calls", 1)
 	response, err := g.cluster.Call(ctx, node, &peerpb.Request{Body: &peerpb.Request_Grant{Grant: request}})
-	asked := &grant{request: request, zone: pool.Zone, owner: node.Name}
+	requested := &grant{request: request, zone: pool.Zone, owner: node.Name}
 	if err != nil {
 		// The owner may have granted although the reply was lost.
-		g.giveBack(asked, -1, "")
+		g.release(requested, -1, "")
 		return nil, err
 	}
-	asked.granted = response.GetGranted()
-	g.hold(asked)
-	return asked, nil
+	requested.granted = response.GetGranted()
+	g.hold(requested)
+	return requested, nil
 }
 
 func (g *grants) hold(held *grant) {
@@ -78,7 +78,7 @@
 	g.held[held] = struct{}{}
 }
 
-// adopt books a grant that another node held, under this node's name.
+// adopt registers a grant that another node held, with this node as its holder.
 func (g *grants) adopt(ctx context.Context, pool *api.Pool, request *peerpb.Grant, granted *peerpb.Granted) *grant {
 	request.Pool = pool.Name
 	adopted := &grant{request: request, zone: pool.Zone, granted: granted}
@@ -87,15 +87,15 @@
 	return adopted
 }
 
-// decodeEngine reports the end of the prefill, or the failure of a decode
-// engine, and waits for a decode engine.
+// decodeEngine reports the end of the prefill, or the failure of a decode engine,
+// and waits for a decode engine.
 func (g *grants) decodeEngine(ctx context.Context, held *grant, failedEngine string) (string, error) {
 	request := &peerpb.Request{Body: &peerpb.Request_Progress{Progress: &peerpb.Progress{
 		Pool: held.request.GetPool(), RequestId: held.request.GetRequestId(), Attempt: held.request.GetAttempt(), FailedEngine: failedEngine,
 	}}}
 	response, err := g.cluster.CallOwner(ctx, held.zone, owner.Key(held.request.GetPool()), request)
 	if api.IsCode(err, api.CodeNotFound) || api.IsCode(err, api.CodeUnavailable) {
-		// Another node owns the pool by now and does not know the grant yet.
+		// Another node owns the pool now and has no record of the grant yet.
 		g.restore(ctx, held)
 		response, err = g.cluster.CallOwner(ctx, held.zone, owner.Key(held.request.GetPool()), request)
 	}
@@ -109,8 +109,8 @@
 	return decode, nil
 }
 
-// giveBack returns a grant. It does not wait for the owner.
-func (g *grants) giveBack(held *grant, outputTokens int, failedEngine string) {
+// release releases a grant. It does not wait for the owner.
+func (g *grants) release(held *grant, outputTokens int, failedEngine string) {
 	g.forget(held)
 	request := &peerpb.Request{Body: &peerpb.Request_Release{Release: &peerpb.Release{
 		Pool: held.request.GetPool(), RequestId: held.request.GetRequestId(), Attempt: held.request.GetAttempt(),
@@ -125,14 +125,14 @@
 	})
 }
 
-// forget drops a grant that another node has adopted.
+// forget removes a grant that another node has adopted.
 func (g *grants) forget(held *grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.held, held)
 }
 
-// restore tells the present owner of a grant.
+// restore reports a grant to the present owner.
 func (g *grants) restore(ctx context.Context, held *grant) {
 	node, err := g.cluster.Owner(held.zone, owner.Key(held.request.GetPool()))
 	if err != nil {
@@ -151,7 +151,7 @@
 	held.mu.Unlock()
 }
 
-// reconcile tells owners that are new of the grants that the node holds.
+// reconcile reports the grants that the node holds to new owners.
 func (g *grants) reconcile(ctx context.Context) {
 	g.mu.Lock()
 	all := make([]*grant, 0, len(g.held))
@@ -162,9 +162,9 @@
 	for _, held := range all {
 		node, err := g.cluster.Owner(held.zone, owner.Key(held.request.GetPool()))
 		held.mu.Lock()
-		known := held.owner
+		knownOwner := held.owner
 		held.mu.Unlock()
-		if err == nil && node.Name != known {
+		if err == nil && node.Name != knownOwner {
 			g.restore(ctx, held)
 		}
 	}
--- a/completion/quarantine.go
+++ b/completion/quarantine.go
@@ -9,24 +9,26 @@
 	"github.com/reelrun/reelrun/quarantine"
 )
 
-// endedTimeout is how long a node looks whether the engine of a failed attempt has ended.
-const endedTimeout = 100 * time.Millisecond
+// exitCheckTimeout bounds the check whether the engine of a failed attempt has
+// terminated.
+const exitCheckTimeout = 100 * time.Millisecond
 
-// fingerprint names what is asked: the same for each arrival and each attempt.
+// fingerprint identifies the content of the request: it is the same for each
+// arrival and each attempt.
 func (r *run) fingerprint() quarantine.Fingerprint {
 	return quarantine.Of(quarantine.Content{
 		Tenant: r.exchange.Tenant.Name, Method: http.MethodPost, URI: "completions/" + r.request.class.Model, Body: []byte(r.request.prompt),
 	})
 }
 
-// keptAway returns the refusal of a request that has crashed too many engines. It is asked before each
-// attempt.
-func (r *run) keptAway() error {
-	known := r.service.options.Quarantine
-	if known == nil || known.Empty() {
+// checkQuarantine returns the rejection of a request that has crashed too many
+// engines. It is called before each attempt.
+func (r *run) checkQuarantine() error {
+	judge := r.service.options.Quarantine
+	if judge == nil || judge.Empty() {
 		return nil
 	}
-	left := known.Standing(r.fingerprint()).Quarantined
+	left := judge.Standing(r.fingerprint()).Quarantined
 	if left == 0 {
 		return nil
 	}
@@ -35,27 +37,28 @@
 	return &refusedError{cause: cause.WithRetryAfter(left)}
 }
 
-// engineFailed takes note of an engine that failed an attempt which may have run there. One that has
-// ended counts against the request; one that could not be reached had ended before. Engines do not say
-// which of their lives they are in: the attempt stands for that.
-func (r *run) engineFailed(ctx context.Context, name string) {
-	known := r.service.options.Quarantine
+// recordEngineFailure records that an engine failed an attempt which may have run
+// there. An engine that has terminated counts against the request; one that could
+// not be reached had terminated before. Engines do not report their incarnation:
+// the attempt is used in its place.
+func (r *run) recordEngineFailure(ctx context.Context, name string) {
+	judge := r.service.options.Quarantine
 	ref, err := r.engineOf(name)
-	if known == nil || err != nil {
+	if judge == nil || err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
+	ctx, cancel := context.WithTimeout(ctx, exitCheckTimeout)
 	defer cancel()
 	if !r.service.options.Engines.Ended(ctx, ref.Engine.Address) {
 		return
 	}
 	r.event("engine-ended", name, r.fingerprint().String())
-	known.Crashed(ctx, r.fingerprint(), name+"/"+r.engineAttempt().String())
+	judge.Crashed(ctx, r.fingerprint(), name+"/"+r.engineAttempt().String())
 }
 
-// answered takes note of an answer that is whole.
-func (r *run) answered() {
-	if known := r.service.options.Quarantine; known != nil && !known.Empty() {
-		known.Answered(r.fingerprint())
+// recordAnswered records a complete answer.
+func (r *run) recordAnswered() {
+	if judge := r.service.options.Quarantine; judge != nil && !judge.Empty() {
+		judge.Answered(r.fingerprint())
 	}
 }
--- a/completion/register.go
+++ b/completion/register.go
@@ -17,18 +17,19 @@
 // directoryTimeout bounds a call to a directory node.
 const directoryTimeout = 500 * time.Millisecond
 
-// errNoDirectory says that neither the directory node nor its successor answered.
+// errNoDirectory means that neither the directory node nor its successor answered.
 var errNoDirectory = api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun, "the request could not be registered").WithRetryAfter(time.Second)
 
-// errAnswered says that the request with the key has been answered.
+// errAnswered means that the request with the key has been answered.
 var errAnswered = api.NewError(http.StatusConflict, api.CodeAlreadyClaimed, api.OutcomeRan, "the request with this key has been answered")
 
 // registerArrival takes the next turn of a request and returns the turn before.
 //
 // The record is kept at two nodes: the owner of the key and the one that would
-// follow it. While the members change, two nodes may name different owners for a
-// moment, but the two pairs still have a node in common. The first node gives
-// the turn; the second is told, and says so if it knows of another holder.
+// succeed it. While the membership changes, two nodes may determine different
+// owners for a moment, but the two pairs still have a node in common. The first
+// node assigns the turn; it is reported to the second one, which answers with
+// another holder if it has a record of one.
 func (s *Service) registerArrival(ctx context.Context, started *run) (*peerpb.Running, error) {
 	running := started.running()
 	first := s.directoryNodes(running)
@@ -66,7 +67,7 @@
 	return previous, nil
 }
 
-// directoryNodes are the nodes that keep the record of a request.
+// directoryNodes returns the nodes that keep the record of a request.
 func (s *Service) directoryNodes(running *peerpb.Running) []membership.Member {
 	return s.options.Cluster.Holders(directory.Key(running.GetTenant(), running.GetKey()))
 }
@@ -84,7 +85,7 @@
 	return response.GetRegistered(), err
 }
 
-// report tells the directory nodes of the run's present state.
+// report reports the run's present state to the directory nodes.
 func (r *run) report() { r.reportAs(r.running()) }
 
 func (r *run) reportAs(running *peerpb.Running) {
@@ -103,7 +104,7 @@
 	t.directoryNodes = nodes
 }
 
-func (t *turnState) areKnownAt(nodes string) bool {
+func (t *turnState) isRegisteredAt(nodes string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.directoryNodes == nodes
@@ -118,7 +119,7 @@
 	}
 	s.mu.Unlock()
 	for _, started := range all {
-		if !started.turn.areKnownAt(names(s.directoryNodes(started.running()))) {
+		if !started.turn.isRegisteredAt(names(s.directoryNodes(started.running()))) {
 			started.report()
 		}
 	}
--- a/completion/request.go
+++ b/completion/request.go
@@ -20,9 +20,9 @@
 const (
 	// HeaderClass names the request class.
 	HeaderClass = "Reelrun-Class"
-	// HeaderKey names the request, so that a second arrival takes it over.
+	// HeaderKey identifies the request, so that a second arrival takes it over.
 	HeaderKey = "Idempotency-Key"
-	// HeaderLastEvent is the offset of the last token that the caller has.
+	// HeaderLastEvent is the offset of the last token that the caller has received.
 	HeaderLastEvent = "Last-Event-ID"
 )
 
@@ -43,7 +43,7 @@
 	Stream    bool      `json:"stream"`
 }
 
-// parsed is a checked request.
+// parsed is a validated request.
 type parsed struct {
 	class     *api.Class
 	prompt    string
--- a/completion/request_test.go
+++ b/completion/request_test.go
@@ -13,7 +13,7 @@
 	"github.com/reelrun/reelrun/filter"
 )
 
-// parseWith parses a body with headers for a tenant of two classes.
+// parseWith parses a body with headers for a tenant with two classes.
 func parseWith(body string, chat bool, headers map[string]string) (*parsed, error) {
 	snapshot := configuration.NewSnapshot(configuration.Head{Version: 1}, &api.Configuration{
 		Tenants: []api.Tenant{{Name: "a", Classes: []string{"draft", "triage"}}},
@@ -31,8 +31,8 @@
 	return parse(request, &filter.Exchange{RequestID: "r", Snapshot: snapshot, Tenant: tenant}, chat)
 }
 
-func TestBadInputIsRefusedAsNotRun(t *testing.T) {
-	for name, tried := range map[string]struct {
+func TestInvalidInputIsRejectedAsNotRun(t *testing.T) {
+	for name, test := range map[string]struct {
 		body    string
 		headers map[string]string
 		want    api.Code
@@ -48,10 +48,10 @@
 		"long key":        {`{"prompt":"x"}`, map[string]string{HeaderKey: strings.Repeat("k", 129)}, api.CodeInvalidRequest},
 	} {
 		g := NewWithT(t)
-		_, err := parseWith(tried.body, false, tried.headers)
-		typed := api.AsError(err, api.OutcomeUnknown)
-		g.Expect(typed.Code).To(Equal(tried.want), name)
-		g.Expect(typed.Outcome).To(Equal(api.OutcomeNotRun), name)
+		_, err := parseWith(test.body, false, test.headers)
+		apiErr := api.AsError(err, api.OutcomeUnknown)
+		g.Expect(apiErr.Code).To(Equal(test.want), name)
+		g.Expect(apiErr.Outcome).To(Equal(api.OutcomeNotRun), name)
 	}
 }
 
--- a/completion/run.go
+++ b/completion/run.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	// maxAttempts bounds how often a request is started, and so what its retries
-	// can add to the load of a pool.
+	// maxAttempts bounds how often a request is started, and thereby what its
+	// retries can add to the load of a pool.
 	maxAttempts = 3
-	// prefillMargin is added to the predicted time of a prefill before it counts
-	// as failed.
+	// prefillMargin is added to twice the predicted time of a prefill before it
+	// counts as failed.
 	prefillMargin = 5 * time.Second
 )
 
 // errTakenOver ends the earlier connection of a request that has arrived again.
 var errTakenOver = api.NewError(http.StatusConflict, api.CodeTakenOver, api.OutcomeUnknown, "another connection has taken the request over")
 
-// run is one request on its way.
+// run is the execution of one request.
 type run struct {
 	service  *Service
 	exchange *filter.Exchange
 	request  *parsed
 	sink     sink
 
-	// requestID is the identity at the engines. It is that of the first arrival.
+	// requestID is the identifier at the engines. It is that of the first arrival.
 	requestID string
 	attempt   uint32
 	excluded  []string
 	// generated is the text of the tokens before offset, as far as this node has
-	// seen it from the start.
+	// received it from the first token on.
 	generated strings.Builder
 	whole     bool
 	offset    int
-	// sent is the offset of the first token that the caller lacks.
-	sent int
-	// dispatched states that an engine may have run the request.
+	// delivered is the offset of the first token that the caller lacks.
+	delivered int
+	// dispatched is set if an engine may have run the request.
 	dispatched bool
 
 	firstToken time.Time
@@ -59,7 +59,7 @@
 func (s *Service) newRun(exchange *filter.Exchange, request *parsed) *run {
 	created := &run{
 		service: s, exchange: exchange, request: request, requestID: exchange.RequestID,
-		whole: true, sent: request.next,
+		whole: true, delivered: request.next,
 	}
 	created.turn.init()
 	return created
@@ -78,15 +78,15 @@
 	})
 }
 
-// execute takes the request to its end. It starts over, from the tokens that it
-// has, when an engine fails.
+// execute runs the request to its end. When an engine fails, it starts again from
+// the tokens that it has.
 func (r *run) execute(ctx context.Context) error {
-	for tries := 1; ; tries++ {
-		if err := r.keptAway(); err != nil {
+	for attempts := 1; ; attempts++ {
+		if err := r.checkQuarantine(); err != nil {
 			return err
 		}
-		err := r.try(ctx)
-		if err == nil || !r.canRetry(ctx, err) || tries >= maxAttempts {
+		err := r.executeAttempt(ctx)
+		if err == nil || !r.canRetry(ctx, err) || attempts >= maxAttempts {
 			return err
 		}
 		r.service.options.Metrics.Add("attempt_retries", 1)
@@ -94,32 +94,32 @@
 	}
 }
 
-// canRetry reports whether another attempt can help. A completion changes
-// nothing outside the engines, so it may run again; what the caller has received
-// is never sent a second time.
+// canRetry reports whether another attempt can succeed. A completion has no effects
+// outside the engines, so it may run again; tokens that the caller has received are
+// not sent again.
 func (r *run) canRetry(ctx context.Context, err error) bool {
-	if ctx.Err() != nil || errors.Is(err, errCallerGone) || errors.Is(err, errTakenOver) {
+	if ctx.Err() != nil || errors.Is(err, errCallerDisconnected) || errors.Is(err, errTakenOver) {
 		return false
 	}
 	var refused *refusedError
 	return !errors.As(err, &refused)
 }
 
-// refusedError is the final answer of the pools' owners.
+// refusedError is the final rejection by the pools' owners.
 type refusedError struct{ cause *api.Error }
 
 // Error implements error.
 func (e *refusedError) Error() string { return e.cause.Error() }
 
-// Unwrap returns the typed error.
+// Unwrap returns the API error.
 func (e *refusedError) Unwrap() error { return e.cause }
 
-func (r *run) try(ctx context.Context) error {
+func (r *run) executeAttempt(ctx context.Context) error {
 	if resumed := r.turn.takeResume(); resumed != nil {
-		return r.resumeElsewhere(ctx, resumed)
+		return r.resumePrevious(ctx, resumed)
 	}
 	r.attempt++
-	held, err := r.ask(ctx)
+	held, err := r.requestGrant(ctx)
 	if err != nil {
 		return err
 	}
@@ -129,12 +129,12 @@
 func (r *run) withGrant(ctx context.Context, held *grant) error {
 	result, address, err := r.prefill(ctx, held)
 	if err != nil {
-		r.service.grants.giveBack(held, -1, r.failedEngine(ctx, err, held.prefillEngine()))
+		r.service.grants.release(held, -1, r.failedEngine(ctx, err, held.prefillEngine()))
 		return err
 	}
 	if r.remaining() <= 1 {
 		err := r.deliver(r.offset, result.Text)
-		r.service.grants.giveBack(held, 1, "")
+		r.service.grants.release(held, 1, "")
 		if err != nil {
 			return err
 		}
@@ -143,11 +143,11 @@
 	return r.decode(ctx, held, result, address)
 }
 
-// remaining is the number of tokens that are left to produce.
+// remaining returns the number of tokens left to generate.
 func (r *run) remaining() int { return r.request.maxTokens - r.offset }
 
-// failedEngine names an engine that failed by itself, and excludes it from the
-// request's next attempt.
+// failedEngine returns the name of an engine whose own failure ended an attempt,
+// and excludes it from the request's next attempt.
 func (r *run) failedEngine(ctx context.Context, err error, name string) string {
 	if ctx.Err() != nil {
 		return ""
@@ -157,17 +157,17 @@
 		return ""
 	}
 	if api.AsError(err, api.OutcomeUnknown).Outcome != api.OutcomeNotRun {
-		r.engineFailed(ctx, name)
+		r.recordEngineFailure(ctx, name)
 	}
 	return name
 }
 
-// ask asks the owners of the model's pools in turn, those of the node's own
-// zone first, until one grants.
-func (r *run) ask(ctx context.Context) (*grant, error) {
+// requestGrant requests a grant from the owners of the model's pools in turn, those
+// of the node's own zone first, until one grants.
+func (r *run) requestGrant(ctx context.Context) (*grant, error) {
 	var final error = errNoPool
 	for _, pool := range r.pools(r.service.options.Cluster.Self().Zone) {
-		held, err := r.askPool(ctx, pool)
+		held, err := r.requestPoolGrant(ctx, pool)
 		if err == nil {
 			r.event("granted", held.prefillEngine(), pool.Name)
 			return held, nil
@@ -175,7 +175,7 @@
 		if ctx.Err() != nil {
 			return nil, err
 		}
-		final = sooner(final, err)
+		final = earlierRetry(final, err)
 	}
 	r.event("refused", "", "")
 	return nil, &refusedError{cause: api.AsError(final, api.OutcomeNotRun).WithOutcome(r.outcome())}
@@ -183,8 +183,8 @@
 
 var errNoPool = api.NewError(http.StatusServiceUnavailable, api.CodeNoCapacity, api.OutcomeNotRun, "no pool can take the request").WithRetryAfter(time.Second)
 
-// sooner returns the refusal after which the caller may come back first.
-func sooner(a, b error) error {
+// earlierRetry returns the rejection after which the caller may retry first.
+func earlierRetry(a, b error) error {
 	if errors.Is(a, errNoPool) {
 		return b
 	}
@@ -196,7 +196,7 @@
 }
 
 // pools returns the pools of the request's model, those of the zone first. The
-// newest configuration counts, since it may have changed since the arrival.
+// newest configuration is used, since it may have changed since the arrival.
 func (r *run) pools(zone string) []*api.Pool {
 	all := r.exchange.Snapshot.PoolsOf(r.request.class.Model)
 	ordered := make([]*api.Pool, 0, len(all))
@@ -213,18 +213,19 @@
 	return ordered
 }
 
-// moveRetries is how often a pool is asked again because its owner has changed.
-const moveRetries = 2
+// ownerMoveRetries is how often a pool's grant is requested again because its owner
+// has changed.
+const ownerMoveRetries = 2
 
-func (r *run) askPool(ctx context.Context, pool *api.Pool) (*grant, error) {
+func (r *run) requestPoolGrant(ctx context.Context, pool *api.Pool) (*grant, error) {
 	var err error
-	for range moveRetries + 1 {
+	for range ownerMoveRetries + 1 {
 		var held *grant
-		held, err = r.service.grants.ask(ctx, pool, r.grantRequest())
+		held, err = r.service.grants.requestGrant(ctx, pool, r.grantRequest())
 		if err == nil {
 			return held, nil
 		}
-		if !retryAsk(err) || ctx.Err() != nil {
+		if !mayRequestAgain(err) || ctx.Err() != nil {
 			return nil, err
 		}
 		r.attempt++
@@ -232,13 +233,13 @@
 	return nil, err
 }
 
-// retryAsk reports whether the owner has moved or has not answered.
-func retryAsk(err error) bool {
-	var typed *api.Error
-	if !errors.As(err, &typed) {
+// mayRequestAgain reports whether the owner has changed or has not answered.
+func mayRequestAgain(err error) bool {
+	var apiErr *api.Error
+	if !errors.As(err, &apiErr) {
 		return true
 	}
-	return typed.Code == api.CodeUnavailable && typed.RetryAfter == 0
+	return apiErr.Code == api.CodeUnavailable && apiErr.RetryAfter == 0
 }
 
 func (r *run) grantRequest() *peerpb.Grant {
@@ -250,13 +251,13 @@
 		Holder:       &peerpb.Holder{Node: holder.Node, Incarnation: holder.Incarnation},
 		PromptTokens: uint32(engine.CountTokens(r.request.prompt) + r.offset), MaxTokens: uint32(r.remaining()),
 		FirstTokenUs: (class.FirstToken.Std() - waited).Microseconds(), TokenIntervalUs: class.TokenInterval.Std().Microseconds(),
-		// A request whose caller has tokens already goes on however late it is.
-		LateAllowed: class.LateAllowed || r.sent > 0, Priority: int32(class.Priority),
+		// A request whose caller has received tokens continues however late it is.
+		LateAllowed: class.LateAllowed || r.delivered > 0, Priority: int32(class.Priority),
 		Prefixes: engine.BlockHashes(tenant.Name, class.Model, r.request.prompt), ExcludedEngines: r.excluded,
 	}
 }
 
-// engineOf returns an engine of the newest configuration that this run knows.
+// engineOf returns an engine of the newest configuration available to this run.
 func (r *run) engineOf(name string) (configuration.EngineRef, error) {
 	ref, ok := r.exchange.Snapshot.Engine(name)
 	if !ok {
@@ -292,8 +293,8 @@
 	return result, ref.Engine.Address, err
 }
 
-// seed fixes the sampling of every attempt, and of every arrival of a request
-// with a key.
+// seed returns the sampling seed, equal for every attempt, and for every arrival of
+// a request with a key.
 func (r *run) seed() uint64 {
 	if r.request.key != "" {
 		return xxhash.Sum64String(runKey(r.exchange.Tenant.Name, r.request.key))
@@ -301,20 +302,20 @@
 	return xxhash.Sum64String(r.requestID)
 }
 
-// deliver hands a token to the caller unless the caller has it already.
+// deliver sends a token to the caller unless the caller has it already.
 func (r *run) deliver(offset int, text string) error {
 	r.offset = offset + 1
 	if r.whole {
 		r.generated.WriteString(text)
 	}
 	r.observe()
-	if offset < r.sent {
+	if offset < r.delivered {
 		return nil
 	}
 	if err := r.sink.token(offset, text); err != nil {
 		return err
 	}
-	r.sent = offset + 1
+	r.delivered = offset + 1
 	return nil
 }
 
@@ -343,6 +344,6 @@
 	if met {
 		set.Add("targets_met/"+class.Name, 1)
 	}
-	r.answered()
+	r.recordAnswered()
 	return r.sink.finish(r.offset)
 }
--- a/completion/service.go
+++ b/completion/service.go
@@ -21,7 +21,8 @@
 	Engines *engine.Client
 	Metrics *metrics.Set
 	Events  *timeline.Ring
-	// Quarantine knows which requests crash engines. Without it, nothing is remembered.
+	// Quarantine tracks which requests crash engines. Without it, crashes are not
+	// recorded.
 	Quarantine quarantine.Judge
 	// Now reads the clock. Default time.Now.
 	Now func() time.Time
@@ -54,7 +55,7 @@
 	}
 }
 
-// Close ends what goes on in the background. A planned stop calls WaitCancels first.
+// Close ends the background work. A planned stop calls WaitCancels first.
 func (s *Service) Close() {
 	s.close()
 	s.cancels.running.Close()
@@ -75,19 +76,19 @@
 			return err
 		}
 		started := s.newRun(exchange, request)
-		who := identity{id: exchange.RequestID, model: request.class.Model, chat: chat}
-		started.sink = &wholeSink{identity: who, w: w}
+		ident := identity{id: exchange.RequestID, model: request.class.Model, chat: chat}
+		started.sink = &wholeSink{identity: ident, w: w}
 		if request.stream {
-			started.sink = newStreamSink(w, who)
+			started.sink = newStreamSink(w, ident)
 		}
 		return s.serve(r.Context(), started)
 	})
 }
 
-// serve follows a run to its end and returns an error only if nothing has been
+// serve runs a request to its end and returns an error only if nothing has been
 // sent to the caller.
 func (s *Service) serve(ctx context.Context, started *run) error {
-	err := s.follow(ctx, started)
+	err := s.executeRegistered(ctx, started)
 	if err == nil {
 		return nil
 	}
@@ -99,20 +100,20 @@
 	return failure
 }
 
-func (s *Service) follow(ctx context.Context, started *run) error {
+func (s *Service) executeRegistered(ctx context.Context, started *run) error {
 	if started.request.key == "" {
 		return started.execute(ctx)
 	}
-	if err := s.arrive(ctx, started); err != nil {
+	if err := s.registerRun(ctx, started); err != nil {
 		return err
 	}
-	defer s.leave(started)
+	defer s.unregisterRun(started)
 	err := started.execute(ctx)
 	started.reportEnd(err)
 	return err
 }
 
-// Reconcile tells new pool owners and directory nodes of what the node holds.
+// Reconcile reports what the node holds to new pool owners and directory nodes.
 func (s *Service) Reconcile(ctx context.Context) {
 	s.grants.reconcile(ctx)
 	s.reconcileDirectory()
@@ -121,23 +122,23 @@
 // HeldGrants returns the number of grants that the node holds.
 func (s *Service) HeldGrants() int { return s.grants.count() }
 
-// WaitCancels returns when every cancellation has been acknowledged or given up.
+// WaitCancels returns when every cancellation has been acknowledged or abandoned.
 func (s *Service) WaitCancels() { s.cancels.wait() }
 
-// holder names this start of the node.
+// holder identifies this incarnation of the node.
 func (s *Service) holder() engine.Holder {
 	self := s.options.Cluster.Self()
 	return engine.Holder{Node: self.Name, Incarnation: self.Incarnation}
 }
 
-// failure returns the typed error of a run that has ended without an answer.
+// failure returns the API error of a run that has ended without an answer.
 func (r *run) failure(ctx context.Context, err error) *api.Error {
 	if ctx.Err() != nil {
-		return api.NewError(statusClientGone, api.CodeCancelled, r.outcome(), "the caller has gone")
+		return api.NewError(statusClientClosedRequest, api.CodeCancelled, r.outcome(), "the caller has gone")
 	}
 	return api.AsError(err, r.outcome())
 }
 
-// statusClientGone is the customary status for a request whose caller has gone;
-// it appears in counters only.
-const statusClientGone = 499
+// statusClientClosedRequest is the customary status for a request whose caller has
+// disconnected; it appears in counters only.
+const statusClientClosedRequest = 499
--- a/completion/sink.go
+++ b/completion/sink.go
@@ -13,24 +13,25 @@
 	"github.com/reelrun/reelrun/api"
 )
 
-// writeTimeout is when a caller that does not read counts as gone.
+// writeTimeout is the time after which a caller that does not read counts as
+// disconnected.
 const writeTimeout = 30 * time.Second
 
-// errCallerGone is returned when the caller's connection has failed.
-var errCallerGone = errors.New("completion: caller is gone")
+// errCallerDisconnected is returned when the caller's connection has failed.
+var errCallerDisconnected = errors.New("completion: caller disconnected")
 
-// sink takes the tokens of an answer in order.
+// sink receives the tokens of an answer in order.
 type sink interface {
-	// token takes the token at the given offset.
+	// token receives the token at the given offset.
 	token(offset int, text string) error
-	// finish ends a whole answer of the given length.
+	// finish ends a complete answer of the given length.
 	finish(tokens int) error
-	// fail ends an answer that has begun. It reports false if nothing has been
+	// fail ends an answer that has started. It reports false if nothing has been
 	// sent, so that the error can still be the response.
 	fail(err *api.Error) bool
 }
 
-// identity is what every part of an answer repeats.
+// identity holds the fields that every part of an answer repeats.
 type identity struct {
 	id    string
 	model string
@@ -68,7 +69,7 @@
 
 const assistantRole = "assistant"
 
-// streamSink sends server-sent events.
+// streamSink sends the answer as server-sent events.
 type streamSink struct {
 	identity
 	w       http.ResponseWriter
@@ -76,8 +77,8 @@
 	started bool
 }
 
-func newStreamSink(w http.ResponseWriter, who identity) *streamSink {
-	return &streamSink{identity: who, w: w, control: http.NewResponseController(w)}
+func newStreamSink(w http.ResponseWriter, ident identity) *streamSink {
+	return &streamSink{identity: ident, w: w, control: http.NewResponseController(w)}
 }
 
 func (s *streamSink) token(offset int, text string) error {
@@ -122,10 +123,10 @@
 	}
 	_ = s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := message.WriteTo(s.w); err != nil {
-		return errors.CombineErrors(errCallerGone, err)
+		return errors.CombineErrors(errCallerDisconnected, err)
 	}
 	if err := s.control.Flush(); err != nil {
-		return errors.CombineErrors(errCallerGone, err)
+		return errors.CombineErrors(errCallerDisconnected, err)
 	}
 	return nil
 }
@@ -151,7 +152,7 @@
 	s.w.Header().Set("Content-Type", "application/json")
 	whole := answer{ID: s.id, Object: s.object(), Model: s.model, Choices: []choice{part}, Usage: &usage{CompletionTokens: tokens}}
 	if err := json.NewEncoder(s.w).Encode(whole); err != nil {
-		return errors.CombineErrors(errCallerGone, err)
+		return errors.CombineErrors(errCallerDisconnected, err)
 	}
 	return nil
 }
--- a/completion/takeover.go
+++ b/completion/takeover.go
@@ -14,28 +14,28 @@
 	yieldTimeout = 10 * time.Second
 )
 
-// placement is where the stream of a run is.
+// placement is the location of a run's stream.
 type placement struct {
 	pool    string
 	engine  string
 	attempt uint32
 }
 
-// turnState lets a later arrival of the same request take the stream over.
+// turnState lets a later arrival of the same request, a turn, take the stream over.
 type turnState struct {
 	mu     sync.Mutex
 	number uint64
-	// yielding is set when a later turn has asked for the stream.
+	// yielding is set when a later turn has requested the stream.
 	yielding bool
 	stop     context.CancelFunc
-	place    placement
+	current  placement
 	// settled is closed when the run has a stream or has ended.
 	settled     chan struct{}
 	settledOnce sync.Once
 	// ended is closed when the run has ended.
 	ended  chan struct{}
 	resume *placement
-	// directoryNodes are the nodes that were last told of the run.
+	// directoryNodes are the nodes that the run was last reported to.
 	directoryNodes string
 }
 
@@ -44,16 +44,16 @@
 	t.ended = make(chan struct{})
 }
 
-// placed records the stream of the run.
-func (t *turnState) placed(held *grant, engineName string) {
+// recordPlacement records the location of the run's stream.
+func (t *turnState) recordPlacement(held *grant, engineName string) {
 	t.mu.Lock()
-	t.place = placement{pool: held.request.GetPool(), engine: engineName, attempt: held.request.GetAttempt()}
+	t.current = placement{pool: held.request.GetPool(), engine: engineName, attempt: held.request.GetAttempt()}
 	t.mu.Unlock()
 	t.settledOnce.Do(func() { close(t.settled) })
 }
 
-// onYield registers what ends the reading of the stream. The returned function
-// undoes it.
+// onYield registers the function that stops reading the stream. The returned
+// function unregisters it.
 func (t *turnState) onYield(stop context.CancelFunc) func() {
 	t.mu.Lock()
 	t.stop = stop
@@ -75,15 +75,16 @@
 	return t.yielding
 }
 
-// takeResume returns, once, the stream that an earlier turn has left.
+// takeResume returns the stream left by an earlier turn, the first time that it is
+// called.
 func (t *turnState) takeResume() *placement {
 	resumed := t.resume
 	t.resume = nil
 	return resumed
 }
 
-// arrive registers a request with a key and takes over from its earlier turn.
-func (s *Service) arrive(ctx context.Context, started *run) error {
+// registerRun registers a request with a key and takes over from its earlier turn.
+func (s *Service) registerRun(ctx context.Context, started *run) error {
 	previous, err := s.registerArrival(ctx, started)
 	if err != nil {
 		return err
@@ -100,8 +101,8 @@
 
 func runKey(tenant, key string) string { return tenant + "\x00" + key }
 
-// takeOver asks the earlier holder to yield. If it does not answer, what the
-// directory knows of the stream has to do.
+// takeOver requests the earlier holder to yield. If it does not answer, the
+// directory's record of the stream is used.
 func (s *Service) takeOver(ctx context.Context, started *run, previous *peerpb.Running) {
 	s.options.Metrics.Add("takeovers", 1)
 	started.event("taken-over", previous.GetDecodeEngine(), previous.GetHolder().GetNode())
@@ -119,37 +120,37 @@
 	}
 }
 
-// resumeElsewhere reads the stream that an earlier turn has left, from the
-// first token that the caller lacks.
-func (r *run) resumeElsewhere(ctx context.Context, left *placement) error {
-	ref, err := r.engineOf(left.engine)
+// resumePrevious reads the stream left by an earlier turn, from the first token
+// that the caller lacks.
+func (r *run) resumePrevious(ctx context.Context, previous *placement) error {
+	ref, err := r.engineOf(previous.engine)
 	if err != nil {
 		return err
 	}
-	r.attempt = left.attempt
+	r.attempt = previous.attempt
 	r.dispatched = true
-	r.whole = r.sent == 0
-	r.offset = r.sent
-	pool, ok := r.exchange.Snapshot.Pool(left.pool)
+	r.whole = r.delivered == 0
+	r.offset = r.delivered
+	pool, ok := r.exchange.Snapshot.Pool(previous.pool)
 	if !ok {
 		pool = ref.Pool
 	}
-	held := r.service.grants.adopt(ctx, pool, r.grantRequest(), &peerpb.Granted{DecodeEngine: left.engine})
-	r.turn.placed(held, left.engine)
-	r.reportPlace()
+	held := r.service.grants.adopt(ctx, pool, r.grantRequest(), &peerpb.Granted{DecodeEngine: previous.engine})
+	r.turn.recordPlacement(held, previous.engine)
+	r.reportPlacement()
 	err = r.resume(ctx, ref.Engine.Address, errNoStream)
 	switch {
 	case err == nil:
-		r.service.grants.giveBack(held, r.offset, "")
+		r.service.grants.release(held, r.offset, "")
 		return nil
-	case !r.attempted(err):
+	case !r.isStreamFailure(err):
 		if r.turn.mustYield() {
 			r.service.grants.forget(held)
 			return err
 		}
 	}
-	r.cancelAt(left.engine)
-	r.service.grants.giveBack(held, -1, "")
+	r.cancelAt(previous.engine)
+	r.service.grants.release(held, -1, "")
 	if !r.whole {
 		// The text before the caller's offset is unknown here, so another attempt
 		// starts from the first token; the caller gets only what it lacks.
@@ -160,8 +161,8 @@
 	return err
 }
 
-// leave ends the registration of a run at this node.
-func (s *Service) leave(ended *run) {
+// unregisterRun ends the registration of a run at this node.
+func (s *Service) unregisterRun(ended *run) {
 	key := runKey(ended.exchange.Tenant.Name, ended.request.key)
 	s.mu.Lock()
 	if s.runs[key] == ended {
@@ -198,7 +199,7 @@
 	turn.mu.Lock()
 	defer turn.mu.Unlock()
 	return &peerpb.Registered{Previous: &peerpb.Running{
-		Pool: turn.place.pool, DecodeEngine: turn.place.engine, Attempt: max(turn.place.attempt, earlier.attempt),
+		Pool: turn.current.pool, DecodeEngine: turn.current.engine, Attempt: max(turn.current.attempt, earlier.attempt),
 	}}, nil
 }
 
@@ -211,7 +212,7 @@
 	}
 }
 
-// running is the directory's form of a run.
+// running returns the directory's record of a run.
 func (r *run) running() *peerpb.Running {
 	holder := r.service.holder()
 	r.turn.mu.Lock()
@@ -219,19 +220,19 @@
 	return &peerpb.Running{
 		Tenant: r.exchange.Tenant.Name, Key: r.request.key, BodyDigest: r.request.digest,
 		Holder:    &peerpb.Holder{Node: holder.Node, Incarnation: holder.Incarnation},
-		RequestId: r.requestID, Pool: r.turn.place.pool, DecodeEngine: r.turn.place.engine, Attempt: r.turn.place.attempt,
+		RequestId: r.requestID, Pool: r.turn.current.pool, DecodeEngine: r.turn.current.engine, Attempt: r.turn.current.attempt,
 		State: peerpb.RunState_RUN_STATE_RUNNING, Turn: r.turn.number,
 	}
 }
 
-// reportPlace tells the directory where the stream is.
-func (r *run) reportPlace() {
+// reportPlacement reports the location of the stream to the directory.
+func (r *run) reportPlacement() {
 	if r.request.key != "" {
 		r.report()
 	}
 }
 
-// reportEnd tells the directory how the run ended.
+// reportEnd reports the outcome of the run to the directory.
 func (r *run) reportEnd(err error) {
 	if r.turn.mustYield() && err != nil {
 		return
