--- a/backendhttp/exchange.go
+++ b/backendhttp/exchange.go
@@ -120,7 +120,7 @@
 }
 
 // Exchange sends a request and returns the response with the connection used. The error is
-// marked by gateway.ErrNotSent where no byte was written.
+// marked by gateway.ErrNotSent if no byte was written.
 func (t *Transport) Exchange(request *http.Request) (*http.Response, *Conn, error) {
 	t.closeStaleIdle()
 	var mu sync.Mutex
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -18,22 +18,22 @@
 // are excluded. It examines a random sample, and all backends if none in the sample can take the request.
 func (h *Handler) pick(service string, role backend.Role, attempted map[string]bool) *backend.Entry {
 	wanted := backend.Wanted{Service: service, Role: role, Count: sampleSize}
-	drawn, complete := h.options.Backends.Sample(wanted, rand.IntN)
+	sampled, complete := h.options.Backends.Sample(wanted, rand.IntN)
 	if complete {
-		return h.choose(service, drawn, nil, attempted)
+		return h.choose(service, sampled, nil, attempted)
 	}
 	wanted.Zone, wanted.Count = h.options.Zone, zoneSampleSize
 	zoneLocal, _ := h.options.Backends.Sample(wanted, rand.IntN)
-	if chosen := h.choose(service, drawn, zoneLocal, attempted); chosen != nil {
+	if chosen := h.choose(service, sampled, zoneLocal, attempted); chosen != nil {
 		return chosen
 	}
 	return h.choose(service, h.options.Backends.Ready(service, role), nil, attempted)
 }
 
 // choose chooses among sampled backends, and others that were sampled for being in the node's zone.
-func (h *Handler) choose(service string, drawn, zoneLocal []*backend.Entry, attempted map[string]bool) *backend.Entry {
-	entries := make([]*backend.Entry, 0, len(drawn)+len(zoneLocal))
-	candidates := make([]admission.Candidate, 0, len(drawn)+len(zoneLocal))
+func (h *Handler) choose(service string, sampled, zoneLocal []*backend.Entry, attempted map[string]bool) *backend.Entry {
+	entries := make([]*backend.Entry, 0, len(sampled)+len(zoneLocal))
+	candidates := make([]admission.Candidate, 0, len(sampled)+len(zoneLocal))
 	add := func(entry *backend.Entry, zoneOnly bool) {
 		if attempted[entry.ID()] || entry.BackoffLeft() > 0 || !h.options.Assignable(entry) {
 			return
@@ -43,7 +43,7 @@
 		entries = append(entries, entry)
 		candidates = append(candidates, candidate)
 	}
-	for _, entry := range drawn {
+	for _, entry := range sampled {
 		add(entry, false)
 	}
 	for _, entry := range zoneLocal {
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestEventsKeepTheirBytes(t *testing.T) {
+func TestEventsAreUnchanged(t *testing.T) {
 	g := NewWithT(t)
 	stream := "x-weight-versions: 3\nid: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\ndata: no id\n\n"
 	events, ids, err := readAll(iotest.OneByteReader(bytes.NewBufferString(stream)))
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -101,5 +101,5 @@
 	}
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(f.status)
-	_, _ = w.Write([]byte(f.reason + "\n")) // The caller may have left.
+	_, _ = w.Write([]byte(f.reason + "\n")) // The caller may have disconnected.
 }
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -27,8 +27,8 @@
 // only the events of the engine itself measure its speed.
 func TestResumedStreamReportsOwnTokenRate(t *testing.T) {
 	const (
-		whole, own  = 71, 11
-		eventTokens = 9
+		complete, own = 71, 11
+		eventTokens   = 9
 	)
 	g := NewWithT(t)
 	recorder := &recordingCoordinator{}
@@ -36,8 +36,8 @@
 		exchange: &exchange{handler: &Handler{options: Options{Coordinator: recorder}}, service: "s"},
 		run:      "r", reservedAt: time.Now(), end: func() {}, events: own,
 	}
-	rest.close(true, whole, eventTokens)
+	rest.close(true, complete, eventTokens)
 	g.Expect(recorder.ended).To(HaveLen(1))
-	g.Expect(recorder.ended[0].Output).To(Equal(whole * eventTokens))
+	g.Expect(recorder.ended[0].Output).To(Equal(complete * eventTokens))
 	g.Expect(recorder.ended[0].Rest).To(Equal((own - 1) * eventTokens))
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -15,7 +15,7 @@
 	Host   string
 	// URI is the path and query, unchanged.
 	URI string
-	// Header holds the headers that are passed on.
+	// Header holds the end-to-end headers.
 	Header http.Header
 	// Credential is what the caller presented; it is not part of Header.
 	Credential tenant.Credential
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -56,14 +56,14 @@
 
 // close ends the run. The answer was complete or not, and had the given number of events in total, some of
 // them possibly from other engines.
-func (s *reservedEngine) close(whole bool, events, eventTokens int) {
+func (s *reservedEngine) close(complete bool, events, eventTokens int) {
 	s.end()
 	s.silence.stop()
 	if s.run == "" {
 		return
 	}
 	ended := coordinator.Ended{Service: s.exchange.service, ID: s.run, Refusal: s.refusal}
-	if whole && events > 0 {
+	if complete && events > 0 {
 		ended.Duration, ended.Output = time.Since(s.reservedAt), events*eventTokens
 		ended.First, ended.Rest = s.first, (s.events-1)*eventTokens
 	}
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -11,12 +11,12 @@
 // tokens. Their mean time must not count as silence.
 func TestSlowEnginesAreNotSilent(t *testing.T) {
 	g := NewWithT(t)
-	var learned firstEvents
-	g.Expect(learned.limit("slow")).To(Equal(initialFirstEventLimit))
+	var tracked firstEvents
+	g.Expect(tracked.limit("slow")).To(Equal(initialFirstEventLimit))
 	for range minFirstEvents {
-		learned.observe("slow", 700*time.Millisecond)
-		learned.observe("fast", 30*time.Millisecond)
+		tracked.observe("slow", 700*time.Millisecond)
+		tracked.observe("fast", 30*time.Millisecond)
 	}
-	g.Expect(learned.limit("slow")).To(Equal(2800 * time.Millisecond))
-	g.Expect(learned.limit("fast")).To(Equal(minFirstEventLimit))
+	g.Expect(tracked.limit("slow")).To(Equal(2800 * time.Millisecond))
+	g.Expect(tracked.limit("fast")).To(Equal(minFirstEventLimit))
 }
--- a/gateway/waits_test.go
+++ b/gateway/waits_test.go
@@ -43,7 +43,7 @@
 
 // classifyAttempts replays attempts of one route and returns the share of first attempts and of retries
 // that were classified as retries. Each third caller retries after a tenth to three tenths of its deadline.
-func classifyAttempts(deadline time.Duration, variation float64, attempts int) (firstTries, retries float64) {
+func classifyAttempts(deadline time.Duration, variation float64, attempts int) (firstAttempts, retries float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	history, route := &waitHistory{}, &routing.Route{Host: "h", PathPrefix: "/a/"}
 	counts, detected := [2]float64{}, [2]float64{}
@@ -66,8 +66,8 @@
 // detected, so that first attempts go before them.
 func TestRetriesAreDetectedWithEqualDeadlines(t *testing.T) {
 	g := NewWithT(t)
-	firstTries, retries := classifyAttempts(14*time.Second, 0, 400)
-	g.Expect(firstTries).To(BeZero())
+	firstAttempts, retries := classifyAttempts(14*time.Second, 0, 400)
+	g.Expect(firstAttempts).To(BeZero())
 	g.Expect(retries).To(BeNumerically(">", 0.95))
 }
 
@@ -77,8 +77,8 @@
 	for _, deadline := range []time.Duration{3 * time.Second, 14 * time.Second} {
 		for _, variation := range []float64{0.08, 0.15, 0.5} {
 			g := NewWithT(t)
-			firstTries, _ := classifyAttempts(deadline, variation, 400)
-			g.Expect(firstTries).To(BeNumerically("<", 0.02), "deadline %v, spread %v", deadline, variation)
+			firstAttempts, _ := classifyAttempts(deadline, variation, 400)
+			g.Expect(firstAttempts).To(BeNumerically("<", 0.02), "deadline %v, spread %v", deadline, variation)
 		}
 	}
 }
--- a/routing/route.go
+++ b/routing/route.go
@@ -23,7 +23,7 @@
 	Weight int
 }
 
-// Route leads the requests of a host below a path to services.
+// Route maps the requests of a host below a path prefix to services.
 type Route struct {
 	Name string
 	Host string
