--- a/engine/stream.go
+++ b/engine/stream.go
@@ -12,8 +12,8 @@
 	"github.com/reelrun/reelrun/api"
 )
 
-// ErrForeignToken is returned when a stream carries another request's token.
-var ErrForeignToken = errors.New("engine: token of another request")
+// ErrAttemptMismatch is returned when a stream carries another request's token.
+var ErrAttemptMismatch = errors.New("engine: token of another request")
 
 // ErrGap is returned when tokens are missing from a stream. Resume fills the gap.
 var ErrGap = errors.New("engine: gap in stream")
@@ -73,7 +73,7 @@
 	}
 	switch {
 	case token.Attempt != s.attempt:
-		return Token{}, false, ErrForeignToken
+		return Token{}, false, ErrAttemptMismatch
 	case token.Offset < s.next:
 		return Token{}, false, nil
 	case token.Offset > s.next:
@@ -89,7 +89,7 @@
 		return Token{}, Done{}, errors.CombineErrors(ErrBroken, err)
 	}
 	if done.Attempt != s.attempt {
-		return Token{}, Done{}, ErrForeignToken
+		return Token{}, Done{}, ErrAttemptMismatch
 	}
 	if done.Tokens != s.next {
 		return Token{}, Done{}, ErrGap
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -82,8 +82,8 @@
 		text string
 		want error
 	}{
-		"foreign token": {tokenEvent(foreign, 0), ErrForeignToken},
-		"foreign end":   {doneEvent(foreign, 0), ErrForeignToken},
+		"foreign token": {tokenEvent(foreign, 0), ErrAttemptMismatch},
+		"foreign end":   {doneEvent(foreign, 0), ErrAttemptMismatch},
 		"gap":           {tokenEvent(testAttempt, 1), ErrGap},
 		"short end":     {tokenEvent(testAttempt, 0) + doneEvent(testAttempt, 2), ErrGap},
 		"cut":           {tokenEvent(testAttempt, 0), ErrBroken},
