--- a/completion/run.go
+++ b/completion/run.go
@@ -43,7 +43,7 @@
 	// generated is the text of the tokens before offset, as far as this node has
 	// received it from the first token on.
 	generated strings.Builder
-	whole     bool
+	complete  bool
 	offset    int
 	// delivered is the offset of the first token that the caller lacks.
 	delivered int
@@ -59,7 +59,7 @@
 func (s *Service) newRun(exchange *filter.Exchange, request *parsed) *run {
 	created := &run{
 		service: s, exchange: exchange, request: request, requestID: exchange.RequestID,
-		whole: true, delivered: request.next,
+		complete: true, delivered: request.next,
 	}
 	created.turn.init()
 	return created
@@ -305,7 +305,7 @@
 // deliver sends a token to the caller unless the caller has it already.
 func (r *run) deliver(offset int, text string) error {
 	r.offset = offset + 1
-	if r.whole {
+	if r.complete {
 		r.generated.WriteString(text)
 	}
 	r.observe()
--- a/completion/sink.go
+++ b/completion/sink.go
@@ -102,7 +102,7 @@
 	}
 	data, err := json.Marshal(failure)
 	if err == nil {
-		_ = s.send("error", "", string(data)) // The caller may be gone.
+		_ = s.send("error", "", string(data)) // The caller may have disconnected.
 	}
 	return true
 }
@@ -150,8 +150,8 @@
 		part = choice{Message: &Message{Role: assistantRole, Content: s.text.String()}, FinishReason: &reason}
 	}
 	s.w.Header().Set("Content-Type", "application/json")
-	whole := answer{ID: s.id, Object: s.object(), Model: s.model, Choices: []choice{part}, Usage: &usage{CompletionTokens: tokens}}
-	if err := json.NewEncoder(s.w).Encode(whole); err != nil {
+	complete := answer{ID: s.id, Object: s.object(), Model: s.model, Choices: []choice{part}, Usage: &usage{CompletionTokens: tokens}}
+	if err := json.NewEncoder(s.w).Encode(complete); err != nil {
 		return errors.CombineErrors(errCallerDisconnected, err)
 	}
 	return nil
--- a/completion/takeover.go
+++ b/completion/takeover.go
@@ -129,7 +129,7 @@
 	}
 	r.attempt = previous.attempt
 	r.dispatched = true
-	r.whole = r.delivered == 0
+	r.complete = r.delivered == 0
 	r.offset = r.delivered
 	pool, ok := r.exchange.Snapshot.Pool(previous.pool)
 	if !ok {
@@ -151,12 +151,12 @@
 	}
 	r.cancelAt(previous.engine)
 	r.service.grants.release(held, -1, "")
-	if !r.whole {
+	if !r.complete {
 		// The text before the caller's offset is unknown here, so another attempt
 		// starts from the first token; the caller gets only what it lacks.
 		r.offset = 0
 		r.generated.Reset()
-		r.whole = true
+		r.complete = true
 	}
 	return err
 }
