--- a/gateway/prompt.go
+++ b/gateway/prompt.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// keepPrompt keeps a prompt that no engine has fetched for the next attempt, if there is time for that, and
+// keepPrompt keeps a prompt that no engine has fetched for the next engine, if there is time for that, and
 // frees it otherwise. A rejected run has not used the prompt; if it were prefilled again elsewhere, the
 // next start would count as two retries instead of one. The prompt is offered to two engines at most,
 // because an engine may have rejected the run for being unable to fetch it.
