--- a/cmd/reelrun-router/main.go
+++ b/cmd/reelrun-router/main.go
@@ -154,7 +154,7 @@
 		KeepRoles: given.keepRoles,
 		Logger:    logger,
 		Clock:     counting,
-		Backplane: router.Backplane{
+		Environment: router.Environment{
 			Store:               store,
 			Dialect:             platform.NewDialect(dialer.DialContext, counting),
 			ConfigurationKind:   platform.KindConfiguration,
--- a/router/doc.go
+++ b/router/doc.go
@@ -3,5 +3,5 @@
 // without cutting a request off.
 //
 // What the store's objects look like and how back ends are spoken to comes from
-// outside, as a Backplane.
+// outside, as a Environment.
 package router
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -138,7 +138,7 @@
 	if !known || r.syncer.SilentFor(node.Address) < lostAfter {
 		return
 	}
-	err := r.options.Backplane.Store.Delete(ctx, kindNode, object.Name, object.Version)
+	err := r.options.Environment.Store.Delete(ctx, kindNode, object.Name, object.Version)
 	r.options.Logger.Info("lost node removed", "name", object.Name, "address", node.Address, "error", logging.ErrorText(err))
 }
 
@@ -163,7 +163,7 @@
 // tryRegister writes the object in the place of the one that an earlier start has left, if the
 // copy knows one. Where it does not know the newest version, the store is asked for that.
 func (r *Router) tryRegister(ctx context.Context, spec json.RawMessage) error {
-	store, name := r.options.Backplane.Store, r.options.Settings.Name
+	store, name := r.options.Environment.Store, r.options.Settings.Name
 	version := r.copy.Version(replica.Key{Kind: kindNode, Name: name})
 	written, err := store.Put(ctx, objectapi.Object{Kind: kindNode, Name: name, Version: version, Spec: spec})
 	if errors.Is(err, objectapi.ErrConflict) || errors.Is(err, objectapi.ErrNotFound) {
@@ -177,7 +177,7 @@
 
 // registerAnew writes the object in the place of the one that the store has, if any.
 func (r *Router) registerAnew(ctx context.Context, spec json.RawMessage) (objectapi.Object, error) {
-	store, name := r.options.Backplane.Store, r.options.Settings.Name
+	store, name := r.options.Environment.Store, r.options.Settings.Name
 	known, err := store.Get(ctx, kindNode, name)
 	if err != nil && !errors.Is(err, objectapi.ErrNotFound) {
 		return objectapi.Object{}, err
@@ -192,7 +192,7 @@
 		if object.Name != r.options.Settings.Name {
 			continue
 		}
-		if err := r.options.Backplane.Store.Delete(ctx, kindNode, object.Name, object.Version); err != nil {
+		if err := r.options.Environment.Store.Delete(ctx, kindNode, object.Name, object.Version); err != nil {
 			r.options.Logger.Warn("node not withdrawn", "error", err.Error())
 		}
 	}
--- a/router/follow.go
+++ b/router/follow.go
@@ -134,7 +134,7 @@
 		allKinds := r.followsAllKinds()
 		var following sync.WaitGroup
 		for _, kind := range kinds {
-			if allKinds || kind == r.options.Backplane.ConfigurationKind {
+			if allKinds || kind == r.options.Environment.ConfigurationKind {
 				following.Go(func() { r.followKind(watching, kind) })
 			}
 		}
@@ -163,7 +163,7 @@
 func (r *Router) followKind(ctx context.Context, kind objectapi.Kind) {
 	fed := &follower{kind: kind, copy: r.copy, contact: r.contact, beforeWatch: r.awaitFirstWatch}
 	switch kind {
-	case r.options.Backplane.BackendKind:
+	case r.options.Environment.BackendKind:
 		r.nodesKnown.await(ctx, r.nodesKnownBy())
 		if r.inLargeFleet.Load() && !r.followsStore() {
 			return
@@ -177,7 +177,7 @@
 			r.nodesKnown.set()
 		}
 	}
-	objectapi.Follow(ctx, r.options.Backplane.Store, kind, fed)
+	objectapi.Follow(ctx, r.options.Environment.Store, kind, fed)
 }
 
 // meetingTime is how long, at the first start of a large fleet, a node waits until it knows the others from the
@@ -198,7 +198,7 @@
 	}
 	r.inLargeFleet.Store(true)
 	name := r.options.Settings.Name
-	if pager, hasPages := r.options.Backplane.Store.(objectapi.Pager); hasPages {
+	if pager, hasPages := r.options.Environment.Store.(objectapi.Pager); hasPages {
 		page, err := pager.ListPage(ctx, kindNode, name[:len(name)-1])
 		if err != nil {
 			r.options.Logger.Warn("neighbours not listed", "error", err.Error())
@@ -250,7 +250,7 @@
 
 // refetch reads one object from the store, for a node that gets it from no other node.
 func (r *Router) refetch(ctx context.Context, key replica.Key) {
-	object, err := r.options.Backplane.Store.Get(ctx, key.Kind, key.Name)
+	object, err := r.options.Environment.Store.Get(ctx, key.Kind, key.Name)
 	if err != nil {
 		r.options.Logger.Warn("object not fetched from the store", "kind", string(key.Kind), "name", key.Name, "error", err.Error())
 		return
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -17,7 +17,7 @@
 // revisionKnown returns the newest revision of a configuration in the copy.
 func (r *Router) revisionKnown() int64 {
 	known := int64(0)
-	for _, object := range r.copy.Live(r.options.Backplane.ConfigurationKind) {
+	for _, object := range r.copy.Live(r.options.Environment.ConfigurationKind) {
 		known = max(known, object.Version)
 	}
 	return known
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -20,7 +20,7 @@
 	r.quarantines = quarantine.NewClient(quarantine.ClientOptions{
 		Coordinators: r.assigner, Peers: r.client, Local: r.quarantineKeeper, BecameKeeper: r.adoptQuarantines, Now: r.now,
 	})
-	r.quarantineArchive = quarantine.NewArchive(r.options.Backplane.Store, r.quarantineKeeper, r.options.Logger, time.Now)
+	r.quarantineArchive = quarantine.NewArchive(r.options.Environment.Store, r.quarantineKeeper, r.options.Logger, time.Now)
 }
 
 // States of a request in the version of its record. Of two records that nodes in a partition made
--- a/router/reports.go
+++ b/router/reports.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		asked.Go(func() {
-			report, err := r.options.Backplane.Dialect.Report(ctx, entry.Backend())
+			report, err := r.options.Environment.Dialect.Report(ctx, entry.Backend())
 			if err != nil {
 				r.metrics.Add("report_errors", 1)
 				return
--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -166,11 +166,11 @@
 		return errors.Wrap(err, "encode retry shares")
 	}
 	object := objectapi.Object{Kind: kindRetryShares, Name: nameRetryShares, Version: r.retryShares.version, Spec: spec}
-	written, err := r.options.Backplane.Store.Put(ctx, object)
+	written, err := r.options.Environment.Store.Put(ctx, object)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		// Somebody has removed it; what the nodes have goes on.
 		object.Version = 0
-		written, err = r.options.Backplane.Store.Put(ctx, object)
+		written, err = r.options.Environment.Store.Put(ctx, object)
 	}
 	if errors.Is(err, objectapi.ErrConflict) {
 		r.refetch(ctx, replica.Key{Kind: kindRetryShares, Name: nameRetryShares})
--- a/router/rolechange.go
+++ b/router/rolechange.go
@@ -22,10 +22,10 @@
 // newRoleController returns the controller of the engines' roles.
 func (r *Router) newRoleController() *roles.Controller {
 	return roles.New(roles.Options{
-		Dialect:  r.options.Backplane.Dialect,
+		Dialect:  r.options.Environment.Dialect,
 		Backends: r.backends,
 		Lease: lease.New(lease.Options{
-			Store: r.options.Backplane.Store, Name: leaseRoles,
+			Store: r.options.Environment.Store, Name: leaseRoles,
 			Holder:   r.options.Settings.Name + "/" + strconv.FormatInt(r.started.UnixNano(), 10),
 			Duration: leaseFactor * r.options.Settings.LeaseDuration,
 			// A holder that was suspended finds its lease lapsed as it wakes, and sends no order
--- a/router/router.go
+++ b/router/router.go
@@ -32,8 +32,8 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// Backplane is what the daemon meets outside itself.
-type Backplane struct {
+// Environment is what the daemon meets outside itself.
+type Environment struct {
 	Store   objectapi.Store
 	Dialect Dialect
 	// ConfigurationKind and BackendKind are the kinds of the objects that hold the
@@ -56,9 +56,9 @@
 
 // Options are the parts of a Router.
 type Options struct {
-	Settings  *settings.Router
-	Backplane Backplane
-	Logger    *slog.Logger
+	Settings    *settings.Router
+	Environment Environment
+	Logger      *slog.Logger
 	// Listen opens a port. Default net.Listen for TCP.
 	Listen func(address string) (net.Listener, error)
 	// Dial opens connections to other nodes. Default net.Dialer.
@@ -185,8 +185,8 @@
 	r.staleness = newStaleness()
 	r.nodesMet, r.nodesKnown = newMilestone(), newMilestone()
 	r.settings.Store(options.Settings)
-	options.Backplane.Dialect.Observe(r.heardBackend)
-	r.copy = replica.New(options.Backplane.ConfigurationKind, r.changed)
+	options.Environment.Dialect.Observe(r.heardBackend)
+	r.copy = replica.New(options.Environment.ConfigurationKind, r.changed)
 	stamps := timeline.NewClock(time.Now)
 	r.client = peer.NewClient(options.Settings.Name, options.Dial, stamps)
 	r.client.Observe(r.countCall)
@@ -214,7 +214,7 @@
 	r.gateway = gateway.New(gateway.Options{
 		Clock:    options.Clock,
 		Zone:     options.Settings.Zone,
-		Dialect:  options.Backplane.Dialect,
+		Dialect:  options.Environment.Dialect,
 		Backends: r.backends,
 		Budget: retrybudget.New(retrybudget.Options{
 			Ratio:  options.Settings.RetryRatio * budgetShare,
@@ -309,9 +309,9 @@
 // backgroundTasks returns what runs beside the servers: until a planned stop begins,
 // or until the node has drained.
 func (r *Router) backgroundTasks(untilStop, untilDrained context.Context) []func() {
-	backplane := r.options.Backplane
+	environment := r.options.Environment
 	tasks := []func(){
-		func() { r.follow(untilDrained, backplane.ConfigurationKind, backplane.BackendKind, kindNode) },
+		func() { r.follow(untilDrained, environment.ConfigurationKind, environment.BackendKind, kindNode) },
 		func() { r.runSyncer(untilDrained) },
 		func() { r.assigner.Run(untilDrained) },
 		func() { r.admissions.Run(untilDrained) },
--- a/router/view.go
+++ b/router/view.go
@@ -11,9 +11,9 @@
 // one change at a time.
 func (r *Router) changed(change replica.Change) {
 	switch change.Record.Object.Kind {
-	case r.options.Backplane.ConfigurationKind:
+	case r.options.Environment.ConfigurationKind:
 		r.configurationChanged(change)
-	case r.options.Backplane.BackendKind:
+	case r.options.Environment.BackendKind:
 		r.backendChanged(change)
 	case kindNode:
 		if change.Record.Deleted && change.Record.Object.Name == r.options.Settings.Name {
@@ -41,7 +41,7 @@
 	switch {
 	case r.syncer == nil:
 		return false
-	case changed.Kind == r.options.Backplane.ConfigurationKind:
+	case changed.Kind == r.options.Environment.ConfigurationKind:
 		return true
 	case changed.Kind == kindNode && changed.Name == r.options.Settings.Name:
 		return true
@@ -56,7 +56,7 @@
 	}
 	object := change.Record.Object
 	began := time.Now()
-	decoded, err := r.options.Backplane.DecodeConfiguration(object)
+	decoded, err := r.options.Environment.DecodeConfiguration(object)
 	if err != nil {
 		r.options.Logger.Error("configuration refused", "revision", object.Version, "error", err.Error())
 		return
@@ -84,7 +84,7 @@
 		}
 		return
 	}
-	decoded, err := r.options.Backplane.DecodeBackend(object)
+	decoded, err := r.options.Environment.DecodeBackend(object)
 	if err != nil {
 		// It may have been one that is known: no new work goes to what the entry does not describe.
 		r.backends.RemoveRegistered(object.Name)
--- a/router/watchers.go
+++ b/router/watchers.go
@@ -47,7 +47,7 @@
 	}
 	count, position := r.place()
 	watchers := min(count, maxWatchers)
-	if kind == r.options.Backplane.BackendKind {
+	if kind == r.options.Environment.BackendKind {
 		pause = backendPause + time.Duration(rand.Float64()*float64(watchers-1)*float64(backendPauseSpread))
 	}
 	return untilTurn(time.Now(), position%maxWatchers, watchers), pause
