--- a/cmd/reelrun-router/main.go
+++ b/cmd/reelrun-router/main.go
@@ -141,7 +141,7 @@
 	dialer := &net.Dialer{}
 	var daemon *router.Router
 	pacer := func(kind objectapi.Kind) platform.WatchPace {
-		wait, pause := daemon.WatchPace(kind)
+		wait, pause := daemon.WatchTiming(kind)
 		return platform.WatchPace{Wait: wait, Pause: pause}
 	}
 	store := platform.NewStore(parsed.StoreAddress, dialer.DialContext, pacer)
--- a/router/watchers.go
+++ b/router/watchers.go
@@ -39,9 +39,9 @@
 	backendPauseSpread = 30 * time.Millisecond
 )
 
-// WatchPace returns how long the next watch of a kind waits, and how long it rests after a
+// WatchTiming returns how long the next watch of a kind waits, and how long it rests after a
 // change. Watchers begin their watches anew one after the other.
-func (r *Router) WatchPace(kind objectapi.Kind) (wait, pause time.Duration) {
+func (r *Router) WatchTiming(kind objectapi.Kind) (wait, pause time.Duration) {
 	if kind == kindNode {
 		return longestWatch, nodePause
 	}
