--- a/antientropy/handler.go
+++ b/antientropy/handler.go
@@ -31,7 +31,7 @@
 	whole := s.options.Whole()
 	compared := &peerpb.ReplicaVersions{Same: request.GetDigest() == s.options.Replica.Digest(), Whole: whole, ComparesParts: true, UrgentAgeMs: s.ageToTell()}
 	if !compared.GetSame() {
-		compared.Buckets = s.options.Replica.Buckets()
+		compared.Buckets = s.options.Replica.BucketDigests()
 	}
 	return &peerpb.Response{Body: &peerpb.Response_ReplicaVersions{ReplicaVersions: compared}}
 }
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -305,7 +305,7 @@
 	// A copy that is whole stays so: there is nothing to note any more.
 	compared := comparison{covers: versions.GetWhole() && !s.options.Whole(), byPart: versions.GetComparesParts(), agreedAt: agreedAt(began, versions)}
 	if !versions.GetSame() {
-		compared.differing = shuffled(s.options.Replica.Differing(versions.GetBuckets()))
+		compared.differing = shuffled(s.options.Replica.DifferingBuckets(versions.GetBuckets()))
 	}
 	if compared.covers {
 		s.cover(othersThan(compared.differing))
--- a/replica/property_test.go
+++ b/replica/property_test.go
@@ -83,7 +83,7 @@
 
 // differingSections returns the buckets of two copies that differ, or only their parts that do.
 func differingSections(first, second *replica.Replica, byPart bool) []replica.Section {
-	sections := replica.WholeBuckets(first.Differing(second.Buckets()))
+	sections := replica.WholeBuckets(first.DifferingBuckets(second.BucketDigests()))
 	if !byPart {
 		return sections
 	}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -301,8 +301,8 @@
 	return xxhash.Sum64(encoded[:])
 }
 
-// Buckets returns the digests of all buckets.
-func (r *Replica) Buckets() []uint64 {
+// BucketDigests returns the digests of all buckets.
+func (r *Replica) BucketDigests() []uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	digests := make([]uint64, BucketCount)
@@ -312,8 +312,8 @@
 	return digests
 }
 
-// Differing returns the buckets whose digests differ from those of another copy.
-func (r *Replica) Differing(others []uint64) []int {
+// DifferingBuckets returns the buckets whose digests differ from those of another copy.
+func (r *Replica) DifferingBuckets(others []uint64) []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var differing []int
