--- a/backendhttp/exchange_test.go
+++ b/backendhttp/exchange_test.go
@@ -30,7 +30,7 @@
 // exchange sends one request to an address and returns the error.
 func exchange(t *testing.T, address string) error {
 	t.Helper()
-	transport := backendhttp.NewTransport(new(net.Dialer).DialContext, clock.Steady())
+	transport := backendhttp.NewTransport(new(net.Dialer).DialContext, clock.Runtime())
 	t.Cleanup(transport.CloseIdle)
 	request, err := backendhttp.NewRequest(t.Context(), http.MethodPut, address, "/x?y=1", []byte("body"))
 	if err != nil {
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -53,8 +53,8 @@
 // New returns a clock by what reads the time since the machine started.
 func New(read func() time.Duration) *Clock { return &Clock{read: read} }
 
-// Steady returns the runtime's clock. It is for simulations and tests in virtual time.
-func Steady() *Clock { return nil }
+// Runtime returns the runtime's clock. It is for simulations and tests in virtual time.
+func Runtime() *Clock { return nil }
 
 // Now returns the time as of refreshInterval ago at most, and counts on from there.
 func (c *Clock) Now() time.Time {
--- a/engine/dialect/dialect_test.go
+++ b/engine/dialect/dialect_test.go
@@ -59,7 +59,7 @@
 	t.Cleanup(plain.Close)
 	f.backends.Update(backend.Backend{ID: "app", Service: "plain", Address: plain.Listener.Addr().String(), State: backend.StateReady})
 	f.backends.SetSynced()
-	services := backendhttp.NewTransport(new(net.Dialer).DialContext, clock.Steady())
+	services := backendhttp.NewTransport(new(net.Dialer).DialContext, clock.Runtime())
 	calls := &http.Transport{}
 	t.Cleanup(func() { services.CloseIdle(); calls.CloseIdleConnections() })
 	handler := gateway.New(gateway.Options{
