--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -37,9 +37,9 @@
 // Live returns the live members.
 func (c *Cluster) Live() []membership.Member { return c.table.Live(c.now()) }
 
-// IsGone reports whether a start of a node has ended.
-func (c *Cluster) IsGone(node string, incarnation uint64) bool {
-	return c.table.IsGone(c.now(), node, incarnation)
+// IsTerminated reports whether a start of a node has ended.
+func (c *Cluster) IsTerminated(node string, incarnation uint64) bool {
+	return c.table.IsTerminated(c.now(), node, incarnation)
 }
 
 // SeesMajority reports whether the node hears most of the fleet.
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -24,10 +24,10 @@
 	g := NewWithT(t)
 	table := newTable("a", "zone")
 	g.Expect(table.ObserveMember(begin, member("b", "zone", 5))).To(BeTrue())
-	g.Expect(table.IsGone(begin.Add(2*time.Second), "b", 5)).To(BeFalse())
-	g.Expect(table.IsGone(begin.Add(4*time.Second), "b", 5)).To(BeTrue())
+	g.Expect(table.IsTerminated(begin.Add(2*time.Second), "b", 5)).To(BeFalse())
+	g.Expect(table.IsTerminated(begin.Add(4*time.Second), "b", 5)).To(BeTrue())
 	g.Expect(table.ObserveMember(begin, member("b", "zone", 6))).To(BeTrue())
-	g.Expect(table.IsGone(begin, "b", 5)).To(BeTrue(), "a later start was seen")
+	g.Expect(table.IsTerminated(begin, "b", 5)).To(BeTrue(), "a later start was seen")
 	g.Expect(table.ObserveMember(begin, member("b", "zone", 5))).To(BeFalse(), "news of an earlier start")
 }
 
@@ -38,10 +38,10 @@
 	table.Tick(begin)
 	table.ObserveMember(begin, member("b", "zone", 1))
 	thawed := begin.Add(time.Minute)
-	g.Expect(table.IsGone(thawed, "b", 1)).To(BeTrue())
+	g.Expect(table.IsTerminated(thawed, "b", 1)).To(BeTrue())
 	g.Expect(table.Tick(thawed)).To(BeNumerically(">", 50*time.Second))
-	g.Expect(table.IsGone(thawed, "b", 1)).To(BeFalse())
-	g.Expect(table.IsGone(thawed.Add(4*time.Second), "b", 1)).To(BeTrue())
+	g.Expect(table.IsTerminated(thawed, "b", 1)).To(BeFalse())
+	g.Expect(table.IsTerminated(thawed.Add(4*time.Second), "b", 1)).To(BeTrue())
 }
 
 func TestDigestAsksForTheZoneOnce(t *testing.T) {
--- a/membership/table.go
+++ b/membership/table.go
@@ -282,9 +282,9 @@
 	return Member{}, false
 }
 
-// IsGone reports whether this start of a node is known to have ended: a later
+// IsTerminated reports whether this start of a node is known to have ended: a later
 // start was seen, or the node is not live.
-func (t *Table) IsGone(now time.Time, name string, incarnation uint64) bool {
+func (t *Table) IsTerminated(now time.Time, name string, incarnation uint64) bool {
 	member, live := t.Lookup(now, name)
 	return !live || member.Incarnation > incarnation
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -26,7 +26,7 @@
 // Members is the part of the cluster that an owner uses.
 type Members interface {
 	Owns(zone, key string) bool
-	IsGone(node string, incarnation uint64) bool
+	IsTerminated(node string, incarnation uint64) bool
 	SeesMajority() bool
 }
 
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -46,7 +46,7 @@
 func (o *Owner) holders() holderState {
 	return holderState{
 		isGone: func(holder engine.Holder) bool {
-			return o.options.Members.IsGone(holder.Node, holder.Incarnation)
+			return o.options.Members.IsTerminated(holder.Node, holder.Incarnation)
 		},
 		majority: o.options.Members.SeesMajority(),
 	}
