--- a/membership/table.go
+++ b/membership/table.go
@@ -307,10 +307,10 @@
 	return 2*heard >= known
 }
 
-// SeesMajorityNow is SeesMajority with less patience for other zones: news of a
+// SeesRecentMajority is SeesMajority with less patience for other zones: news of a
 // zone is usually two intervals old at most. It is meant for choices that must be
 // made before the zone counts as unreachable and that do no harm if taken back.
-func (t *Table) SeesMajorityNow(now time.Time) bool {
+func (t *Table) SeesRecentMajority(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	heard, known := t.share(now, t.options.FailureTimeout+t.options.Interval)
@@ -344,9 +344,9 @@
 	return heard, known
 }
 
-// HearsAnyone reports whether any other node has been heard of within the
+// HasLiveContact reports whether any other node has been heard of within the
 // failure timeout, and whether there ever was one.
-func (t *Table) HearsAnyone(now time.Time) (hears, everDid bool) {
+func (t *Table) HasLiveContact(now time.Time) (hears, everDid bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, known := range t.contacts {
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -35,11 +35,11 @@
 // fleet, so it cannot be accepted out of the sight of a node that hears more.
 func (c *Core) hearsEnough() bool {
 	now := c.options.Now()
-	hears, everDid := c.Table.HearsAnyone(now)
+	hears, everDid := c.Table.HasLiveContact(now)
 	if !everDid {
 		return true
 	}
-	return hears && c.Table.SeesMajorityNow(now)
+	return hears && c.Table.SeesRecentMajority(now)
 }
 
 // HearsHalf reports whether the node hears at least half of the fleet. Then no node
