--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -116,9 +116,9 @@
 	return err == nil && owner.Name == c.Self().Name
 }
 
-// IsAmong reports whether the node is one of the first count members of its
+// IsAmongTop reports whether the node is one of the first count members of its
 // zone for a key.
-func (c *Cluster) IsAmong(key string, count int) bool {
+func (c *Cluster) IsAmongTop(key string, count int) bool {
 	self := c.Self()
 	names := membership.Names(c.table.ZoneMembers(c.now(), self.Zone))
 	for _, name := range placement.Top(key, names, count) {
@@ -129,8 +129,8 @@
 	return false
 }
 
-// Neighbours returns the peer addresses of the other live nodes of the zone.
-func (c *Cluster) Neighbours() []string {
+// ZonePeers returns the peer addresses of the other live nodes of the zone.
+func (c *Cluster) ZonePeers() []string {
 	self := c.Self()
 	var addresses []string
 	for _, member := range c.table.ZoneMembers(c.now(), self.Zone) {
--- a/configuration/syncer.go
+++ b/configuration/syncer.go
@@ -27,9 +27,9 @@
 // Placement tells whether the node is one of the first of its zone for a key,
 // and where the other nodes of its zone are.
 type Placement interface {
-	IsAmong(key string, count int) bool
-	// Neighbours returns the peer addresses of live nodes of the zone.
-	Neighbours() []string
+	IsAmongTop(key string, count int) bool
+	// ZonePeers returns the peer addresses of live nodes of the zone.
+	ZonePeers() []string
 }
 
 // PeerCaller calls a node by its address.
@@ -69,7 +69,7 @@
 func (s *Syncer) Run(ctx context.Context) {
 	defer s.pulls.Close()
 	periodic.RunNow(ctx, roleInterval, func(ctx context.Context) {
-		if !s.Asked() || s.placement.IsAmong(watcherKey, watchersPerZone) {
+		if !s.Asked() || s.placement.IsAmongTop(watcherKey, watchersPerZone) {
 			s.watch(ctx)
 		}
 	})
@@ -87,7 +87,7 @@
 	for _, object := range objects {
 		s.advance(ctx, object)
 	}
-	if !s.placement.IsAmong(watcherKey, watchersPerZone) {
+	if !s.placement.IsAmongTop(watcherKey, watchersPerZone) {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -106,7 +106,7 @@
 // resign ends the watch when another node has taken the node's place.
 func (s *Syncer) resign(ctx context.Context, cancel context.CancelFunc) {
 	periodic.Run(ctx, roleInterval, func(context.Context) {
-		if !s.placement.IsAmong(watcherKey, watchersPerZone) {
+		if !s.placement.IsAmongTop(watcherKey, watchersPerZone) {
 			cancel()
 		}
 	})
@@ -135,7 +135,7 @@
 const peersFirst = 3 * time.Second
 
 func (s *Syncer) mayRead() bool {
-	return s.placement.IsAmong(watcherKey, watchersPerZone) || len(s.placement.Neighbours()) == 0 || s.now().Sub(s.started) > peersFirst
+	return s.placement.IsAmongTop(watcherKey, watchersPerZone) || len(s.placement.ZonePeers()) == 0 || s.now().Sub(s.started) > peersFirst
 }
 
 // neighbourTries is how many neighbours are asked for a part before the platform.
@@ -145,7 +145,7 @@
 // they lack them.
 func (s *Syncer) fromNeighbours() FetchPart {
 	return func(ctx context.Context, digest string) ([]byte, error) {
-		neighbours := s.placement.Neighbours()
+		neighbours := s.placement.ZonePeers()
 		for _, address := range neighbours[:min(len(neighbours), neighbourTries)] {
 			if data, err := s.partFrom(ctx, address, digest); err == nil {
 				return data, nil
--- a/machines/syncer.go
+++ b/machines/syncer.go
@@ -31,7 +31,7 @@
 
 // Placement tells whether the node is one of the first of its zone for a key.
 type Placement interface {
-	IsAmong(key string, count int) bool
+	IsAmongTop(key string, count int) bool
 }
 
 // PeerCaller calls a node by its address.
@@ -63,7 +63,7 @@
 func (s *Syncer) Run(ctx context.Context) {
 	defer s.pulls.Close()
 	periodic.RunNow(ctx, roleInterval, func(ctx context.Context) {
-		if s.placement.IsAmong(watcherKey, watchersPerZone) {
+		if s.placement.IsAmongTop(watcherKey, watchersPerZone) {
 			s.watch(ctx)
 		}
 	})
