--- a/replica/notify_test.go
+++ b/replica/notify_test.go
@@ -14,13 +14,13 @@
 	return replica.Record{Object: objectapi.Object{Kind: kind, Name: name, Version: number}}
 }
 
-// TestAChangeThatTakesLongHoldsNoComparisonUp has a change that takes long to put into force, as
-// a large configuration on a weak processor does. Other nodes compare their copies with this one
-// meanwhile, and would take it for lost.
-func TestAChangeThatTakesLongHoldsNoComparisonUp(t *testing.T) {
+// TestSlowChangeDoesNotBlockExchange handles a change slowly, as a weak processor does with a
+// large configuration. Other nodes compare their replicas with this one meanwhile, and would
+// consider the node lost if it did not answer.
+func TestSlowChangeDoesNotBlockExchange(t *testing.T) {
 	g := NewWithT(t)
 	begun, finish := make(chan struct{}), make(chan struct{})
-	copied := replica.New("urgent", func(change replica.Change) {
+	local := replica.New("urgent", func(change replica.Change) {
 		if change.Record.Object.Name == "large" {
 			close(begun)
 			<-finish
@@ -29,14 +29,14 @@
 	applied := make(chan struct{})
 	go func() {
 		defer close(applied)
-		copied.Apply(replica.SourceStore, version("large", 1))
+		local.Apply(replica.SourceStore, version("large", 1))
 	}()
 	<-begun
 	compared := make(chan struct{})
 	go func() {
 		defer close(compared)
-		copied.Digest()
-		copied.Compare(replica.WholeBuckets([]int{replica.UrgentBucket}), nil)
+		local.Digest()
+		local.Compare(replica.WholeBuckets([]int{replica.UrgentBucket}), nil)
 	}()
 	g.Eventually(compared).WithTimeout(10 * time.Second).Should(BeClosed())
 	g.Consistently(applied).WithTimeout(10*time.Millisecond).ShouldNot(BeClosed(), "what is applied is in force")
@@ -49,12 +49,12 @@
 	const versions = 500
 	g := NewWithT(t)
 	var reported []int64
-	copied := replica.New("urgent", func(change replica.Change) { reported = append(reported, change.Record.Object.Version) })
+	local := replica.New("urgent", func(change replica.Change) { reported = append(reported, change.Record.Object.Version) })
 	done := make(chan struct{})
 	for number := range int64(versions) {
 		go func() {
 			defer func() { done <- struct{}{} }()
-			copied.Apply(replica.SourceStore, version("one", number+1))
+			local.Apply(replica.SourceStore, version("one", number+1))
 		}()
 	}
 	for range versions {
--- a/replica/property_test.go
+++ b/replica/property_test.go
@@ -14,9 +14,9 @@
 
 const kind objectapi.Kind = "things"
 
-func ignore(replica.Change) {}
+func ignoreChange(replica.Change) {}
 
-// drawRecords draws a history of a few objects, with rising versions.
+// drawRecords draws a history of a few objects with increasing versions.
 func drawRecords(t *rapid.T) []replica.Record {
 	count := rapid.IntRange(0, 30).Draw(t, "records")
 	records := make([]replica.Record, count)
@@ -41,11 +41,11 @@
 	return replica.WholeBuckets(buckets)
 }
 
-// TestOrderDoesNotMatter applies a history in two orders, one with repeats.
+// TestOrderDoesNotMatter applies a history in two orders, one of them with duplicates.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawRecords(t)
-		first, second := replica.New("urgent", ignore), replica.New("urgent", ignore)
+		first, second := replica.New("urgent", ignoreChange), replica.New("urgent", ignoreChange)
 		first.Apply(replica.SourceStore, records...)
 		for _, record := range rapid.Permutation(append(records, records...)).Draw(t, "order") {
 			second.Apply(replica.SourcePeer, record)
@@ -59,16 +59,16 @@
 		all := allBuckets()
 		here, there := first.Compare(all, second.Versions(all))
 		if len(here)+len(there) != 0 {
-			t.Fatal("equal copies differ")
+			t.Fatal("equal replicas differ")
 		}
 	})
 }
 
-// TestVersionsNeverGoBack wants the changes of each object to rise.
+// TestVersionsNeverGoBack checks that the reported versions of each object increase.
 func TestVersionsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		last := map[string]int64{}
-		copied := replica.New("urgent", func(change replica.Change) {
+		local := replica.New("urgent", func(change replica.Change) {
 			object := change.Record.Object
 			if object.Version <= last[object.Name] {
 				t.Fatalf("%s went from %d to %d", object.Name, last[object.Name], object.Version)
@@ -76,12 +76,13 @@
 			last[object.Name] = object.Version
 		})
 		for _, record := range rapid.Permutation(drawRecords(t)).Draw(t, "order") {
-			copied.Apply(replica.SourcePeer, record)
+			local.Apply(replica.SourcePeer, record)
 		}
 	})
 }
 
-// differingSections returns the buckets of two copies that differ, or only their parts that do.
+// differingSections returns the buckets in which two replicas differ, whole or narrowed to the differing
+// parts.
 func differingSections(first, second *replica.Replica, byPart bool) []replica.Section {
 	sections := replica.WholeBuckets(first.DifferingBuckets(second.BucketDigests()))
 	if !byPart {
@@ -93,11 +94,11 @@
 	return sections
 }
 
-// TestExchangeMakesAlike compares two copies and exchanges what differs.
+// TestExchangeMakesAlike compares two replicas and exchanges the records that differ.
 func TestExchangeMakesAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawRecords(t)
-		first, second := replica.New("urgent", ignore), replica.New("urgent", ignore)
+		first, second := replica.New("urgent", ignoreChange), replica.New("urgent", ignoreChange)
 		for _, record := range records {
 			if rapid.Bool().Draw(t, "first") {
 				first.Apply(replica.SourceStore, record)
@@ -111,48 +112,49 @@
 		second.Apply(replica.SourcePeer, first.Records(newerFirst)...)
 		first.Apply(replica.SourcePeer, second.Records(newerSecond)...)
 		if first.Digest() != second.Digest() {
-			t.Fatal("copies differ after an exchange")
+			t.Fatal("replicas differ after an exchange")
 		}
 	})
 }
 
-func TestListDeletesWhatItDoesNotName(t *testing.T) {
+func TestListDeletesUnlistedObjects(t *testing.T) {
 	g := NewWithT(t)
-	copied := replica.New("urgent", ignore)
+	local := replica.New("urgent", ignoreChange)
 	object := func(name string, version int64) objectapi.Object {
 		return objectapi.Object{Kind: kind, Name: name, Version: version, Spec: []byte("1")}
 	}
-	copied.Apply(replica.SourceStore, replica.Record{Object: object("old", 1)}, replica.Record{Object: object("newer", 9)})
-	copied.Replace(kind, []objectapi.Object{object("kept", 2)}, 5)
+	local.Apply(replica.SourceStore, replica.Record{Object: object("old", 1)}, replica.Record{Object: object("newer", 9)})
+	local.Replace(kind, []objectapi.Object{object("kept", 2)}, 5)
 	var names []string
-	for _, live := range copied.Live(kind) {
+	for _, live := range local.Live(kind) {
 		names = append(names, live.Name)
 	}
-	// What came after the list is not judged by it.
+	// The list says nothing about versions after its revision.
 	g.Expect(names).To(Equal([]string{"kept", "newer"}))
-	copied.Apply(replica.SourcePeer, replica.Record{Object: object("old", 1)})
-	g.Expect(copied.Live(kind)).To(HaveLen(2), "a late message does not bring it back")
+	local.Apply(replica.SourcePeer, replica.Record{Object: object("old", 1)})
+	g.Expect(local.Live(kind)).To(HaveLen(2), "a delayed message must not restore a deleted object")
 }
 
-// TestNumbersOfNoBucketArePassedOver asks for buckets that do not exist, and for one twice,
-// as another node might.
-func TestNumbersOfNoBucketArePassedOver(t *testing.T) {
+// TestInvalidBucketNumbersAreSkipped asks for buckets that do not exist, and for one bucket twice, as another
+// node may.
+func TestInvalidBucketNumbersAreSkipped(t *testing.T) {
 	g := NewWithT(t)
-	copied := replica.New("urgent", ignore)
-	copied.Apply(replica.SourceStore, replica.Record{Object: objectapi.Object{Kind: "urgent", Name: "only", Version: 1}})
+	local := replica.New("urgent", ignoreChange)
+	local.Apply(replica.SourceStore, replica.Record{Object: objectapi.Object{Kind: "urgent", Name: "only", Version: 1}})
 	asked := replica.WholeBuckets([]int{-1, replica.UrgentBucket, replica.BucketCount, replica.UrgentBucket})
-	g.Expect(copied.Versions(asked)).To(HaveLen(1))
-	here, there := copied.Compare(asked, nil)
+	g.Expect(local.Versions(asked)).To(HaveLen(1))
+	here, there := local.Compare(asked, nil)
 	g.Expect(here).To(HaveLen(1))
 	g.Expect(there).To(BeEmpty())
 }
 
-// TestPartsOfNoBucketArePassedOver asks for parts as another node might: of no bucket, and in another number.
-func TestPartsOfNoBucketArePassedOver(t *testing.T) {
+// TestPartsOfInvalidBucketsAreEmpty asks for the parts of buckets that do not exist, and compares with a
+// different number of parts, as another node may.
+func TestPartsOfInvalidBucketsAreEmpty(t *testing.T) {
 	g := NewWithT(t)
-	copied := replica.New("urgent", ignore)
-	g.Expect(copied.PartDigests(-1)).To(BeEmpty())
-	g.Expect(copied.PartDigests(replica.BucketCount)).To(BeEmpty())
-	g.Expect(copied.DifferingParts(1, make([]uint64, replica.PartCount))).To(BeZero(), "two empty buckets are alike")
-	g.Expect(copied.DifferingParts(1, make([]uint64, 3))).To(Equal(replica.AllParts))
+	local := replica.New("urgent", ignoreChange)
+	g.Expect(local.PartDigests(-1)).To(BeEmpty())
+	g.Expect(local.PartDigests(replica.BucketCount)).To(BeEmpty())
+	g.Expect(local.DifferingParts(1, make([]uint64, replica.PartCount))).To(BeZero(), "two empty buckets have no differing parts")
+	g.Expect(local.DifferingParts(1, make([]uint64, 3))).To(Equal(replica.AllParts))
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -13,32 +13,32 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// maxTombstones bounds the remembered deletions. The oldest are forgotten, by
-// version, so that all copies forget the same ones.
+// maxTombstones bounds the remembered deletions. Those with the lowest versions are dropped first, so that
+// all replicas drop the same ones.
 const maxTombstones = 4096
 
-// BucketCount is into how many buckets the objects fall. Copies that differ are
-// compared by bucket, so that few versions are exchanged for few differences.
+// BucketCount is the number of buckets. Replicas that differ are compared by bucket, so that few versions
+// are exchanged for few differences.
 const BucketCount = 64
 
-// PartCount is into how many parts the objects of a bucket fall. Buckets that differ are compared
-// by part before versions are exchanged, so that one difference costs the versions of few objects
-// also where a bucket holds hundreds.
+// PartCount is the number of parts of a bucket. Buckets that differ are compared by part before versions
+// are exchanged, so that one difference costs the versions of few objects even where a bucket holds
+// hundreds.
 const PartCount = 32
 
-// PartSet holds the numbers of parts of a bucket, a bit each.
+// PartSet is a bit set of part numbers of a bucket.
 type PartSet uint32
 
-// AllParts is the set of all parts of a bucket.
+// AllParts contains all parts of a bucket.
 const AllParts = ^PartSet(0)
 
-// Section is some parts of one bucket.
+// Section is a set of parts of one bucket.
 type Section struct {
 	Bucket int
 	Parts  PartSet
 }
 
-// WholeBuckets returns the sections that are all parts of some buckets.
+// WholeBuckets returns the sections that cover all parts of the given buckets.
 func WholeBuckets(buckets []int) []Section {
 	sections := make([]Section, len(buckets))
 	for i, bucket := range buckets {
@@ -47,11 +47,11 @@
 	return sections
 }
 
-// UrgentBucket holds the objects of the urgent kind, and no others, so that they can be
-// compared before all others by a node that has none of them yet.
+// UrgentBucket holds the objects of the urgent kind and no others, so that a node that has none of them yet
+// can compare them first.
 const UrgentBucket = 0
 
-// Key names an object.
+// Key identifies an object.
 type Key struct {
 	Kind objectapi.Kind
 	Name string
@@ -64,53 +64,52 @@
 	Deleted bool
 }
 
-// Key returns the name of the record's object.
+// Key returns the key of the record's object.
 func (r Record) Key() Key { return Key{r.Object.Kind, r.Object.Name} }
 
-// Source tells where a change came from.
+// Source is where a change came from.
 type Source string
 
-// The sources.
+// Sources of changes.
 const (
 	SourceStore Source = "store"
 	SourcePeer  Source = "peer"
 )
 
-// Change is one newer version that was taken over.
+// Change is a newer version of an object that was applied.
 type Change struct {
 	Record Record
 	Source Source
-	// New is set where the copy had no live version of the object before.
+	// New is set if the replica had no live version of the object before.
 	New bool
 }
 
-// Replica is the copy. It is safe for concurrent use.
+// Replica holds the newest known version of each object. It is safe for concurrent use.
 type Replica struct {
-	// changed is called for each change, one at a time and in the order in which
-	// they were taken over.
-	changed func(Change)
+	// onChange is called for each change, one at a time and in the order in which they were applied.
+	onChange func(Change)
 	// urgent is the kind of the objects in UrgentBucket.
 	urgent objectapi.Kind
 
-	// notifying is held by the goroutine that reports changes. mu may be locked while it is held,
-	// but not the other way round.
-	notifying sync.Mutex
+	// notifyMu is held by the goroutine that reports changes. mu may be locked while it is held, but not the
+	// other way round.
+	notifyMu sync.Mutex
 
 	mu         sync.Mutex
 	buckets    [BucketCount]bucket
 	tombstones int
-	// pending holds the changes that were taken over and not reported yet, in their order.
+	// pending holds the applied changes that have not been reported yet, in order.
 	pending []Change
 }
 
-// bucket holds a part of the objects.
+// bucket holds the objects of one bucket.
 type bucket struct {
 	records map[Key]Record
-	// parts are equal for parts with the same versions.
+	// parts holds a digest for each part. Parts with the same versions have equal digests.
 	parts [PartCount]uint64
 }
 
-// digest is equal for buckets with the same versions.
+// digest returns the digest of the bucket. Buckets with the same versions have equal digests.
 func (b *bucket) digest() uint64 {
 	var digest uint64
 	for _, part := range b.parts {
@@ -119,18 +118,18 @@
 	return digest
 }
 
-// New returns an empty copy that tells of its changes. The function must not
-// call the replica. All copies of a fleet name the same urgent kind; it may be empty.
+// New returns an empty replica that calls changed for each change. The function must not call the replica.
+// All replicas of a fleet use the same urgent kind; it may be empty.
 func New(urgent objectapi.Kind, changed func(Change)) *Replica {
-	r := &Replica{changed: changed, urgent: urgent}
+	r := &Replica{onChange: changed, urgent: urgent}
 	for i := range r.buckets {
 		r.buckets[i].records = map[Key]Record{}
 	}
 	return r
 }
 
-// all iterates over all records; the lock is held.
-func (r *Replica) all() iter.Seq2[Key, Record] {
+// allRecords iterates over all records; mu must be held.
+func (r *Replica) allRecords() iter.Seq2[Key, Record] {
 	return func(yield func(Key, Record) bool) {
 		for i := range r.buckets {
 			for key, record := range r.buckets[i].records {
@@ -145,17 +144,17 @@
 // IsUrgent reports whether a record is of the urgent kind.
 func (r *Replica) IsUrgent(record Record) bool { return record.Object.Kind == r.urgent }
 
-// in returns the bucket of an object.
-func (r *Replica) in(key Key) *bucket {
-	bucket, _ := r.place(key)
+// bucketOf returns the bucket of an object.
+func (r *Replica) bucketOf(key Key) *bucket {
+	bucket, _ := r.locate(key)
 	return &r.buckets[bucket]
 }
 
-// place returns the bucket of an object and its part there.
-func (r *Replica) place(key Key) (bucket, part int) {
+// locate returns the number of an object's bucket and of its part there.
+func (r *Replica) locate(key Key) (bucket, part int) {
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.WriteString(string(key.Kind)) // These never fail.
+	_, _ = digest.WriteString(string(key.Kind)) // Writes to a digest never fail.
 	_, _ = digest.WriteString("/")
 	_, _ = digest.WriteString(key.Name)
 	sum := digest.Sum64()
@@ -165,38 +164,38 @@
 	return UrgentBucket + 1 + int(sum%(BucketCount-1)), partOf(sum)
 }
 
-// partOf returns the part of an object by the hash of its name. Its upper bits do not decide on the bucket.
+// partOf returns the part of an object by the hash of its key. It uses the upper bits, which do not
+// determine the bucket.
 func partOf(hash uint64) int { return int(hash >> (64 - bits.Len(PartCount-1))) }
 
-// Apply takes over the records that are newer than the copy's, and returns once they are reported.
-// It returns how many were newer.
+// Apply applies the records that are newer than the replica's, and returns after these changes were
+// reported. It returns how many records were newer.
 func (r *Replica) Apply(source Source, records ...Record) int {
-	taken := r.applyAll(source, records)
+	applied := r.applyAll(source, records)
 	r.notify()
-	return taken
+	return applied
 }
 
 func (r *Replica) applyAll(source Source, records []Record) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	taken := 0
+	applied := 0
 	for _, record := range records {
 		if r.apply(source, record) {
-			taken++
+			applied++
 		}
 	}
-	r.forget()
-	return taken
+	r.dropTombstones()
+	return applied
 }
 
-// notify reports all pending changes. The copy is not locked meanwhile: to put a large
-// configuration into force takes a weak processor longer than another node waits for a
-// comparison.
+// notify reports all pending changes. mu is not held meanwhile: a weak processor may take longer to apply a
+// large configuration than another node waits for the answer to a comparison.
 func (r *Replica) notify() {
-	r.notifying.Lock()
-	defer r.notifying.Unlock()
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
 	for _, change := range r.takePending() {
-		r.changed(change)
+		r.onChange(change)
 	}
 }
 
@@ -208,8 +207,7 @@
 	return pending
 }
 
-// Replace takes over a whole list of a kind as of a revision: objects that it
-// does not name are deleted.
+// Replace applies a complete list of a kind as of a revision: objects that it does not contain are deleted.
 func (r *Replica) Replace(kind objectapi.Kind, objects []objectapi.Object, revision int64) {
 	r.replace(kind, objects, revision)
 	r.notify()
@@ -227,13 +225,13 @@
 		deleted := objectapi.Object{Kind: kind, Name: name, Version: revision}
 		r.apply(SourceStore, Record{Object: deleted, Deleted: true})
 	}
-	r.forget()
+	r.dropTombstones()
 }
 
-// unlisted returns the live objects of a kind that a list does not name.
+// unlisted returns the names of the live objects of a kind that a list does not contain.
 func (r *Replica) unlisted(kind objectapi.Kind, listed map[string]bool, revision int64) []string {
 	var names []string
-	for key, record := range r.all() {
+	for key, record := range r.allRecords() {
 		if key.Kind == kind && !record.Deleted && !listed[key.Name] && record.Object.Version < revision {
 			names = append(names, key.Name)
 		}
@@ -242,9 +240,9 @@
 	return names
 }
 
-// apply takes over one record; the lock is held.
+// apply applies one record; mu must be held.
 func (r *Replica) apply(source Source, record Record) bool {
-	number, part := r.place(record.Key())
+	number, part := r.locate(record.Key())
 	bucket := &r.buckets[number]
 	known, exists := bucket.records[record.Key()]
 	if exists && known.Object.Version >= record.Object.Version {
@@ -255,42 +253,42 @@
 		r.tombstones++
 	}
 	if exists {
-		bucket.mix(part, known)
+		bucket.toggle(part, known)
 		if known.Deleted {
 			r.tombstones--
 		}
 	}
-	bucket.mix(part, record)
+	bucket.toggle(part, record)
 	bucket.records[record.Key()] = record
 	r.pending = append(r.pending, Change{Record: record, Source: source, New: !exists || known.Deleted})
 	return true
 }
 
-// mix puts a record into the digest of its part, or takes it out again.
-func (b *bucket) mix(part int, record Record) { b.parts[part] ^= hash(record) }
+// toggle adds a record to the digest of its part, or removes it.
+func (b *bucket) toggle(part int, record Record) { b.parts[part] ^= recordHash(record) }
 
-// forget drops the oldest deletions beyond the bound; the lock is held.
-func (r *Replica) forget() {
+// dropTombstones drops the oldest deletions beyond maxTombstones; mu must be held.
+func (r *Replica) dropTombstones() {
 	if r.tombstones <= maxTombstones {
 		return
 	}
 	var deleted []Record
-	for _, record := range r.all() {
+	for _, record := range r.allRecords() {
 		if record.Deleted {
 			deleted = append(deleted, record)
 		}
 	}
 	sort.Slice(deleted, func(i, j int) bool { return deleted[i].Object.Version < deleted[j].Object.Version })
 	for _, record := range deleted[:len(deleted)-maxTombstones] {
-		number, part := r.place(record.Key())
+		number, part := r.locate(record.Key())
 		bucket := &r.buckets[number]
-		bucket.mix(part, record)
+		bucket.toggle(part, record)
 		delete(bucket.records, record.Key())
 		r.tombstones--
 	}
 }
 
-// Digest is equal for copies that hold the same versions.
+// Digest returns a digest of all versions. Replicas that hold the same versions have equal digests.
 func (r *Replica) Digest() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -312,7 +310,7 @@
 	return digests
 }
 
-// DifferingBuckets returns the buckets whose digests differ from those of another copy.
+// DifferingBuckets returns the buckets whose digests differ from those of another replica.
 func (r *Replica) DifferingBuckets(others []uint64) []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -325,7 +323,7 @@
 	return differing
 }
 
-// PartDigests returns the digests of the parts of a bucket; none for a number that names no bucket.
+// PartDigests returns the digests of the parts of a bucket, or nil if there is no such bucket.
 func (r *Replica) PartDigests(bucket int) []uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -335,8 +333,8 @@
 	return slices.Clone(r.buckets[bucket].parts[:])
 }
 
-// DifferingParts returns the parts of a bucket whose digests differ from those of another copy.
-// All parts differ where the other copy tells of another number of them.
+// DifferingParts returns the parts of a bucket whose digests differ from those of another replica. All
+// parts differ if the other replica reports a different number of them.
 func (r *Replica) DifferingParts(bucket int, others []uint64) PartSet {
 	own := r.PartDigests(bucket)
 	if len(own) != len(others) {
@@ -351,8 +349,8 @@
 	return differing
 }
 
-// Versions returns the records of some sections without their content. Numbers that name no
-// bucket are passed over: they may come from another node.
+// Versions returns the records of the given sections without their content. Invalid bucket numbers are
+// skipped: they may come from another node.
 func (r *Replica) Versions(sections []Section) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -364,12 +362,12 @@
 	return versions
 }
 
-// recordsIn iterates over the records of some sections; the lock is held.
+// recordsIn iterates over the records of the given sections; mu must be held.
 func (r *Replica) recordsIn(sections []Section) iter.Seq[Record] {
 	return func(yield func(Record) bool) {
-		for number, parts := range merged(sections) {
+		for number, parts := range mergeSections(sections) {
 			for key, record := range r.buckets[number].records {
-				if _, part := r.place(key); parts&(1<<part) == 0 {
+				if _, part := r.locate(key); parts&(1<<part) == 0 {
 					continue
 				}
 				if !yield(record) {
@@ -380,8 +378,8 @@
 	}
 }
 
-// merged returns the parts by the buckets that exist, so that none counts twice.
-func merged(sections []Section) map[int]PartSet {
+// mergeSections returns the requested parts of each valid bucket, so that none counts twice.
+func mergeSections(sections []Section) map[int]PartSet {
 	parts := make(map[int]PartSet, len(sections))
 	for _, section := range sections {
 		if section.Bucket >= 0 && section.Bucket < BucketCount {
@@ -391,36 +389,36 @@
 	return parts
 }
 
-// Records returns the records of the given objects that the copy has.
+// Records returns the records of the given objects that the replica has.
 func (r *Replica) Records(keys []Key) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []Record
 	for _, key := range keys {
-		if record, exists := r.in(key).records[key]; exists {
+		if record, exists := r.bucketOf(key).records[key]; exists {
 			found = append(found, record)
 		}
 	}
 	return found
 }
 
-// Version returns the version of a live object, zero where the copy has none.
+// Version returns the version of a live object, or zero if the replica has none.
 func (r *Replica) Version(key Key) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	record, exists := r.in(key).records[key]
+	record, exists := r.bucketOf(key).records[key]
 	if !exists || record.Deleted {
 		return 0
 	}
 	return record.Object.Version
 }
 
-// Live returns the objects of a kind that are not deleted, by name.
+// Live returns the objects of a kind that are not deleted, sorted by name.
 func (r *Replica) Live(kind objectapi.Kind) []objectapi.Object {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var live []objectapi.Object
-	for key, record := range r.all() {
+	for key, record := range r.allRecords() {
 		if key.Kind == kind && !record.Deleted {
 			live = append(live, record.Object)
 		}
@@ -429,8 +427,8 @@
 	return live
 }
 
-// Compare sorts the differences from another copy in some sections, given all versions that it has
-// there: keys that are newer here, and keys that are newer there.
+// Compare compares the given sections with all versions that another replica has there. It returns the keys
+// that are newer here and the keys that are newer there.
 func (r *Replica) Compare(sections []Section, others []Record) (newerHere, newerThere []Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -438,7 +436,7 @@
 	for _, other := range others {
 		key := other.Key()
 		seen[key] = true
-		known, exists := r.in(key).records[key]
+		known, exists := r.bucketOf(key).records[key]
 		switch {
 		case !exists || known.Object.Version < other.Object.Version:
 			newerThere = append(newerThere, key)
@@ -454,11 +452,11 @@
 	return newerHere, newerThere
 }
 
-// hash is a record's part of the digest.
-func hash(record Record) uint64 {
+// recordHash returns a record's contribution to the digest of its part.
+func recordHash(record Record) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.WriteString(string(record.Object.Kind)) // These never fail.
+	_, _ = digest.WriteString(string(record.Object.Kind)) // Writes to a digest never fail.
 	_, _ = digest.WriteString("/")
 	_, _ = digest.WriteString(record.Object.Name)
 	var version [9]byte
