--- a/chunk/chunk_test.go
+++ b/chunk/chunk_test.go
@@ -12,8 +12,9 @@
 	"github.com/reelrun/reelrun/chunk"
 )
 
-// TestSplitContentsJoinAgain draws contents of any kind, among them such as repeat themselves.
-func TestSplitContentsJoinAgain(t *testing.T) {
+// TestJoinRestoresSplitContent draws contents with alphabets of different sizes, so that some
+// repeat themselves.
+func TestJoinRestoresSplitContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		alphabet := rapid.IntRange(1, 256).Draw(t, "alphabet")
@@ -35,29 +36,29 @@
 }
 
 func randomContent(seed uint64, length, alphabet int) []byte {
-	chance := rand.New(rand.NewPCG(seed, seed))
+	random := rand.New(rand.NewPCG(seed, seed))
 	content := make([]byte, length)
 	for i := range content {
-		content[i] = byte(chance.IntN(alphabet))
+		content[i] = byte(random.IntN(alphabet))
 	}
 	return content
 }
 
-// TestASmallChangeChangesFewChunks inserts, replaces and removes a route of 200 bytes anywhere
-// in a configuration of 2 MB.
-func TestASmallChangeChangesFewChunks(t *testing.T) {
+// TestSmallChangeChangesFewChunks inserts or removes 200 bytes, the length of a route,
+// anywhere in a configuration of 2 MB.
+func TestSmallChangeChangesFewChunks(t *testing.T) {
 	const (
 		length = 2 << 20
 		change = 200
-		// mostChanged is the chunk that the change lies in, and those next to it.
+		// mostChanged counts the chunk that contains the change and its neighbors.
 		mostChanged = 4
 	)
 	g := NewWithT(t)
 	content := randomContent(1, length, 64)
 	before := chunk.Split(content).Contents(content)
-	chance := rand.New(rand.NewPCG(2, 2))
+	random := rand.New(rand.NewPCG(2, 2))
 	for i := range 30 {
-		at := chance.IntN(length - change)
+		at := random.IntN(length - change)
 		inserted := append(append(bytes.Clone(content[:at]), randomContent(uint64(i), change, 64)...), content[at:]...)
 		removed := append(bytes.Clone(content[:at]), content[at+change:]...)
 		for name, changed := range map[string][]byte{"inserted": inserted, "removed": removed} {
@@ -72,7 +73,7 @@
 	}
 }
 
-func TestAMissingChunkIsAnError(t *testing.T) {
+func TestMissingChunkIsAnError(t *testing.T) {
 	g := NewWithT(t)
 	content := randomContent(3, 100_000, 256)
 	manifest := chunk.Split(content)
@@ -82,7 +83,7 @@
 	g.Expect(err).To(MatchError(chunk.ErrIncomplete))
 }
 
-// BenchmarkSplit measures what the node that receives a configuration first spends on it.
+// BenchmarkSplit measures the cost on the node that receives a configuration first.
 func BenchmarkSplit(b *testing.B) {
 	const bytesPerRoute = 190
 	for _, routes := range []int{1_400, 5_000, 14_000, 20_000} {
--- a/chunk/doc.go
+++ b/chunk/doc.go
@@ -1,4 +1,4 @@
-// Package chunk divides long contents into chunks whose bounds go by the content. Two versions
-// of one content have most of their chunks in common, also where something was inserted in the
-// middle, so that a node which has one version fetches only what the other one changes.
+// Package chunk splits long contents into chunks with content-defined boundaries. Two versions
+// of a content share most of their chunks, even after an insertion in the middle, so that a
+// node that has one version fetches only the chunks that differ in the other.
 package chunk
