--- a/heaplimit/doc.go
+++ b/heaplimit/doc.go
@@ -1,8 +1,8 @@
-// Package heaplimit keeps the memory of a process in proportion to the machine that it runs on.
+// Package heaplimit bounds the memory of a process in proportion to the memory of its machine.
 //
-// The runtime lets the heap grow to twice what is in use before it collects, whatever the machine has. A
-// node that holds some ten thousand back ends would have as much garbage as content, and a small machine
-// would be at its end while half of its memory is free to be collected. So the heap may grow by a fixed
-// part of the machine's memory, and the runtime has a soft limit from which it collects as often as it
-// must.
+// By default the runtime lets the heap grow to twice the live heap before it collects, whatever the size
+// of the machine. A node with some ten thousand backends would hold as much garbage as live data, and a
+// small machine would run out of memory while half of it could be collected. Therefore garbage may take
+// a fixed part of the machine's memory, and the runtime has a soft memory limit above which it collects
+// as often as necessary.
 package heaplimit
--- a/heaplimit/heaplimit.go
+++ b/heaplimit/heaplimit.go
@@ -10,75 +10,76 @@
 )
 
 const (
-	// usableShare is the part of the machine's memory, less programBytes, that the runtime may use. The
-	// rest is for what the kernel holds for connections, and for the moment until a collection ends.
+	// usableShare is the share of the machine's memory, less programBytes, that the runtime may use. The rest
+	// is for the kernel's buffers of connections, and for growth until a collection ends.
 	usableShare = 0.8
-	// programBytes is what the program's own text takes, which counts as memory of the process.
+	// programBytes is the size of the program's text, which counts as memory of the process.
 	programBytes = 16 << 20
-	// leastLimit keeps the runtime able to work on a machine that is too small.
-	leastLimit = 16 << 20
-	// garbageShare is the part of the machine's memory that garbage may take, from leastGarbage on.
+	// minLimit keeps the runtime usable on a machine that is too small.
+	minLimit = 16 << 20
+	// garbageShare is the share of the machine's memory that garbage may take, but at least minGarbage.
 	garbageShare = 1.0 / 32
-	leastGarbage = 4 << 20
-	// leastPercent and mostPercent bound how far the heap grows between collections, as a percentage of
-	// what is in use: collections that come too often cost more than they free, and above twice the
-	// content the runtime's own pace is right.
-	leastPercent = 20
-	mostPercent  = 100
-	// adjustInterval is how often the pace is adjusted to what is in use.
+	minGarbage   = 4 << 20
+	// minPercent and maxPercent bound the growth of the heap between collections, as a percentage of the live
+	// heap: more frequent collections cost more than they free, and beyond twice the live heap the runtime's
+	// default applies.
+	minPercent = 20
+	maxPercent = 100
+	// adjustInterval is the time between adjustments of the growth to the live heap.
 	adjustInterval = 2 * time.Second
-	// leastChange is the change of the pace, in percent of the heap, that is worth an adjustment.
-	leastChange = 5
-	// releaseFrom is how much free memory, in bytes, is given back to the machine at once. The runtime gives it
-	// back over minutes, and what a node needs when it starts would stay with it as long.
-	releaseFrom = 4 << 20
-	// releaseInterval is the least time between two such releases, each of which is a collection.
+	// minChange is the smallest change of the growth, in percentage points, that is applied.
+	minChange = 5
+	// releaseThreshold is the free heap memory, in bytes, from which it is returned to the machine at once. The
+	// runtime returns it over minutes, and would hold the memory that a node needs only at its start for as
+	// long.
+	releaseThreshold = 4 << 20
+	// releaseInterval is the shortest time between two releases, each of which forces a collection.
 	releaseInterval = 10 * time.Second
-	// freeMetric is the memory that the heap holds without use, in bytes.
+	// freeMetric is the free memory that the heap holds, in bytes.
 	freeMetric = "/memory/classes/heap/free:bytes"
-	// liveMetric is the heap that was in use at the last collection, in bytes.
+	// liveMetric is the live heap at the last collection, in bytes.
 	liveMetric = "/gc/heap/live:bytes"
 )
 
-// SoftLimit returns how much memory the runtime may use on a machine of so many bytes.
+// SoftLimit returns the memory limit of the runtime on a machine with the given memory, in bytes.
 func SoftLimit(machine int64) int64 {
-	return max(leastLimit, int64(float64(machine-programBytes)*usableShare))
+	return max(minLimit, int64(float64(machine-programBytes)*usableShare))
 }
 
-// Percent returns by how much, as a percentage of what is in use, the heap may grow between collections on
-// a machine of so many bytes.
-func Percent(live, machine int64) int {
+// GCPercent returns how far the heap may grow between collections, as a percentage of the live heap, on a
+// machine with the given memory, in bytes.
+func GCPercent(live, machine int64) int {
 	if live <= 0 {
-		return mostPercent
+		return maxPercent
 	}
-	garbage := max(leastGarbage, int64(float64(machine)*garbageShare))
-	return int(min(mostPercent, max(leastPercent, 100*garbage/live)))
+	garbage := max(minGarbage, int64(float64(machine)*garbageShare))
+	return int(min(maxPercent, max(minPercent, 100*garbage/live)))
 }
 
-// Run keeps the runtime within the memory of a machine of so many bytes until the context ends. Without a
-// known size it leaves the runtime as it is.
+// Run adjusts the runtime to a machine with the given memory, in bytes, until the context ends. If the
+// memory is not known it leaves the runtime as it is.
 func Run(ctx context.Context, machine int64) {
 	if machine <= 0 {
 		return
 	}
 	debug.SetMemoryLimit(SoftLimit(machine))
-	current, released := mostPercent, time.Now()
+	current, releasedAt := maxPercent, time.Now()
 	periodic.Run(ctx, adjustInterval, func(context.Context) {
 		live, free := readHeap()
-		wanted := Percent(live, machine)
-		if max(wanted-current, current-wanted) >= leastChange {
+		wanted := GCPercent(live, machine)
+		if max(wanted-current, current-wanted) >= minChange {
 			debug.SetGCPercent(wanted)
 			current = wanted
 		}
-		if free >= releaseFrom && time.Since(released) >= releaseInterval {
+		if free >= releaseThreshold && time.Since(releasedAt) >= releaseInterval {
 			debug.FreeOSMemory()
-			released = time.Now()
+			releasedAt = time.Now()
 		}
 	})
 }
 
-// readHeap returns the heap that was in use at the last collection, and what the heap holds without use, in
-// bytes. A runtime that does not know them tells of nothing.
+// readHeap returns the live heap at the last collection and the free memory that the heap holds, in bytes. A
+// metric that the runtime does not have is zero.
 func readHeap() (live, free int64) {
 	samples := []metrics.Sample{{Name: liveMetric}, {Name: freeMetric}}
 	metrics.Read(samples)
--- a/heaplimit/heaplimit_test.go
+++ b/heaplimit/heaplimit_test.go
@@ -10,20 +10,21 @@
 
 const mebibyte = 1 << 20
 
-// TestGarbageDoesNotGrowWithTheContent compares the heaps of a small and a large fleet on one machine.
-func TestGarbageDoesNotGrowWithTheContent(t *testing.T) {
+// TestGarbageDoesNotGrowWithLiveHeap compares the heaps of a small and a large fleet on one machine.
+func TestGarbageDoesNotGrowWithLiveHeap(t *testing.T) {
 	g := NewWithT(t)
 	const machine = 144 * mebibyte
-	garbage := func(live int64) int64 { return live * int64(heaplimit.Percent(live, machine)) / 100 }
-	g.Expect(heaplimit.Percent(2*mebibyte, machine)).To(Equal(100), "a small heap is left to the runtime")
+	garbage := func(live int64) int64 { return live * int64(heaplimit.GCPercent(live, machine)) / 100 }
+	g.Expect(heaplimit.GCPercent(2*mebibyte, machine)).To(Equal(100), "a small heap keeps the runtime's default")
 	g.Expect(garbage(10 * mebibyte)).To(BeNumerically("<=", 5*mebibyte))
 	g.Expect(garbage(20 * mebibyte)).To(BeNumerically("<=", 5*mebibyte))
-	g.Expect(heaplimit.Percent(80*mebibyte, machine)).To(BeNumerically(">=", 20), "collections stay worth their cost")
-	g.Expect(heaplimit.Percent(0, machine)).To(Equal(100))
+	g.Expect(heaplimit.GCPercent(80*mebibyte, machine)).To(BeNumerically(">=", 20), "collections must not become too frequent")
+	g.Expect(heaplimit.GCPercent(0, machine)).To(Equal(100))
 }
 
-// TestTheLimitLeavesRoom wants the limit below what the machine has, and usable on the smallest one.
-func TestTheLimitLeavesRoom(t *testing.T) {
+// TestLimitLeavesMemoryFree checks that the limit is below the machine's memory, and usable on the
+// smallest machine.
+func TestLimitLeavesMemoryFree(t *testing.T) {
 	for _, machine := range []int64{64, 88, 144, 1048} {
 		limit := heaplimit.SoftLimit(machine * mebibyte)
 		NewWithT(t).Expect(limit).To(And(
