--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock reads time that counts on while the machine is suspended.
+// Package clock measures time including the time for which the machine is suspended.
 //
-// The monotonic clock of the runtime stands still meanwhile: a holder of a lease that was suspended
-// for longer than that lasts would take it as its own still, and a caller's time as not over. The
-// time of day counts on, but jumps.
+// The runtime's monotonic clock stops while the machine is suspended: a holder of a lease that was
+// suspended for longer than the lease lasts would still consider it valid, and a caller's deadline as
+// not reached. The wall clock continues, but may jump.
 package clock
 
 import (
@@ -13,33 +13,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// refreshInterval is for how long of the runtime's clock the suspended time is taken as known. A
-// system call each reading would take a coordinator of 1,800 requests a second half a hundredth of
-// a core; the runtime's clock takes none. What is decided within this time of waking may rest on
-// the time before; leases are looked at with Exact.
+// refreshInterval is how long the runtime's clock is used between readings of the system clock. A
+// system call for each reading would take a coordinator of 1,800 requests a second half a hundredth
+// of a core; the runtime's clock takes none. For this long after a resume, decisions may use the time
+// before the suspension; leases are checked with Exact.
 const refreshInterval = 20 * time.Millisecond
 
-// Clock counts the time since a fixed moment, suspended time included. Its times are only good for
-// differences. A nil Clock is the runtime's, which stands still while the machine is suspended. It is
-// safe for concurrent use.
+// Clock measures the time since a fixed moment, including suspended time. Its times are only
+// meaningful as differences. A nil Clock is the runtime's clock, which stops while the machine is
+// suspended. It is safe for concurrent use.
 type Clock struct {
-	// read returns the time since the machine started; nil where that is the runtime's clock.
+	// read returns the time since the machine booted; nil selects the runtime's clock.
 	read func() time.Duration
 
 	mu sync.Mutex
-	// base is the last reading, and steady the runtime's clock then.
-	base   time.Duration
-	steady time.Time
+	// base is the last reading, and runtimeBase the runtime's clock at that moment.
+	base        time.Duration
+	runtimeBase time.Time
 }
 
-// Boot returns the clock of the time since the machine started. The error says that the system has
-// none.
+// Boot returns the clock of the time since the machine booted. It returns an error if the system has
+// no such clock.
 func Boot() (*Clock, error) {
 	if _, err := readBoot(); err != nil {
-		return nil, errors.Wrap(err, "read the time since the machine started")
+		return nil, errors.Wrap(err, "read the time since boot")
 	}
 	return New(func() time.Duration {
-		read, _ := readBoot() // Only an unknown clock fails, and would have failed above.
+		read, _ := readBoot() // Only an unknown clock fails, and it would have failed above.
 		return read
 	}), nil
 }
@@ -50,26 +50,27 @@
 	return time.Duration(current.Nano()), err
 }
 
-// New returns a clock by what reads the time since the machine started.
+// New returns a clock from a function that reads the time since the machine booted.
 func New(read func() time.Duration) *Clock { return &Clock{read: read} }
 
-// Runtime returns the runtime's clock. It is for simulations and tests in virtual time.
+// Runtime returns the runtime's clock, for simulations and for tests in virtual time.
 func Runtime() *Clock { return nil }
 
-// Now returns the time as of refreshInterval ago at most, and counts on from there.
+// Now returns the time from a reading that is at most refreshInterval old, advanced by the runtime's
+// clock.
 func (c *Clock) Now() time.Time {
 	if c == nil || c.read == nil {
 		return time.Now()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if since := time.Since(c.steady); since < refreshInterval {
+	if since := time.Since(c.runtimeBase); since < refreshInterval {
 		return timeOf(c.base + since)
 	}
 	return c.refresh()
 }
 
-// Exact returns the time as of now.
+// Exact returns the time from a new reading.
 func (c *Clock) Exact() time.Time {
 	if c == nil || c.read == nil {
 		return time.Now()
@@ -79,15 +80,15 @@
 	return c.refresh()
 }
 
-// refresh reads the time; the lock is held. The runtime's clock is read last, so that the time does
-// not go back at the next reading where the process is interrupted in between.
+// refresh reads the system clock; mu must be held. The runtime's clock is read last, so that the next
+// reading does not go back if the process is interrupted in between.
 func (c *Clock) refresh() time.Time {
 	c.base = c.read()
-	c.steady = time.Now()
+	c.runtimeBase = time.Now()
 	return timeOf(c.base)
 }
 
-// Since returns how long ago a time of this clock was.
+// Since returns the time elapsed since a time of this clock.
 func (c *Clock) Since(earlier time.Time) time.Duration { return c.Now().Sub(earlier) }
 
 func timeOf(since time.Duration) time.Time { return time.Unix(0, int64(since)) }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -8,18 +8,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestBootCountsAsTheSteadyClockDoesWhileNothingIsSuspended compares differences of both clocks.
-func TestBootCountsAsTheSteadyClockDoesWhileNothingIsSuspended(t *testing.T) {
+// TestBootMatchesRuntimeWithoutSuspension compares differences of both clocks.
+func TestBootMatchesRuntimeWithoutSuspension(t *testing.T) {
 	g := NewWithT(t)
 	boot, err := Boot()
 	g.Expect(err).NotTo(HaveOccurred())
-	steadyBefore, bootBefore := time.Now(), boot.Exact()
-	g.Eventually(func() time.Duration { return time.Since(steadyBefore) }).Should(BeNumerically(">", 20*time.Millisecond))
-	g.Expect(boot.Since(bootBefore)).To(BeNumerically("~", time.Since(steadyBefore), 10*time.Millisecond))
+	runtimeBefore, bootBefore := time.Now(), boot.Exact()
+	g.Eventually(func() time.Duration { return time.Since(runtimeBefore) }).Should(BeNumerically(">", 20*time.Millisecond))
+	g.Expect(boot.Since(bootBefore)).To(BeNumerically("~", time.Since(runtimeBefore), 10*time.Millisecond))
 }
 
-// TestSuspendedTimeCounts has the machine suspended for five seconds, in which the runtime's clock
-// stands still. The time never goes back.
+// TestSuspendedTimeCounts suspends the machine for five seconds, during which the runtime's clock
+// stops. The time never goes back.
 func TestSuspendedTimeCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -39,7 +39,8 @@
 	})
 }
 
-// BenchmarkNow reads the clock: 295 ns by a system call each time, 80 with the time remembered.
+// BenchmarkNow measures a reading: 295 ns with a system call each time, 80 ns with a remembered
+// reading.
 func BenchmarkNow(b *testing.B) {
 	boot, err := Boot()
 	if err != nil {
