--- a/heaplimit/heaplimit_test.go
+++ b/heaplimit/heaplimit_test.go
@@ -15,10 +15,10 @@
 	g := NewWithT(t)
 	const machine = 144 * mebibyte
 	garbage := func(live int64) int64 { return live * int64(heaplimit.GCPercent(live, machine)) / 100 }
-	g.Expect(heaplimit.GCPercent(2*mebibyte, machine)).To(Equal(100), "a small heap keeps the runtime's default")
+	g.Expect(heaplimit.GCPercent(2*mebibyte, machine)).To(Equal(100), "a small heap is left to the runtime")
 	g.Expect(garbage(10 * mebibyte)).To(BeNumerically("<=", 5*mebibyte))
 	g.Expect(garbage(20 * mebibyte)).To(BeNumerically("<=", 5*mebibyte))
-	g.Expect(heaplimit.GCPercent(80*mebibyte, machine)).To(BeNumerically(">=", 20), "collections must not become too frequent")
+	g.Expect(heaplimit.GCPercent(80*mebibyte, machine)).To(BeNumerically(">=", 20), "collections stay worth their cost")
 	g.Expect(heaplimit.GCPercent(0, machine)).To(Equal(100))
 }
 
--- a/replica/property_test.go
+++ b/replica/property_test.go
@@ -132,7 +132,7 @@
 	// The list says nothing about versions after its revision.
 	g.Expect(names).To(Equal([]string{"kept", "newer"}))
 	local.Apply(replica.SourcePeer, replica.Record{Object: object("old", 1)})
-	g.Expect(local.Live(kind)).To(HaveLen(2), "a delayed message must not restore a deleted object")
+	g.Expect(local.Live(kind)).To(HaveLen(2), "a late message does not bring it back")
 }
 
 // TestInvalidBucketNumbersAreSkipped asks for buckets that do not exist, and for one bucket twice, as another
@@ -155,6 +155,6 @@
 	local := replica.New("urgent", ignoreChange)
 	g.Expect(local.PartDigests(-1)).To(BeEmpty())
 	g.Expect(local.PartDigests(replica.BucketCount)).To(BeEmpty())
-	g.Expect(local.DifferingParts(1, make([]uint64, replica.PartCount))).To(BeZero(), "two empty buckets have no differing parts")
+	g.Expect(local.DifferingParts(1, make([]uint64, replica.PartCount))).To(BeZero(), "two empty buckets are alike")
 	g.Expect(local.DifferingParts(1, make([]uint64, 3))).To(Equal(replica.AllParts))
 }
