--- a/placement/rendezvous.go
+++ b/placement/rendezvous.go
@@ -20,7 +20,7 @@
 }
 
 // Owner returns the member with the highest score for the key, or "" if there
-// is no member.
+// are no members.
 func Owner(key string, members []string) string {
 	keyHash := xxhash.Sum64String(key)
 	var owner string
@@ -40,7 +40,7 @@
 	score uint64
 }
 
-// before orders candidates by falling score, and equal ones by name.
+// before orders candidates by descending score, and equal ones by name.
 func (c candidate) before(other candidate) bool {
 	if c.score != other.score {
 		return c.score > other.score
@@ -48,20 +48,20 @@
 	return c.name < other.name
 }
 
-// Top returns up to count members by falling score. The first is the Owner.
+// Top returns up to count members by descending score. The first is the Owner.
 func Top(key string, members []string, count int) []string {
 	keyHash := xxhash.Sum64String(key)
 	best := make([]candidate, 0, min(count, len(members))+1)
 	for _, member := range members {
 		added := candidate{member, score(keyHash, member)}
-		at := len(best)
-		for at > 0 && added.before(best[at-1]) {
-			at--
+		position := len(best)
+		for position > 0 && added.before(best[position-1]) {
+			position--
 		}
-		if at == count {
+		if position == count {
 			continue
 		}
-		best = slices.Insert(best, at, added)
+		best = slices.Insert(best, position, added)
 		best = best[:min(len(best), count)]
 	}
 	names := make([]string, len(best))
--- a/placement/rendezvous_test.go
+++ b/placement/rendezvous_test.go
@@ -16,29 +16,29 @@
 	return names
 }
 
-// TestOnlyKeysOfALeaverMove removes one member: a key keeps its owner unless the
-// owner is the one that left, and then goes to the one that was second.
-func TestOnlyKeysOfALeaverMove(t *testing.T) {
+// TestOnlyKeysOfRemovedMemberMove removes one member: a key keeps its owner
+// unless the owner is the removed member; then the second member owns it.
+func TestOnlyKeysOfRemovedMemberMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := members(rapid.IntRange(2, 60).Draw(t, "members"))
 		key := rapid.String().Draw(t, "key")
-		leaver := rapid.IntRange(0, len(all)-1).Draw(t, "leaver")
+		removed := rapid.IntRange(0, len(all)-1).Draw(t, "leaver")
 		before := Top(key, all, 2)
 		if Owner(key, all) != before[0] {
 			t.Fatalf("owner %q, first %q", Owner(key, all), before[0])
 		}
-		left := append(append([]string{}, all[:leaver]...), all[leaver+1:]...)
+		remaining := append(append([]string{}, all[:removed]...), all[removed+1:]...)
 		want := before[0]
-		if want == all[leaver] {
+		if want == all[removed] {
 			want = before[1]
 		}
-		if after := Owner(key, left); after != want {
+		if after := Owner(key, remaining); after != want {
 			t.Fatalf("owner %q became %q, want %q", before[0], after, want)
 		}
 	})
 }
 
-func TestKeysSpread(t *testing.T) {
+func TestKeysAreDistributedEvenly(t *testing.T) {
 	const nodes, keys = 8, 8000
 	counts := map[string]int{}
 	for i := range keys {
@@ -54,22 +54,22 @@
 	}
 }
 
-// TestTopIsAPrefixOfTheWholeOrder compares the choice of a few with the order of
-// all, which must be the one that Owner gives when its first is taken away.
-func TestTopIsAPrefixOfTheWholeOrder(t *testing.T) {
+// TestTopMatchesRepeatedOwner compares Top with the order in which Owner
+// returns the members as the first is removed each time.
+func TestTopMatchesRepeatedOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		left := members(rapid.IntRange(0, 30).Draw(t, "members"))
+		remaining := members(rapid.IntRange(0, 30).Draw(t, "members"))
 		key := rapid.String().Draw(t, "key")
 		count := rapid.IntRange(0, 32).Draw(t, "count")
-		top := Top(key, left, count)
-		if len(top) != min(count, len(left)) {
-			t.Fatalf("%d of %d members, wanted %d", len(top), len(left), count)
+		top := Top(key, remaining, count)
+		if len(top) != min(count, len(remaining)) {
+			t.Fatalf("%d of %d members, wanted %d", len(top), len(remaining), count)
 		}
 		for _, chosen := range top {
-			if owner := Owner(key, left); owner != chosen {
+			if owner := Owner(key, remaining); owner != chosen {
 				t.Fatalf("got %q, want %q", chosen, owner)
 			}
-			left = slices.DeleteFunc(left, func(name string) bool { return name == chosen })
+			remaining = slices.DeleteFunc(remaining, func(name string) bool { return name == chosen })
 		}
 	})
 }
