--- a/peer/client.go
+++ b/peer/client.go
@@ -20,7 +20,7 @@
 // dialTimeout bounds the opening of a connection.
 const dialTimeout = 2 * time.Second
 
-// ErrNotSent means that no byte of the call left this node.
+// ErrNotSent is returned if no byte of the call was sent.
 var ErrNotSent = errors.New("peer: not sent")
 
 // Client calls other nodes. It is safe for concurrent use.
@@ -30,11 +30,11 @@
 	clock *timeline.Clock
 
 	dialing singleflight.Group
-	// ctx ends with the client.
+	// ctx ends when the client is closed.
 	ctx   context.Context
 	close context.CancelFunc
 
-	// observe is called with each call that was answered; it may be nil.
+	// observe is called for each answered call; it may be nil.
 	observe func(CallSize)
 
 	mu       sync.Mutex
@@ -42,47 +42,46 @@
 	closed   bool
 }
 
-// Lane separates calls that must not wait for each other. Each lane to a node has a connection
-// of its own.
+// Lane separates calls that must not wait for each other. Each lane to a node has its own connection.
 type Lane string
 
 // The lanes.
 const (
-	// LaneControl carries short calls, by which nodes know that others live.
+	// LaneControl carries short calls, by which nodes detect that others are live.
 	LaneControl Lane = "control"
 	// LaneBulk carries calls with long contents.
 	LaneBulk Lane = "bulk"
 )
 
-// sessionKey names a connection to another node.
+// sessionKey identifies a connection to another node.
 type sessionKey struct {
 	address string
 	lane    Lane
 }
 
-// String names the key in messages and in groups of dials.
+// String returns the key's form in messages and as a key of singleflight calls.
 func (k sessionKey) String() string { return k.address + "/" + string(k.lane) }
 
-// NewClient returns a client that calls in the name of the given node.
+// NewClient returns a client that calls under the name of the given node.
 func NewClient(node string, dial DialFunc, clock *timeline.Clock) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{node: node, dial: dial, clock: clock, ctx: ctx, close: cancel, sessions: map[sessionKey]*clientSession{}}
 }
 
-// CallSize is how many bytes the messages of a call had, without what the connection adds.
+// CallSize is the encoded size of a call's messages in bytes, without framing.
 type CallSize struct {
 	Address string
-	// Kind names the call.
+	// Kind is the name of the request's body field.
 	Kind           string
 	Sent, Received int
 }
 
-// Observe has each later call observed that is answered. It must be called before the client is
-// used. The observer must not block.
+// Observe sets a function that is called for each answered call. It must be called before the client is used. The
+// function must not block.
 func (c *Client) Observe(observe func(CallSize)) { c.observe = observe }
 
-// observed notes a call that was answered.
-func (c *Client) observed(address string, request *peerpb.Request, response *peerpb.Response) {
+// report passes an answered call to the observer.
+func (c *Client) report(address string, request *peerpb.Request, response *peerpb.Response) {
 	if c.observe == nil {
 		return
 	}
@@ -94,14 +93,13 @@
 	c.observe(CallSize{Address: address, Kind: string(kind.Name()), Sent: proto.Size(request), Received: proto.Size(response)})
 }
 
-// Call sends a short request to the node at address. An error of type *api.Error is
-// the receiver's answer; any other error says nothing about the effect, except
-// ErrNotSent.
+// Call sends a short request to the node at address. An error of type *api.Error is the receiver's answer; any
+// other error leaves it unknown whether the call took effect, except ErrNotSent.
 func (c *Client) Call(ctx context.Context, address string, request *peerpb.Request) (*peerpb.Response, error) {
 	return c.CallOn(ctx, LaneControl, address, request)
 }
 
-// CallOn is Call on a lane.
+// CallOn is Call on the given lane.
 func (c *Client) CallOn(ctx context.Context, lane Lane, address string, request *peerpb.Request) (*peerpb.Response, error) {
 	key := sessionKey{address, lane}
 	session, err := c.session(ctx, key)
@@ -118,7 +116,7 @@
 		return nil, err
 	}
 	c.clock.Observe(timeline.Stamp(response.GetStamp()))
-	c.observed(address, request, response)
+	c.report(address, request, response)
 	if response.GetFailure() != nil {
 		return nil, errorOf(response.GetFailure())
 	}
@@ -141,22 +139,22 @@
 	}
 }
 
-// lookup returns the session of a key; nil where there is none that may be used at once.
+// lookup returns the session of a key, or nil if there is none that can be used without a check.
 func (c *Client) lookup(key sessionKey) *clientSession {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	session := c.sessions[key]
-	if session == nil || session.mux.IsClosed() || key.lane == LaneBulk && session.isDoubtful() {
+	if session == nil || session.mux.IsClosed() || key.lane == LaneBulk && session.isSuspect() {
 		return nil
 	}
-	// While the lock is held, so that CloseIdle does not end what is about to be used.
+	// Updated under the lock, so that CloseIdle does not close a session that is about to be used.
 	session.touch()
 	return session
 }
 
-// open returns a session that carries calls: the one that there is, or a new one.
+// open returns the usable session of a key, or opens a new one.
 func (c *Client) open(key sessionKey) (*clientSession, error) {
-	c.verify(key)
+	c.dropUnresponsive(key)
 	if session := c.lookup(key); session != nil {
 		return session, nil
 	}
@@ -181,12 +179,12 @@
 	return session, nil
 }
 
-// verify ends the session of a key where that is doubtful and its node does not answer on it.
-func (c *Client) verify(key sessionKey) {
+// dropUnresponsive closes the session of a key if it is suspect and the node does not answer a ping on it.
+func (c *Client) dropUnresponsive(key sessionKey) {
 	c.mu.Lock()
 	session := c.sessions[key]
 	c.mu.Unlock()
-	if session == nil || !session.isDoubtful() || session.answersPing() {
+	if session == nil || !session.isSuspect() || session.answersPing() {
 		return
 	}
 	c.drop(key, session)
@@ -201,34 +199,33 @@
 	}
 }
 
-// Reset closes the sessions to an address, so that the next call dials anew. It
-// is used when a node stops answering: a connection cut without a reset would
-// otherwise swallow calls.
+// Reset closes the sessions to an address, so that the next call dials again. It is used when a node stops
+// answering: calls on a connection that was cut without a reset would otherwise be lost.
 func (c *Client) Reset(address string) {
 	now := time.Now()
 	c.ResetLane(LaneControl, address, now)
 	c.ResetLane(LaneBulk, address, now)
 }
 
-// ResetLane closes the session of one lane to an address, if it was opened before a moment: when
-// a call that began then has failed, a newer session is another one's and may be sound.
+// ResetLane closes the session of one lane to an address if it was opened before the given time, the start of the
+// call that failed: a newer session was opened by another call and may be healthy.
 func (c *Client) ResetLane(lane Lane, address string, openedBefore time.Time) {
 	c.resetIf(sessionKey{address, lane}, func(session *clientSession) bool { return session.openedAt.Before(openedBefore) })
 }
 
-// ResetUnusedLane is ResetLane for a session on which no call is under way. It costs nothing but a new connection
-// where the session was sound.
+// ResetUnusedLane is ResetLane for a session without a call in progress. If the session was healthy, the only
+// cost is a new connection.
 func (c *Client) ResetUnusedLane(lane Lane, address string, openedBefore time.Time) {
 	c.resetIf(sessionKey{address, lane}, func(session *clientSession) bool {
 		return session.openedAt.Before(openedBefore) && !session.inUse()
 	})
 }
 
-// resetIf closes the session of a key if it is to be closed.
-func (c *Client) resetIf(key sessionKey, closes func(*clientSession) bool) {
+// resetIf closes the session of a key if the condition holds.
+func (c *Client) resetIf(key sessionKey, condition func(*clientSession) bool) {
 	c.mu.Lock()
 	session := c.sessions[key]
-	if session == nil || !closes(session) {
+	if session == nil || !condition(session) {
 		c.mu.Unlock()
 		return
 	}
@@ -237,8 +234,8 @@
 	_ = session.mux.Close()
 }
 
-// CloseIdle ends the sessions that no call has used for a time, so that a node does not keep
-// a connection to each one that it ever called.
+// CloseIdle closes the sessions that have not been used for the given time, so that a node does not keep a
+// connection to each node that it ever called.
 func (c *Client) CloseIdle(unused time.Duration) {
 	c.mu.Lock()
 	var idle []*clientSession
@@ -254,7 +251,7 @@
 	}
 }
 
-// Close ends every session.
+// Close closes all sessions.
 func (c *Client) Close() {
 	c.close()
 	c.mu.Lock()
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -10,18 +10,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxMessageBytes bounds one message. It holds one part of the configuration
-// (the platform's largest value) with room for its envelope.
+// MaxMessageBytes bounds one message. It leaves space for the envelope around
+// one part of the configuration, the platform's largest value.
 const MaxMessageBytes = (1 << 20) + (64 << 10)
 
-// ErrMessageTooLarge is returned for a message beyond MaxMessageBytes.
+// ErrMessageTooLarge is returned for a message larger than MaxMessageBytes.
 var ErrMessageTooLarge = errors.New("peer: message too large")
 
 func writeMessage(w io.Writer, message proto.Message) error {
 	if proto.Size(message) > MaxMessageBytes {
 		return ErrMessageTooLarge
 	}
-	// One write makes one frame; protodelim itself writes the length first.
+	// A single write makes a single frame; protodelim would write the length
+	// separately.
 	var encoded bytes.Buffer
 	if _, err := protodelim.MarshalTo(&encoded, message); err != nil {
 		return errors.Wrap(err, "encode message")
@@ -39,5 +40,5 @@
 	return err
 }
 
-// Millis decodes a duration that a message tells in milliseconds.
+// Millis converts a duration in a message from milliseconds.
 func Millis(value int64) time.Duration { return time.Duration(value) * time.Millisecond }
--- a/peer/failure.go
+++ b/peer/failure.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// errorOf returns the typed error of a wire form.
+// errorOf converts the wire form of an error.
 func errorOf(failure *peerpb.Failure) *api.Error {
 	return &api.Error{
 		Code:       api.Code(failure.GetCode()),
--- a/peer/frames.go
+++ b/peer/frames.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// Layout of a yamux frame header, as its specification gives it.
+// Layout of a yamux frame header, as given by its specification.
 const (
 	frameHeaderBytes  = 12
 	frameTypeOffset   = 1
@@ -13,21 +13,21 @@
 	frameTypeData     = 0
 )
 
-// frameConn sends each yamux frame by one write. yamux itself writes the header
-// of a data frame and then its body; with TLS and TCP each write is a record and
-// a packet, whose headers would be most of the bytes of a heartbeat.
+// frameConn sends each yamux frame in a single write. yamux writes the header
+// of a data frame and its body separately; with TLS and TCP each write is a
+// record and a packet, whose headers would be most of the bytes of a heartbeat.
 type frameConn struct {
 	net.Conn
-	// frame is a header that waits for its body. The session writes from one
-	// goroutine.
+	// frame buffers a header until its body is complete. The session writes from
+	// one goroutine.
 	frame []byte
-	// missing is the length of the body that is still to come.
+	// missing is the length of the rest of the body.
 	missing int
 }
 
 func newFrameConn(conn net.Conn) *frameConn { return &frameConn{Conn: conn} }
 
-// Write implements net.Conn. It reports a header that waits as written.
+// Write implements net.Conn. It reports a buffered header as written.
 func (c *frameConn) Write(data []byte) (int, error) {
 	if c.missing == 0 {
 		c.missing = bodyLength(data)
@@ -53,7 +53,7 @@
 // maxKeptFrame bounds the buffer that is kept between frames.
 const maxKeptFrame = 4 << 10
 
-// shrink lets the buffer of a large frame go.
+// shrink releases the buffer of a large frame.
 func (c *frameConn) shrink() {
 	if cap(c.frame) > maxKeptFrame {
 		c.frame = nil
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// goldenFile holds each kind of message as the build of an earlier landing wrote it, one a line: the
-	// message, the field of its body, and the bytes in hexadecimal. Lines are added, never changed.
+	// goldenFile holds each kind of message as written by an earlier build, one per line: the message, the
+	// field of its body, and the bytes in hexadecimal. Lines are added, never changed.
 	goldenFile = "testdata/golden-messages.txt"
-	// goldenUpdate is the variable that has the messages appended which have no line yet.
+	// goldenUpdate is the environment variable that enables appending messages that have no line yet.
 	goldenUpdate = "GOLDEN_UPDATE"
-	// goldenDepth bounds how deep messages are filled that hold each other.
+	// goldenDepth bounds the depth to which recursive messages are filled.
 	goldenDepth = 4
 )
 
@@ -33,7 +33,7 @@
 	of   proto.Message
 }
 
-// goldenMessages returns an empty message for each kind, by the bodies of requests and responses.
+// goldenMessages returns an empty message for each kind of body of requests and responses.
 func goldenMessages() []goldenMessage {
 	var all []goldenMessage
 	for _, of := range []proto.Message{&peerpb.Request{}, &peerpb.Response{}} {
@@ -46,7 +46,7 @@
 	return all
 }
 
-// filled returns the message with each field set to a value that goes by the field's name: a field that
+// filled returns the message with each field set to a value derived from the field's name: a field that
 // changes its number, type or name reads as another value, or as none.
 func (g goldenMessage) filled() proto.Message {
 	message := proto.Clone(g.of)
@@ -86,7 +86,7 @@
 	return empty
 }
 
-// goldenScalar returns the value of a field that holds no message.
+// goldenScalar returns the value of a field that is not a message.
 func goldenScalar(field protoreflect.FieldDescriptor) protoreflect.Value {
 	digest := xxhash.Sum64String(string(field.FullName()))
 	switch field.Kind() {
@@ -113,7 +113,7 @@
 	}
 }
 
-// golden returns the written messages by their names.
+// golden returns the recorded messages by name.
 func golden(t *testing.T) map[string][]byte {
 	t.Helper()
 	content, err := os.ReadFile(goldenFile)
@@ -132,8 +132,8 @@
 	return written
 }
 
-// TestMessagesOfEarlierBuildsAreRead reads each kind of message as an earlier build wrote it. Nodes of two
-// builds call each other while a fleet is upgraded.
+// TestMessagesOfEarlierBuildsAreRead reads each kind of message as written by an earlier build. Nodes of
+// two builds call each other during a rolling upgrade.
 func TestMessagesOfEarlierBuildsAreRead(t *testing.T) {
 	written := golden(t)
 	var missing bytes.Buffer
@@ -156,7 +156,7 @@
 		expectPart(t, kind.name, read.ProtoReflect(), kind.filled().ProtoReflect())
 	}
 	for name := range written {
-		t.Errorf("%s is no message any more", name)
+		t.Errorf("%s is no longer a message", name)
 	}
 	if missing.Len() == 0 {
 		return
@@ -171,12 +171,12 @@
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 }
 
-// expectPart wants all that a message of an earlier build holds to be known, with the values that it wrote.
-// Fields that came later are not in it.
+// expectPart checks that each field of an earlier build's message is known and has the value that was
+// written. Fields that were added later are absent.
 func expectPart(t *testing.T, path string, read, wanted protoreflect.Message) {
 	t.Helper()
 	if len(read.GetUnknown()) > 0 {
-		t.Errorf("%s holds fields that are not known any more: %x", path, read.GetUnknown())
+		t.Errorf("%s has fields that are no longer known: %x", path, read.GetUnknown())
 	}
 	read.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		name := path + "." + string(field.Name())
@@ -202,12 +202,12 @@
 		return
 	}
 	if !read.Equal(wanted) {
-		t.Errorf("%s reads as %v in place of %v", path, read, wanted)
+		t.Errorf("%s reads as %v, want %v", path, read, wanted)
 	}
 }
 
-// FuzzMessagesOfOtherBuilds has bytes of another build, spoilt perhaps, read and written again: what this
-// build does not know goes on unchanged.
+// FuzzMessagesOfOtherBuilds decodes and encodes bytes of another build, possibly corrupted: unknown fields
+// must be preserved.
 func FuzzMessagesOfOtherBuilds(f *testing.F) {
 	for _, kind := range goldenMessages() {
 		encoded, err := proto.Marshal(kind.filled())
@@ -226,7 +226,7 @@
 			t.Fatal(err)
 		}
 		if err := proto.Unmarshal(again, &second); err != nil || !proto.Equal(&first, &second) {
-			t.Fatalf("written again it reads otherwise: %v", err)
+			t.Fatalf("message changed when encoded and decoded again: %v", err)
 		}
 	})
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -20,7 +20,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// pair starts a server on loopback and returns a client of it.
+// pair starts a server on loopback and returns a client and the server's address.
 func pair(t *testing.T, handler Handler) (*Client, string) {
 	t.Helper()
 	clock := timeline.NewClock(time.Now)
@@ -75,8 +75,8 @@
 	return c.Conn.Write(data)
 }
 
-// TestCallIsOneWrite counts the writes of calls on a standing stream, small and
-// large: each is one packet or record, not one for each part of a frame.
+// TestCallIsOneWrite counts the writes of calls on an open stream, small and large:
+// each must be one packet or record, not one for each part of a frame.
 func TestCallIsOneWrite(t *testing.T) {
 	g := NewWithT(t)
 	client, address := pair(t, echo)
@@ -146,7 +146,7 @@
 	g.Expect(errors.Is(err, ErrNotSent)).To(BeTrue())
 }
 
-func TestTooLargeMessageIsRefused(t *testing.T) {
+func TestTooLargeMessageIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	client, address := pair(t, echo)
 	_, err := client.Call(context.Background(), address, fetchPart(strings.Repeat("x", MaxMessageBytes)))
@@ -157,9 +157,9 @@
 	g.Expect(errors.Is(err, ErrMessageTooLarge)).To(BeTrue())
 }
 
-// TestCloseWhileConnectionsArrive opens connections until the server is gone. The
-// race that it is for is narrow: on the code before its repair the race detector
-// found it in one of 2,000 rounds.
+// TestCloseWhileConnectionsArrive opens connections until the server is closed. It
+// guards against a race between Close and a new connection, which is rare: before
+// the fix the race detector found it in one of 2,000 rounds.
 func TestCloseWhileConnectionsArrive(t *testing.T) {
 	for range 50 {
 		server := NewServer(echo, timeline.NewClock(time.Now))
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestHostileConnectionIsDropped sends bytes that are no session.
-func TestHostileConnectionIsDropped(t *testing.T) {
+// TestInvalidConnectionIsDropped sends bytes that are not yamux.
+func TestInvalidConnectionIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	client, address := pair(t, echo)
 	conn, err := net.Dial("tcp", address)
@@ -205,8 +205,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// FuzzReadMessage feeds hostile frames to the decoder, which must answer with a
-// message or an error.
+// FuzzReadMessage feeds invalid frames to the decoder, which must return a message
+// or an error.
 func FuzzReadMessage(f *testing.F) {
 	var valid bytes.Buffer
 	if err := writeMessage(&valid, fetchPart("digest")); err != nil {
@@ -222,13 +222,14 @@
 		}
 		var again bytes.Buffer
 		if err := writeMessage(&again, message); err != nil {
-			t.Fatalf("a message that was read cannot be written: %v", err)
+			t.Fatalf("a decoded message cannot be encoded: %v", err)
 		}
 	})
 }
 
-// TestUnusedSessionsEnd ends what no call uses, keeps what one does, and dials anew.
-func TestUnusedSessionsEnd(t *testing.T) {
+// TestUnusedSessionsAreClosed closes sessions without calls, keeps one with a call
+// in progress, and dials again.
+func TestUnusedSessionsAreClosed(t *testing.T) {
 	g := NewWithT(t)
 	entered, leave := make(chan struct{}), make(chan struct{})
 	client, address := pair(t, func(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
--- a/peer/doubt_test.go
+++ b/peer/reset_test.go
@@ -10,8 +10,9 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// TestAResetOfAnUnusedLaneEndsNoCall has a lane reset while a call is under way on it, and once it has ended.
-func TestAResetOfAnUnusedLaneEndsNoCall(t *testing.T) {
+// TestResetUnusedLaneKeepsCallInProgress resets a lane during a call on it, and again after the call has
+// ended.
+func TestResetUnusedLaneKeepsCallInProgress(t *testing.T) {
 	g := NewWithT(t)
 	arrived, answer := make(chan struct{}), make(chan struct{})
 	client, address := pair(t, func(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
--- a/peer/server.go
+++ b/peer/server.go
@@ -13,7 +13,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// Handler answers a call. The error becomes a Failure.
+// Handler answers a call. An error is sent as a Failure.
 type Handler func(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error)
 
 // maxStreamsPerSession bounds the concurrent calls of one peer.
@@ -32,7 +32,7 @@
 	done     sync.WaitGroup
 }
 
-// NewServer returns a server that answers with handler.
+// NewServer returns a server that answers calls with handler.
 func NewServer(handler Handler, clock *timeline.Clock) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{handler: handler, clock: clock, ctx: ctx, cancel: cancel, sessions: map[*yamux.Session]struct{}{}}
@@ -45,7 +45,7 @@
 		if err != nil {
 			return err
 		}
-		if !s.begin() {
+		if !s.beginConn() {
 			_ = conn.Close()
 			return net.ErrClosed
 		}
@@ -56,9 +56,9 @@
 	}
 }
 
-// begin counts a connection, unless the server is closed: Close must not wait
-// while one is added.
-func (s *Server) begin() bool {
+// beginConn counts a new connection unless the server is closed: none may be
+// added while Close waits.
+func (s *Server) beginConn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ctx.Err() != nil {
@@ -117,14 +117,14 @@
 	_ = mux.Close()
 }
 
-func (s *Server) serveStream(on *stream) {
-	defer func() { _ = on.Close() }()
+func (s *Server) serveStream(conn *stream) {
+	defer func() { _ = conn.Close() }()
 	for {
 		request := &peerpb.Request{}
-		if err := readMessage(on.reader, request); err != nil {
+		if err := readMessage(conn.reader, request); err != nil {
 			return
 		}
-		if err := writeMessage(on, s.answer(request)); err != nil {
+		if err := writeMessage(conn, s.answer(request)); err != nil {
 			return
 		}
 	}
@@ -140,7 +140,7 @@
 	return response
 }
 
-// Close ends every session and waits for the calls under way.
+// Close closes all sessions and waits for the calls in progress.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.cancel()
@@ -151,5 +151,5 @@
 	s.done.Wait()
 }
 
-// ErrUnknownCall is the answer to a request without a known body.
+// ErrUnknownCall is the answer to a request with an unknown body.
 var ErrUnknownCall = api.NewError(http.StatusBadRequest, api.CodeInvalidRequest, api.OutcomeNotRun, "unknown call")
--- a/peer/session.go
+++ b/peer/session.go
@@ -18,18 +18,18 @@
 const (
 	// maxIdleStreams bounds the streams kept for reuse on one session.
 	maxIdleStreams = 16
-	// streamReadBuffer is small, because most messages are.
+	// streamReadBuffer is small because most messages are.
 	streamReadBuffer = 512
-	// writeTimeout ends a session whose peer does not read.
+	// writeTimeout closes a session whose peer does not read.
 	writeTimeout = 5 * time.Second
-	// doubtfulAfter is how long a session may be unheard before it is doubtful: established connections may fall
-	// silent for good, without a reset, while new ones work.
-	doubtfulAfter = 2 * time.Second
-	// pingTimeout is how long a node may take to answer a ping, which is as short as a comparison of copies.
+	// suspectAfter is how long after the last answer a session is suspect: an established connection may fail
+	// without a reset while new ones work.
+	suspectAfter = 2 * time.Second
+	// pingTimeout bounds the wait for a ping's answer. It equals the timeout of an anti-entropy comparison.
 	pingTimeout = 300 * time.Millisecond
 )
 
-// sessionConfig turns yamux's own keep-alive off: heartbeats take its place.
+// sessionConfig disables yamux's keep-alive: heartbeats replace it.
 func sessionConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.EnableKeepAlive = false
@@ -56,11 +56,11 @@
 
 	mu   sync.Mutex
 	idle []*stream
-	// calls counts those under way, usedAt is when the last one began or ended.
+	// calls counts the calls in progress; usedAt is when the last one began or ended.
 	calls  int
 	usedAt time.Time
-	// heardAt is when the other node was last heard on this session.
-	heardAt time.Time
+	// lastAnswer is when the other node last answered on this session.
+	lastAnswer time.Time
 }
 
 func newClientSession(conn net.Conn) (*clientSession, error) {
@@ -69,10 +69,10 @@
 		return nil, errors.Wrap(err, "open session")
 	}
 	now := time.Now()
-	return &clientSession{mux: mux, openedAt: now, usedAt: now, heardAt: now}, nil
+	return &clientSession{mux: mux, openedAt: now, usedAt: now, lastAnswer: now}, nil
 }
 
-func (s *clientSession) take() (*stream, error) {
+func (s *clientSession) takeStream() (*stream, error) {
 	s.mu.Lock()
 	if last := len(s.idle) - 1; last >= 0 {
 		taken := s.idle[last]
@@ -88,7 +88,7 @@
 	return newStream(opened), nil
 }
 
-func (s *clientSession) put(returned *stream) {
+func (s *clientSession) putStream(returned *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.idle) >= maxIdleStreams {
@@ -98,8 +98,8 @@
 	s.idle = append(s.idle, returned)
 }
 
-// begin counts a call; the function that it returns ends it.
-func (s *clientSession) begin() func() {
+// beginCall counts a call and returns the function that ends it.
+func (s *clientSession) beginCall() func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -112,21 +112,21 @@
 	}
 }
 
-// touch counts as a use.
+// touch updates the time of the last use.
 func (s *clientSession) touch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.usedAt = time.Now()
 }
 
-// inUse reports whether a call is under way.
+// inUse reports whether a call is in progress.
 func (s *clientSession) inUse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls > 0
 }
 
-// unusedFor returns how long no call has used the session.
+// unusedFor returns for how long the session has had no call.
 func (s *clientSession) unusedFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,19 +136,19 @@
 	return time.Since(s.usedAt)
 }
 
-// heard notes that the other node has answered.
-func (s *clientSession) heard() {
+// noteAnswer records that the other node has answered.
+func (s *clientSession) noteAnswer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heardAt = time.Now()
+	s.lastAnswer = time.Now()
 }
 
-// isDoubtful reports whether it has to be shown that the session still carries anything before long contents are
-// sent on it. While calls are under way their own timeouts decide.
-func (s *clientSession) isDoubtful() bool {
+// isSuspect reports whether the session must be checked before long contents are sent on it. During calls their
+// own timeouts apply.
+func (s *clientSession) isSuspect() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls == 0 && time.Since(s.heardAt) > doubtfulAfter
+	return s.calls == 0 && time.Since(s.lastAnswer) > suspectAfter
 }
 
 // answersPing reports whether the other node answers a ping in time.
@@ -163,7 +163,7 @@
 	select {
 	case err := <-answered:
 		if err == nil {
-			s.heard()
+			s.noteAnswer()
 		}
 		return err == nil
 	case <-timer.C:
@@ -171,18 +171,17 @@
 	}
 }
 
-// callResult is what a call ended with.
+// callResult is the result of a call.
 type callResult struct {
 	response *peerpb.Response
 	err      error
 }
 
-// call sends a request and waits for its response. When the context ends, the
-// stream is closed, and the effect of the call is unknown. yamux waits for its
-// connection by itself while it opens or writes a stream, up to writeTimeout; the
-// call does not.
+// call sends a request and waits for its response. When the context ends, the stream is closed and the effect of
+// the call is unknown. yamux blocks on its connection for up to writeTimeout while it opens or writes a stream;
+// the call does not.
 func (s *clientSession) call(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
-	defer s.begin()()
+	defer s.beginCall()()
 	results := make(chan callResult, 1)
 	go func() {
 		response, err := s.callOnStream(ctx, request)
@@ -196,14 +195,14 @@
 	}
 }
 
-// callOnStream makes a call on a stream of its own.
+// callOnStream makes a call on a stream that no other call uses.
 func (s *clientSession) callOnStream(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
-	taken, err := s.take()
+	taken, err := s.takeStream()
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() {
-		// Closing a yamux stream does not end a read; its deadline does.
+		// Closing a yamux stream does not unblock a read; its deadline does.
 		_ = taken.SetDeadline(time.Now())
 		_ = taken.Close()
 	})
@@ -215,17 +214,17 @@
 		_ = taken.Close()
 		return nil, err
 	}
-	s.heard()
-	s.put(taken)
+	s.noteAnswer()
+	s.putStream(taken)
 	return response, nil
 }
 
-func exchange(on *stream, request *peerpb.Request) (*peerpb.Response, error) {
-	if err := writeMessage(on, request); err != nil {
+func exchange(conn *stream, request *peerpb.Request) (*peerpb.Response, error) {
+	if err := writeMessage(conn, request); err != nil {
 		return nil, err
 	}
 	response := &peerpb.Response{}
-	if err := readMessage(on.reader, response); err != nil {
+	if err := readMessage(conn.reader, response); err != nil {
 		return nil, err
 	}
 	return response, nil
