--- a/membership/member.go
+++ b/membership/member.go
@@ -10,7 +10,7 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// State is how far a node is in its life.
+// State is a stage in the lifecycle of a node.
 type State int32
 
 // The states of a node. Only a ready node owns pools and claim shards.
@@ -39,7 +39,8 @@
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
-	// Incarnation identifies one start of the node; a later start has a higher one.
+	// Incarnation identifies one start of the node; a later start has a higher
+	// value.
 	Incarnation uint64 `json:"incarnation"`
 	State       State  `json:"state"`
 }
@@ -58,12 +59,12 @@
 	return &peerpb.Member{Name: m.Name, Zone: m.Zone, Address: m.Address, Incarnation: m.Incarnation, State: peerpb.State(m.State)}
 }
 
-// sortMembers orders members by name.
+// sortMembers sorts members by name.
 func sortMembers(members []Member) {
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// digestOf returns a digest of members ordered by name.
+// digestOf returns a digest of members sorted by name.
 func digestOf(members []Member) uint64 {
 	hash := xxhash.New()
 	var number [8]byte
--- a/membership/own_zone.go
+++ b/membership/own_zone.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// ownZoneView is what a node sees of its own zone. It never changes: a new one
-// is made when a member comes, goes or changes. Heartbeats that bring nothing new
-// are most of the work of a large zone, and cost no look at the other members.
+// ownZoneView is a node's view of its own zone. It is immutable: it is replaced
+// when a member joins, leaves or changes. Heartbeats that change nothing are
+// most of the work in a large zone, and need not look at the other members.
 type ownZoneView struct {
-	// members are the live members, the node itself among them, ordered by name.
+	// members are the live members, including the node itself, sorted by name.
 	members []Member
 	digest  uint64
-	// speaks states that the node speaks for the zone.
-	speaks bool
-	// from and until bound the time for which the view holds by itself: at until
-	// the member heard longest ago counts as gone, unless it is heard again.
+	// isRepresentative reports whether the node is a representative of the zone.
+	isRepresentative bool
+	// from and until bound the validity of the view: at until the member with the
+	// oldest heartbeat expires unless it sends another one.
 	from, until time.Time
 }
 
-// ownZone returns the view of the own zone. The caller holds the lock.
+// ownZone returns the view of the own zone; mu must be held.
 func (t *Table) ownZone(now time.Time) *ownZoneView {
-	if t.own == nil || now.Before(t.own.from) || now.After(t.own.until) {
-		t.own = t.viewOwnZone(now)
+	if t.ownView == nil || now.Before(t.ownView.from) || now.After(t.ownView.until) {
+		t.ownView = t.computeOwnZone(now)
 	}
-	return t.own
+	return t.ownView
 }
 
-// ownZoneChanged drops the view of the own zone. The caller holds the lock.
-func (t *Table) ownZoneChanged() { t.own = nil }
+// invalidateOwnZone drops the view of the own zone; mu must be held.
+func (t *Table) invalidateOwnZone() { t.ownView = nil }
 
-func (t *Table) viewOwnZone(now time.Time) *ownZoneView {
-	made := &ownZoneView{members: []Member{t.self}, from: now, until: now.Add(t.options.FailureTimeout)}
+func (t *Table) computeOwnZone(now time.Time) *ownZoneView {
+	view := &ownZoneView{members: []Member{t.self}, from: now, until: now.Add(t.options.FailureTimeout)}
 	for _, known := range t.contacts {
 		if known.member.Zone != t.self.Zone || !t.isLive(now, known) {
 			continue
 		}
-		made.members = append(made.members, known.member)
-		if gone := known.heard.Add(t.options.FailureTimeout); gone.Before(made.until) {
-			made.until = gone
+		view.members = append(view.members, known.member)
+		if expiry := known.lastHeartbeat.Add(t.options.FailureTimeout); expiry.Before(view.until) {
+			view.until = expiry
 		}
 	}
-	sortMembers(made.members)
-	made.members = slices.Clip(made.members)
-	made.digest = digestOf(made.members)
-	made.speaks = slices.Contains(t.representatives(t.self.Zone, made.members), t.self.Name)
-	return made
+	sortMembers(view.members)
+	view.members = slices.Clip(view.members)
+	view.digest = digestOf(view.members)
+	view.isRepresentative = slices.Contains(t.representatives(t.self.Zone, view.members), t.self.Name)
+	return view
 }
--- a/membership/service.go
+++ b/membership/service.go
@@ -14,10 +14,11 @@
 	Reset(address string)
 }
 
-// Payload fills the part of a heartbeat that belongs to other packages.
+// Payload sets the fields of a heartbeat that belong to other packages.
 type Payload func(heartbeat *peerpb.Heartbeat)
 
-// Observer learns of each heartbeat received, with the address of its sender.
+// Observer is called for each heartbeat received, with the address of its
+// sender.
 type Observer func(address string, heartbeat *peerpb.Heartbeat)
 
 // Service exchanges heartbeats with other nodes.
@@ -33,19 +34,19 @@
 	running tasks.Group
 }
 
-// ServiceOptions are the parts of a Service.
+// ServiceOptions are the dependencies of a Service.
 type ServiceOptions struct {
 	Table    *Table
 	Caller   Caller
 	Payload  Payload
 	Observer Observer
-	// Seeds are addresses to ask while no other node is known.
+	// Seeds are addresses to contact while no other node is known.
 	Seeds []string
-	// Now reads the clock. Default time.Now.
+	// Now returns the current time. Default time.Now.
 	Now func() time.Time
 }
 
-// NewService returns a service that does nothing until Run.
+// NewService returns a service that does nothing until Run is called.
 func NewService(options ServiceOptions) *Service {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -56,7 +57,8 @@
 	}
 }
 
-// ticksPerInterval is how often within an interval due heartbeats are looked for.
+// ticksPerInterval is how many times per interval due heartbeats are looked
+// for.
 const ticksPerInterval = 4
 
 // Run exchanges heartbeats until the context ends.
@@ -74,15 +76,15 @@
 		case <-ticker.C:
 			s.table.Tick(s.now())
 			s.exchangeDue(ctx)
-			if round%(ticksPerInterval*retryFactor) == 0 {
+			if round%(ticksPerInterval*retryIntervals) == 0 {
 				s.joinSeeds(ctx)
 			}
 		}
 	}
 }
 
-// Announce sends a heartbeat to every live node of the zone at once. It is used
-// when the node's state or configuration has changed.
+// Announce sends a heartbeat to every live node of the zone at once. It is
+// called when the node's state or configuration has changed.
 func (s *Service) Announce() {
 	select {
 	case s.wake <- struct{}{}:
@@ -108,15 +110,16 @@
 	}
 }
 
-// joinSeeds asks the seeds that are not heard. Only a node that hears nobody and
-// those that speak for their zone do so: the others learn from these.
+// joinSeeds contacts the seeds that are not live contacts. Only the
+// representatives of a zone and a node without live contacts do so: the others
+// learn from these.
 func (s *Service) joinSeeds(ctx context.Context) {
 	self := s.table.Self()
-	if !s.table.Represents(s.now()) {
+	if !s.table.IsRepresentative(s.now()) {
 		return
 	}
 	for _, address := range s.seeds {
-		if address != self.Address && !s.table.HearsAddress(s.now(), address) {
+		if address != self.Address && !s.table.HasLiveAddress(s.now(), address) {
 			s.start(ctx, Target{Address: address, Join: true})
 		}
 	}
@@ -132,9 +135,9 @@
 	request := &peerpb.Request{Body: &peerpb.Request_Heartbeat{Heartbeat: s.heartbeat(target.Zone)}}
 	response, err := s.caller.Call(ctx, target.Address, request)
 	if err != nil {
-		// A node that answers others is slow, and a new connection would only add
-		// to its work.
-		if !s.table.HearsAddress(s.now(), target.Address) {
+		// If the table has recent heartbeats of the node, it is only slow, and a new
+		// connection would add to its load.
+		if !s.table.HasLiveAddress(s.now(), target.Address) {
 			s.caller.Reset(target.Address)
 		}
 		return
@@ -142,29 +145,30 @@
 	reply := response.GetHeartbeat()
 	stale := s.observe(reply)
 	if target.Join {
-		stale = s.table.Lacking(s.now(), reply.GetMember().GetZone())
+		stale = s.table.ZonesToFetch(s.now(), reply.GetMember().GetZone())
 	}
 	for _, zone := range stale {
 		s.fetch(ctx, target.Address, zone)
 	}
-	if s.missesZones(reply) {
-		s.meetZones(ctx, target.Address)
+	if s.needsZoneDiscovery(reply) {
+		s.discoverZones(ctx, target.Address)
 	}
 }
 
-// missesZones reports whether the sender of a heartbeat is to be asked for the
-// zones that it hears of.
-func (s *Service) missesZones(heartbeat *peerpb.Heartbeat) bool {
-	return s.table.MissesZones(s.now(), heartbeat.GetMember().GetZone(), heartbeat.GetZonesDigest())
+// needsZoneDiscovery reports whether the sender of a heartbeat must be asked
+// for the zones that it knows.
+func (s *Service) needsZoneDiscovery(heartbeat *peerpb.Heartbeat) bool {
+	return s.table.NeedsZoneDiscovery(s.now(), heartbeat.GetMember().GetZone(), heartbeat.GetZonesDigest())
 }
 
-// meetZones asks a node of another zone for the nodes that it hears of and this
-// node does not. Seeds may stand in some zones only; the others meet in this way.
-func (s *Service) meetZones(ctx context.Context, address string) {
+// discoverZones asks a node of another zone for the representatives that it
+// knows and this node does not. Seeds may exist in some zones only; the other
+// zones discover each other in this way.
+func (s *Service) discoverZones(ctx context.Context, address string) {
 	request := &peerpb.Request{Body: &peerpb.Request_FetchZone{FetchZone: &peerpb.FetchZone{Zone: s.table.Self().Zone, Representatives: true}}}
 	response, err := s.caller.Call(ctx, address, request)
 	if err != nil {
-		return // Asked again after some intervals.
+		return // It is asked again after some intervals.
 	}
 	s.table.AddHints(s.now(), membersOf(response.GetZoneView()))
 }
@@ -199,7 +203,8 @@
 	return s.table.ObserveDigests(s.now(), heartbeat.GetDigests())
 }
 
-// fetch asks a node for the members of one zone, or of all.
+// fetch asks a node for the members of one zone, or of all zones if zone is
+// empty.
 func (s *Service) fetch(ctx context.Context, address, zone string) {
 	request := &peerpb.Request{Body: &peerpb.Request_FetchZone{FetchZone: &peerpb.FetchZone{Zone: zone}}}
 	response, err := s.caller.Call(ctx, address, request)
@@ -218,32 +223,33 @@
 // HandleHeartbeat answers a heartbeat with the node's own.
 func (s *Service) HandleHeartbeat(ctx context.Context, received *peerpb.Heartbeat) *peerpb.Heartbeat {
 	stale := s.observe(received)
-	misses := s.missesZones(received)
-	if len(stale) > 0 || misses {
-		s.fetchLater(ctx, received.GetMember().GetAddress(), stale, misses)
+	discover := s.needsZoneDiscovery(received)
+	if len(stale) > 0 || discover {
+		s.fetchLater(ctx, received.GetMember().GetAddress(), stale, discover)
 	}
 	return s.heartbeat(received.GetMember().GetZone())
 }
 
-func (s *Service) fetchLater(ctx context.Context, address string, zones []string, misses bool) {
+func (s *Service) fetchLater(ctx context.Context, address string, zones []string, discover bool) {
 	s.running.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, s.table.options.FailureTimeout)
 		defer cancel()
 		for _, zone := range zones {
 			s.fetch(ctx, address, zone)
 		}
-		if misses {
-			s.meetZones(ctx, address)
+		if discover {
+			s.discoverZones(ctx, address)
 		}
 	})
 }
 
-// HandleFetchZone answers with the members of the asked zone, or of all.
+// HandleFetchZone returns the members of the requested zone, or of all zones if
+// none is named.
 func (s *Service) HandleFetchZone(request *peerpb.FetchZone) *peerpb.ZoneView {
 	var members []Member
 	switch {
 	case request.GetRepresentatives():
-		members = s.table.Speakers(s.now(), request.GetZone())
+		members = s.table.LiveRepresentatives(s.now(), request.GetZone())
 	case request.GetZone() == "":
 		members = s.table.Live(s.now())
 	default:
--- a/membership/table.go
+++ b/membership/table.go
@@ -9,23 +9,23 @@
 	"github.com/reelrun/reelrun/placement"
 )
 
-// Options are the intervals of the membership protocol.
+// Options are the parameters of the membership protocol.
 type Options struct {
 	// Interval is the time between heartbeats of a pair. Default 1s.
 	Interval time.Duration
-	// FailureTimeout is the silence after which a member of the own zone counts
-	// as gone. Default 3s.
+	// FailureTimeout is the time without a heartbeat after which a member of the
+	// own zone counts as failed. Default 3s.
 	FailureTimeout time.Duration
-	// ZoneTimeout is the silence after which another zone counts as unreachable.
-	// Default 6s.
+	// ZoneTimeout is the time without a report after which another zone counts as
+	// unreachable. Default 6s.
 	ZoneTimeout time.Duration
-	// ForgetTimeout is how long a lost member is still tried. Default 10m.
+	// ForgetTimeout is how long a lost member is still contacted. Default 10m.
 	ForgetTimeout time.Duration
-	// Representatives is the number of nodes that speak for a zone. Default 2.
+	// Representatives is the number of representatives of a zone. Default 2.
 	Representatives int
 }
 
-// SetDefaults fills the fields that are zero.
+// SetDefaults sets the fields that are zero to their defaults.
 func (o *Options) SetDefaults() {
 	defaultTo(&o.Interval, time.Second)
 	defaultTo(&o.FailureTimeout, 3*o.Interval)
@@ -42,21 +42,21 @@
 	}
 }
 
-// contact is a node that has answered or sent a heartbeat itself.
+// contact is a node with which heartbeats are exchanged directly.
 type contact struct {
-	member Member
-	heard  time.Time
-	tried  time.Time
+	member        Member
+	lastHeartbeat time.Time
+	lastAttempt   time.Time
 }
 
-// zoneView is what the representatives of another zone last reported.
+// zoneView is the last report of another zone's representatives.
 type zoneView struct {
-	members []Member
-	digest  uint64
-	heard   time.Time
-	// askedForZones is when a node of the zone was last asked for the zones that
-	// it hears of.
-	askedForZones time.Time
+	members    []Member
+	digest     uint64
+	reportedAt time.Time
+	// zonesRequestedAt is when a node of the zone was last asked for the zones
+	// that it knows.
+	zonesRequestedAt time.Time
 }
 
 // Table is a node's view of the live members. It is safe for concurrent use.
@@ -67,9 +67,9 @@
 	self     Member
 	contacts map[string]*contact
 	zones    map[string]*zoneView
-	ticked   time.Time
-	// own is the view of the own zone, or nil if it is to be made.
-	own *ownZoneView
+	lastTick time.Time
+	// ownView is the view of the own zone, or nil if it must be computed.
+	ownView *ownZoneView
 }
 
 // NewTable returns the table of a node that knows only itself.
@@ -85,39 +85,39 @@
 	return t.self
 }
 
-// SetState changes the state that the node reports of itself.
+// SetState sets the state that the node reports in its heartbeats.
 func (t *Table) SetState(state State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.State = state
-	t.ownZoneChanged()
+	t.invalidateOwnZone()
 }
 
-// Tick tells the table that the node is running. A node that was paused has
-// heard nobody meanwhile, which says nothing about the others: their last
-// heartbeats count as late by the length of the pause.
+// Tick records that the node is running. A paused node receives no heartbeats,
+// which says nothing about the others: the times of their last heartbeats are
+// moved by the length of the pause.
 func (t *Table) Tick(now time.Time) (pause time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.ticked.IsZero() {
-		pause = now.Sub(t.ticked) - 2*t.options.Interval
+	if !t.lastTick.IsZero() {
+		pause = now.Sub(t.lastTick) - 2*t.options.Interval
 	}
-	t.ticked = now
+	t.lastTick = now
 	if pause <= 0 {
 		return 0
 	}
-	t.ownZoneChanged()
+	t.invalidateOwnZone()
 	for _, known := range t.contacts {
-		known.heard = known.heard.Add(pause)
+		known.lastHeartbeat = known.lastHeartbeat.Add(pause)
 	}
 	for _, view := range t.zones {
-		view.heard = view.heard.Add(pause)
+		view.reportedAt = view.reportedAt.Add(pause)
 	}
 	return pause
 }
 
-// ObserveMember records first-hand news of a member. It reports whether the
-// news is of the newest incarnation.
+// ObserveMember records a heartbeat of a member. It reports whether the
+// heartbeat is of the newest known incarnation.
 func (t *Table) ObserveMember(now time.Time, member Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,15 +133,15 @@
 		return false
 	}
 	if known.member != member || !t.isLive(now, known) {
-		t.ownZoneChanged()
+		t.invalidateOwnZone()
 	}
 	known.member = member
-	known.heard = now
+	known.lastHeartbeat = now
 	return true
 }
 
-// ObserveDigests records what another node reports about the zones it speaks
-// for, and returns the zones whose members must be fetched from it.
+// ObserveDigests records the zone digests that another node sent, and returns
+// the zones whose members must be fetched from it.
 func (t *Table) ObserveDigests(now time.Time, digests []*peerpb.ZoneDigest) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,22 +151,22 @@
 		if zone == t.self.Zone {
 			continue
 		}
-		heard := now.Add(-time.Duration(digest.GetAgeMs()) * time.Millisecond)
+		reportedAt := now.Add(-time.Duration(digest.GetAgeMs()) * time.Millisecond)
 		view, ok := t.zones[zone]
-		if !ok || (view.digest != digest.GetDigest() && heard.After(view.heard)) {
+		if !ok || (view.digest != digest.GetDigest() && reportedAt.After(view.reportedAt)) {
 			stale = append(stale, zone)
 			continue
 		}
-		if view.digest == digest.GetDigest() && heard.After(view.heard) {
-			view.heard = heard
+		if view.digest == digest.GetDigest() && reportedAt.After(view.reportedAt) {
+			view.reportedAt = reportedAt
 		}
 	}
 	return stale
 }
 
-// ReplaceZone records the members of another zone as reported by a node that
-// speaks for it, aged as the report was. Members of the own zone are only
-// remembered as nodes to try.
+// ReplaceZone records the members of another zone as reported by one of its
+// representatives, with the age of the report. Members of the own zone are only
+// remembered as nodes to contact.
 func (t *Table) ReplaceZone(now time.Time, zone string, members []Member, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -175,9 +175,9 @@
 		return
 	}
 	sortMembers(members)
-	replaced := &zoneView{members: members, digest: digestOf(members), heard: now.Add(-age)}
+	replaced := &zoneView{members: members, digest: digestOf(members), reportedAt: now.Add(-age)}
 	if earlier, known := t.zones[zone]; known {
-		replaced.askedForZones = earlier.askedForZones
+		replaced.zonesRequestedAt = earlier.zonesRequestedAt
 	}
 	t.zones[zone] = replaced
 }
@@ -185,20 +185,20 @@
 func (t *Table) addHints(members []Member) {
 	for _, member := range members {
 		if _, known := t.contacts[member.Name]; !known && member.Name != t.self.Name {
-			// The incarnation is left out: only the node itself says which one lives.
+			// The incarnation is left out: only the node itself reports the running one.
 			hint := Member{Name: member.Name, Zone: member.Zone, Address: member.Address}
 			t.contacts[member.Name] = &contact{member: hint}
 		}
 	}
 }
 
-// Live returns the live members, the node itself among them, ordered by name.
+// Live returns the live members, including the node itself, sorted by name.
 func (t *Table) Live(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	live := slices.Clone(t.ownZone(now).members)
 	for _, view := range t.zones {
-		if now.Sub(view.heard) <= t.options.ZoneTimeout {
+		if now.Sub(view.reportedAt) <= t.options.ZoneTimeout {
 			live = append(live, view.members...)
 		}
 	}
@@ -207,11 +207,11 @@
 }
 
 func (t *Table) isLive(now time.Time, known *contact) bool {
-	return !known.heard.IsZero() && now.Sub(known.heard) <= t.options.FailureTimeout
+	return !known.lastHeartbeat.IsZero() && now.Sub(known.lastHeartbeat) <= t.options.FailureTimeout
 }
 
 // ZoneMembers returns the live members of one zone, which the caller must not
-// change.
+// modify.
 func (t *Table) ZoneMembers(now time.Time, zone string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -219,15 +219,15 @@
 		return t.ownZone(now).members
 	}
 	view, ok := t.zones[zone]
-	if !ok || now.Sub(view.heard) > t.options.ZoneTimeout {
+	if !ok || now.Sub(view.reportedAt) > t.options.ZoneTimeout {
 		return nil
 	}
 	return view.members
 }
 
-// Digests returns what the node reports about zones: its own if it is one of
-// the zone's representatives or if the receiver is in another zone, and the
-// others only towards its own zone, which it serves as a representative.
+// Digests returns the zone digests to send to a node: to another zone the
+// digest of the own zone, and inside the own zone those of the other zones, if
+// this node is a representative.
 func (t *Table) Digests(now time.Time, receiverZone string) []*peerpb.ZoneDigest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -235,12 +235,12 @@
 	if receiverZone != t.self.Zone {
 		return []*peerpb.ZoneDigest{{Zone: t.self.Zone, Digest: own.digest}}
 	}
-	if !own.speaks {
+	if !own.isRepresentative {
 		return nil
 	}
 	digests := make([]*peerpb.ZoneDigest, 0, len(t.zones))
 	for zone, view := range t.zones {
-		age := max(now.Sub(view.heard), 0)
+		age := max(now.Sub(view.reportedAt), 0)
 		digests = append(digests, &peerpb.ZoneDigest{Zone: zone, Digest: view.digest, AgeMs: uint64(age.Milliseconds())})
 	}
 	return digests
@@ -259,7 +259,7 @@
 	return names
 }
 
-// Lookup returns the newest known form of a live member.
+// Lookup returns the newest known description of a live member.
 func (t *Table) Lookup(now time.Time, name string) (Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -270,7 +270,7 @@
 		return known.member, true
 	}
 	for _, view := range t.zones {
-		if now.Sub(view.heard) > t.options.ZoneTimeout {
+		if now.Sub(view.reportedAt) > t.options.ZoneTimeout {
 			continue
 		}
 		for _, member := range view.members {
@@ -282,81 +282,83 @@
 	return Member{}, false
 }
 
-// IsTerminated reports whether this start of a node is known to have ended: a later
-// start was seen, or the node is not live.
+// IsTerminated reports whether this start of a node is known to have ended: a
+// later start was observed, or the node is not live.
 func (t *Table) IsTerminated(now time.Time, name string, incarnation uint64) bool {
 	member, live := t.Lookup(now, name)
 	return !live || member.Incarnation > incarnation
 }
 
-// SeesMajority reports whether the node hears, directly or through
-// representatives, of more than half of the nodes that it has known within the
-// forget timeout. A node that does not is likely to be the one that is cut off.
+// SeesMajority reports whether the node is in contact, directly or through
+// representatives, with more than half of the nodes that it has known within
+// the forget timeout. A node that is not is likely to be the one that is
+// partitioned.
 func (t *Table) SeesMajority(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	heard, known := t.share(now, t.options.ZoneTimeout)
-	return 2*heard > known
+	reachable, known := t.countReachable(now, t.options.ZoneTimeout)
+	return 2*reachable > known
 }
 
 // SeesHalf is SeesMajority for at least half of the nodes.
 func (t *Table) SeesHalf(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	heard, known := t.share(now, t.options.ZoneTimeout)
-	return 2*heard >= known
+	reachable, known := t.countReachable(now, t.options.ZoneTimeout)
+	return 2*reachable >= known
 }
 
-// SeesRecentMajority is SeesMajority with less patience for other zones: news of a
-// zone is usually two intervals old at most. It is meant for choices that must be
-// made before the zone counts as unreachable and that do no harm if taken back.
+// SeesRecentMajority is SeesMajority with a shorter timeout for other zones:
+// reports of a zone are usually at most two intervals old. It is meant for
+// decisions that must be made before the zone counts as unreachable and that
+// can be reverted without harm.
 func (t *Table) SeesRecentMajority(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	heard, known := t.share(now, t.options.FailureTimeout+t.options.Interval)
-	return 2*heard > known
+	reachable, known := t.countReachable(now, t.options.FailureTimeout+t.options.Interval)
+	return 2*reachable > known
 }
 
-// share counts the nodes that were known within the forget timeout, the node
-// itself among them, and those of them that are heard of, with the given patience
-// for other zones. The caller holds the lock.
-func (t *Table) share(now time.Time, patience time.Duration) (heard, known int) {
-	known, heard = 1, 1
+// countReachable counts the nodes that were known within the forget timeout,
+// including the node itself, and those of them that are reachable, with the
+// given timeout for reports of other zones; mu must be held.
+func (t *Table) countReachable(now time.Time, zoneTimeout time.Duration) (reachable, known int) {
+	known, reachable = 1, 1
 	for _, candidate := range t.contacts {
-		recent := !candidate.heard.IsZero() && now.Sub(candidate.heard) <= t.options.ForgetTimeout
+		recent := !candidate.lastHeartbeat.IsZero() && now.Sub(candidate.lastHeartbeat) <= t.options.ForgetTimeout
 		if candidate.member.Zone != t.self.Zone || !recent || candidate.member.State == StateDraining {
 			continue
 		}
 		known++
 		if t.isLive(now, candidate) {
-			heard++
+			reachable++
 		}
 	}
 	for _, view := range t.zones {
-		if now.Sub(view.heard) > t.options.ForgetTimeout {
+		if now.Sub(view.reportedAt) > t.options.ForgetTimeout {
 			continue
 		}
 		known += len(view.members)
-		if now.Sub(view.heard) <= patience {
-			heard += len(view.members)
+		if now.Sub(view.reportedAt) <= zoneTimeout {
+			reachable += len(view.members)
 		}
 	}
-	return heard, known
+	return reachable, known
 }
 
-// HasLiveContact reports whether any other node has been heard of within the
-// failure timeout, and whether there ever was one.
-func (t *Table) HasLiveContact(now time.Time) (hears, everDid bool) {
+// HasLiveContact reports whether another node has sent a heartbeat within the
+// failure timeout, and whether one ever has.
+func (t *Table) HasLiveContact(now time.Time) (hasContact, everHad bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, known := range t.contacts {
-		if known.heard.IsZero() {
+		if known.lastHeartbeat.IsZero() {
 			continue
 		}
-		everDid = true
+		everHad = true
 		if t.isLive(now, known) {
 			return true, true
 		}
 	}
-	return false, everDid
+	return false, everHad
 }
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -8,23 +8,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// retryFactor is how many intervals pass between tries of a silent node.
-const retryFactor = 4
+// retryIntervals is the number of intervals between attempts to contact a
+// silent node.
+const retryIntervals = 4
 
 // Target is a node to exchange a heartbeat with.
 type Target struct {
 	Name    string
 	Zone    string
 	Address string
-	// Join states that the node is a seed, of which what the table lacks is to be
-	// fetched.
+	// Join is set for a seed: zones that the table lacks must be fetched from it.
 	Join bool
 }
 
-// Targets returns the nodes whose heartbeat is due and marks them as tried.
+// Targets returns the nodes whose heartbeat is due, and records the attempt to
+// contact them.
 //
 // Of each pair in a zone the node with the lower name calls; the other one
-// steps in when the pair has been silent for longer.
+// calls only if it has had no heartbeat for longer.
 func (t *Table) Targets(now time.Time) []Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -35,8 +36,8 @@
 			continue
 		}
 		own := known.member.Zone == t.self.Zone
-		if (own || remote[name] || known.heard.IsZero()) && t.due(now, known) {
-			known.tried = now
+		if (own || remote[name] || known.lastHeartbeat.IsZero()) && t.isDue(now, known) {
+			known.lastAttempt = now
 			targets = append(targets, Target{
 				Name: name, Zone: known.member.Zone, Address: known.member.Address,
 			})
@@ -46,16 +47,16 @@
 }
 
 // remoteTargets returns the nodes of other zones with which this node exchanges
-// heartbeats: their representatives if this node is one of its zone's, or any
-// known node of a zone that has not been heard of.
+// heartbeats: their representatives if this node represents its own zone, or
+// every known node of a zone that counts as unreachable.
 func (t *Table) remoteTargets(now time.Time) map[string]bool {
 	selected := map[string]bool{}
-	if !t.ownZone(now).speaks {
+	if !t.ownZone(now).isRepresentative {
 		return selected
 	}
 	for zone, view := range t.zones {
-		if now.Sub(view.heard) > t.options.ZoneTimeout {
-			// Nobody there answers; any node of the zone may be back first.
+		if now.Sub(view.reportedAt) > t.options.ZoneTimeout {
+			// Any node of the zone may become reachable first.
 			t.selectZone(zone, selected)
 			continue
 		}
@@ -90,31 +91,31 @@
 	}
 }
 
-func (t *Table) due(now time.Time, known *contact) bool {
-	last := known.heard
-	if known.tried.After(last) {
-		last = known.tried
+func (t *Table) isDue(now time.Time, known *contact) bool {
+	last := known.lastHeartbeat
+	if known.lastAttempt.After(last) {
+		last = known.lastAttempt
 	}
 	wait := t.options.Interval - t.options.Interval/8
 	if !t.isLive(now, known) {
-		wait = retryFactor * t.options.Interval
+		wait = retryIntervals * t.options.Interval
 	} else if t.self.Name > known.member.Name {
 		wait += t.options.Interval / 2
 	}
 	return now.Sub(last) >= wait
 }
 
-// forget drops a node that has been silent for too long.
+// forget removes a node without heartbeats for the forget timeout.
 func (t *Table) forget(now time.Time, name string, known *contact) bool {
-	if known.heard.IsZero() || now.Sub(known.heard) <= t.options.ForgetTimeout {
+	if known.lastHeartbeat.IsZero() || now.Sub(known.lastHeartbeat) <= t.options.ForgetTimeout {
 		return false
 	}
 	delete(t.contacts, name)
 	return true
 }
 
-// RemoteContacts returns the live nodes of other zones that this node exchanges
-// heartbeats with.
+// RemoteContacts returns the live nodes of other zones with which this node
+// exchanges heartbeats.
 func (t *Table) RemoteContacts(now time.Time) []Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,8 +129,8 @@
 	return targets
 }
 
-// HearsAddress reports whether a live node answers at the address.
-func (t *Table) HearsAddress(now time.Time, address string) bool {
+// HasLiveAddress reports whether there is a live contact at the address.
+func (t *Table) HasLiveAddress(now time.Time, address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, known := range t.contacts {
@@ -140,26 +141,26 @@
 	return false
 }
 
-// Represents reports whether the node speaks for its zone. One that hears no
-// other node of its zone does.
-func (t *Table) Represents(now time.Time) bool {
+// IsRepresentative reports whether the node is a representative of its zone. A
+// node without live contacts in its zone is.
+func (t *Table) IsRepresentative(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ownZone(now).speaks
+	return t.ownZone(now).isRepresentative
 }
 
-// ZonesDigest returns a digest of the names of the zones that are heard of.
+// ZonesDigest returns a digest of the names of the reachable zones.
 func (t *Table) ZonesDigest(now time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.zonesDigest(now)
 }
 
-// zonesDigest returns a digest of the names of the zones that are heard of.
+// zonesDigest is ZonesDigest; mu must be held.
 func (t *Table) zonesDigest(now time.Time) uint64 {
 	names := []string{t.self.Zone}
 	for zone, view := range t.zones {
-		if now.Sub(view.heard) <= t.options.ZoneTimeout {
+		if now.Sub(view.reportedAt) <= t.options.ZoneTimeout {
 			names = append(names, zone)
 		}
 	}
@@ -167,45 +168,46 @@
 	return xxhash.Sum64String(strings.Join(names, "/"))
 }
 
-// Speakers returns the live members that speak for their zones, and those of the
-// named zone that this node has heard itself: when a zone starts, its nodes may
-// know the same node of another zone and not yet each other.
-func (t *Table) Speakers(now time.Time, heardIn string) []Member {
+// LiveRepresentatives returns the live representatives of all zones, and the
+// live contacts in the named zone: while that zone starts, its nodes may have
+// contact with the same node of another zone and not yet with each other.
+func (t *Table) LiveRepresentatives(now time.Time, contactZone string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	speaking := t.speakersOf(t.self.Zone, t.ownZone(now).members)
+	selected := t.representativeMembers(t.self.Zone, t.ownZone(now).members)
 	for _, known := range t.contacts {
-		if known.member.Zone == heardIn && heardIn != t.self.Zone && t.isLive(now, known) {
-			speaking = append(speaking, known.member)
+		if known.member.Zone == contactZone && contactZone != t.self.Zone && t.isLive(now, known) {
+			selected = append(selected, known.member)
 		}
 	}
 	for zone, view := range t.zones {
-		if now.Sub(view.heard) <= t.options.ZoneTimeout {
-			speaking = append(speaking, t.speakersOf(zone, view.members)...)
+		if now.Sub(view.reportedAt) <= t.options.ZoneTimeout {
+			selected = append(selected, t.representativeMembers(zone, view.members)...)
 		}
 	}
-	return speaking
+	return selected
 }
 
-func (t *Table) speakersOf(zone string, members []Member) []Member {
+func (t *Table) representativeMembers(zone string, members []Member) []Member {
 	names := t.representatives(zone, members)
-	var speaking []Member
+	var selected []Member
 	for _, member := range members {
 		if slices.Contains(names, member.Name) {
-			speaking = append(speaking, member)
+			selected = append(selected, member)
 		}
 	}
-	return speaking
+	return selected
 }
 
-// zonesRetry is how many intervals pass between two questions to one zone for the
-// zones that it hears of.
-const zonesRetry = 4
+// zoneDiscoveryIntervals is the number of intervals between two requests to one
+// zone for the zones that it knows.
+const zoneDiscoveryIntervals = 4
 
-// MissesZones reports whether a node of another zone is to be asked for the zones
-// that it hears of: it hears of other ones, or this node is alone in its zone. It
-// is true once in a few intervals for each zone.
-func (t *Table) MissesZones(now time.Time, zone string, digest uint64) bool {
+// NeedsZoneDiscovery reports whether a node of another zone must be asked for
+// the zones that it knows: its digest of them differs, or this node has no live
+// contact in its own zone. It returns true at most once in
+// zoneDiscoveryIntervals for each zone.
+func (t *Table) NeedsZoneDiscovery(now time.Time, zone string, digest uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	view, known := t.zones[zone]
@@ -213,43 +215,43 @@
 		return false
 	}
 	own := t.ownZone(now)
-	if !own.speaks || (digest == t.zonesDigest(now) && len(own.members) > 1) {
+	if !own.isRepresentative || (digest == t.zonesDigest(now) && len(own.members) > 1) {
 		return false
 	}
-	if now.Sub(view.askedForZones) < zonesRetry*t.options.Interval {
+	if now.Sub(view.zonesRequestedAt) < zoneDiscoveryIntervals*t.options.Interval {
 		return false
 	}
-	view.askedForZones = now
+	view.zonesRequestedAt = now
 	return true
 }
 
-// AddHints remembers nodes of the own zone and of zones that are not heard of, to
-// try them.
+// AddHints remembers nodes of the own zone and of unreachable zones, to contact
+// them.
 func (t *Table) AddHints(now time.Time, members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var unheard []Member
+	var unreachable []Member
 	for _, member := range members {
 		view, known := t.zones[member.Zone]
-		if !known || now.Sub(view.heard) > t.options.ZoneTimeout {
-			unheard = append(unheard, member)
+		if !known || now.Sub(view.reportedAt) > t.options.ZoneTimeout {
+			unreachable = append(unreachable, member)
 		}
 	}
-	t.addHints(unheard)
+	t.addHints(unreachable)
 }
 
-// Lacking returns the zones whose members are to be fetched from a node of the
-// given zone: that zone, if there is no view of it, and the own zone, if no other
-// node of it is heard.
-func (t *Table) Lacking(now time.Time, zone string) []string {
+// ZonesToFetch returns the zones whose members must be fetched from a node of
+// the given zone: that zone, if there is no view of it, and the own zone, if
+// there is no live contact in it or the node is in it.
+func (t *Table) ZonesToFetch(now time.Time, zone string) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var lacking []string
+	var missing []string
 	if _, known := t.zones[zone]; !known && zone != t.self.Zone {
-		lacking = append(lacking, zone)
+		missing = append(missing, zone)
 	}
 	if len(t.ownZone(now).members) == 1 || zone == t.self.Zone {
-		lacking = append(lacking, t.self.Zone)
+		missing = append(missing, t.self.Zone)
 	}
-	return lacking
+	return missing
 }
