--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -15,10 +15,11 @@
 	"github.com/reelrun/reelrun/placement"
 )
 
-// ErrNoOwner is returned when no node is ready.
+// ErrNoOwner is returned if no node is ready.
 var ErrNoOwner = api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun, "no node is ready").WithRetryAfter(time.Second)
 
-// Cluster is a node's view of who owns what. It is safe for concurrent use.
+// Cluster is a node's view of the ownership of keys. It is safe for concurrent
+// use.
 type Cluster struct {
 	table  *membership.Table
 	client membership.Caller
@@ -26,7 +27,7 @@
 	now    func() time.Time
 }
 
-// New returns a cluster that answers calls to the node itself with local.
+// New returns a cluster that handles calls to the node itself with local.
 func New(table *membership.Table, client membership.Caller, local peer.Handler, now func() time.Time) *Cluster {
 	return &Cluster{table: table, client: client, local: local, now: now}
 }
@@ -42,7 +43,7 @@
 	return c.table.IsTerminated(c.now(), node, incarnation)
 }
 
-// SeesMajority reports whether the node hears most of the fleet.
+// SeesMajority reports whether the node is in contact with most of the fleet.
 func (c *Cluster) SeesMajority() bool { return c.table.SeesMajority(c.now()) }
 
 // ready returns the ready members among the given ones.
@@ -79,25 +80,26 @@
 	return ranked[0], nil
 }
 
-// Holders returns the two nodes of the whole fleet that keep the record of a key.
-// Starting nodes are among them: nodes learn of each other before they are ready,
-// so views of who lives agree earlier than views of who is ready. When a whole
-// fleet starts, the latter may have no node in common for a second.
+// Holders returns the two nodes of the whole fleet that keep the record of a
+// key. Starting nodes are included: nodes learn of each other before they are
+// ready, so that views of the live nodes agree earlier than views of the ready
+// ones. When a whole fleet starts, the latter may have no node in common for a
+// second.
 func (c *Cluster) Holders(key string) []membership.Member {
-	return top(staying(c.Live()), key, successorTries)
+	return rank(withoutDraining(c.Live()), key, successorAttempts)
 }
 
-// staying returns the members that are not about to go.
-func staying(members []membership.Member) []membership.Member {
+// withoutDraining returns the members that are not draining.
+func withoutDraining(members []membership.Member) []membership.Member {
 	return slices.DeleteFunc(members, func(member membership.Member) bool { return member.State == membership.StateDraining })
 }
 
-// ranked returns the owner of a key and those that would follow it.
+// ranked returns the owner of a key, followed by its successors.
 func (c *Cluster) ranked(zone, key string, count int) []membership.Member {
-	return top(c.candidates(zone), key, count)
+	return rank(c.candidates(zone), key, count)
 }
 
-func top(found []membership.Member, key string, count int) []membership.Member {
+func rank(found []membership.Member, key string, count int) []membership.Member {
 	names := placement.Top(key, membership.Names(found), count)
 	ranked := make([]membership.Member, 0, len(names))
 	for _, name := range names {
@@ -159,17 +161,18 @@
 	return c.Call(ctx, owner, request)
 }
 
-// successorTries is how many nodes are asked when an owner does not answer.
-const successorTries = 2
+// successorAttempts is the number of nodes that are called when an owner does
+// not answer, including the owner.
+const successorAttempts = 2
 
-// CallOwnerOrSuccessor sends a request to the owner of a key and, when it does
-// not answer in time, to the node that would follow it. It is meant for calls
-// that any node can serve; the owner is only the usual place. The request is
-// built anew for each try, numbered from zero. It returns the node that answered.
-func (c *Cluster) CallOwnerOrSuccessor(ctx context.Context, key string, timeout time.Duration, build func(try int) *peerpb.Request) (*peerpb.Response, membership.Member, error) {
+// CallOwnerOrSuccessor sends a request to the owner of a key and, if it does
+// not answer in time, to its successor. It is meant for calls that any node can
+// serve and that go to the owner only by convention. The request is built for
+// each attempt, numbered from zero. It returns the node that answered.
+func (c *Cluster) CallOwnerOrSuccessor(ctx context.Context, key string, timeout time.Duration, build func(attempt int) *peerpb.Request) (*peerpb.Response, membership.Member, error) {
 	var last error = ErrNoOwner
-	for try, member := range c.ranked("", key, successorTries) {
-		response, err := c.callWithin(ctx, member, timeout, build(try))
+	for attempt, member := range c.ranked("", key, successorAttempts) {
+		response, err := c.callWithin(ctx, member, timeout, build(attempt))
 		var answered *api.Error
 		if err == nil || errors.As(err, &answered) || ctx.Err() != nil {
 			return response, member, err
--- a/cluster/doc.go
+++ b/cluster/doc.go
@@ -1,3 +1,3 @@
-// Package cluster tells which live node owns a key and calls it. Calls to the
-// node itself take no detour over the network.
+// Package cluster determines which live node owns a key, and calls it. Calls to
+// the node itself are handled without the network.
 package cluster
