--- a/chunk/chunk_test.go
+++ b/chunk/chunk_test.go
@@ -50,7 +50,7 @@
 	const (
 		length = 2 << 20
 		change = 200
-		// mostChanged counts the chunk that contains the change and its neighbors.
+		// mostChanged counts the chunk that contains the change and its neighbours.
 		mostChanged = 4
 	)
 	g := NewWithT(t)
