--- a/router/watchers.go
+++ b/router/watchers.go
@@ -39,15 +39,15 @@
 	backendPauseSpread = 30 * time.Millisecond
 )
 
-// WatchPace returns how long the next watch of a kind waits, and how long it rests after a
+// WatchTiming returns how long the next watch of a kind waits, and how long it rests after a
 // change. Watchers begin their watches anew one after the other.
-func (r *Router) WatchPace(kind objectapi.Kind) (wait, pause time.Duration) {
+func (r *Router) WatchTiming(kind objectapi.Kind) (wait, pause time.Duration) {
 	if kind == kindNode {
 		return longestWatch, nodePause
 	}
 	count, position := r.place()
 	watchers := min(count, maxWatchers)
-	if kind == r.options.Backplane.BackendKind {
+	if kind == r.options.Environment.BackendKind {
 		pause = backendPause + time.Duration(rand.Float64()*float64(watchers-1)*float64(backendPauseSpread))
 	}
 	return untilTurn(time.Now(), position%maxWatchers, watchers), pause
