--- a/antientropy/agreement.go
+++ b/antientropy/agreement.go
@@ -7,11 +7,11 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// Agreement tells how far this node's copy is known to be like those of others.
-type Agreement struct {
-	// Age is how long ago the urgent objects of the copy were those of a node that follows the store, as far as
+// SyncStatus tells how far this node's copy is known to be like those of others.
+type SyncStatus struct {
+	// UrgentAge is how long ago the urgent objects of the copy were those of a node that follows the store, as far as
 	// other nodes tell. It counts from the start of the node where none has told.
-	Age time.Duration
+	UrgentAge time.Duration
 	// Exchanges is how many exchanges of objects are under way, and OldestExchange how long the first of them is.
 	Exchanges      int
 	OldestExchange time.Duration
@@ -24,11 +24,11 @@
 	missed bool
 }
 
-// Agreement returns how far the copy is known to be like others.
-func (s *Syncer) Agreement() Agreement {
+// SyncStatus returns how far the copy is known to be like others.
+func (s *Syncer) SyncStatus() SyncStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	agreement := Agreement{Age: time.Since(s.agreedAt), Exchanges: len(s.exchanging)}
+	agreement := SyncStatus{UrgentAge: time.Since(s.agreedAt), Exchanges: len(s.exchanging)}
 	for _, exchange := range s.exchanging {
 		agreement.OldestExchange = max(agreement.OldestExchange, time.Since(exchange.began))
 	}
@@ -47,10 +47,10 @@
 
 // ageToTell is the age of the urgent objects as other nodes are told it, in milliseconds.
 func (s *Syncer) ageToTell() uint32 {
-	if s.options.Follows() {
+	if s.options.WatchesStore() {
 		return 0
 	}
-	return uint32(min(s.Agreement().Age.Milliseconds(), math.MaxUint32))
+	return uint32(min(s.SyncStatus().UrgentAge.Milliseconds(), math.MaxUint32))
 }
 
 // agreedAt returns when a node that follows the store had the urgent objects that another node has, by what that one
--- a/antientropy/agreement_test.go
+++ b/antientropy/agreement_test.go
@@ -22,11 +22,11 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			teller, listener := newTestNode(t), newTestNode(t)
-			teller.syncer.options.Follows = func() bool { return test.follows }
+			teller.syncer.options.WatchesStore = func() bool { return test.follows }
 			teller.syncer.agreedAt = time.Now().Add(-heard)
 			listener.syncer.agreedAt = time.Now().Add(-time.Hour)
 			listener.syncer.syncWith(context.Background(), teller.address)
-			g.Expect(listener.syncer.Agreement().Age).To(BeNumerically("~", test.age, time.Second))
+			g.Expect(listener.syncer.SyncStatus().UrgentAge).To(BeNumerically("~", test.age, time.Second))
 		})
 	}
 }
--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -24,11 +24,11 @@
 	return !silent
 }
 
-// ContactChanges counts how often a node has fallen silent or answered again so far.
-func (s *Syncer) ContactChanges() uint64 { return s.contactChanges.Load() }
+// ResponsivenessChanges counts how often a node has fallen silent or answered again so far.
+func (s *Syncer) ResponsivenessChanges() uint64 { return s.contactChanges.Load() }
 
-// SilentFor returns how long a node has not answered; zero if it does.
-func (s *Syncer) SilentFor(address string) time.Duration {
+// UnresponsiveFor returns how long a node has not answered; zero if it does.
+func (s *Syncer) UnresponsiveFor(address string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current, silent := s.silent[address]
@@ -38,9 +38,9 @@
 	return time.Since(current.since)
 }
 
-// Silent notes that a node did not answer a call. It counts as silent until a comparison with it
+// ReportFailure notes that a node did not answer a call. It counts as silent until a comparison with it
 // succeeds; where a connection to it could be opened, one is made first.
-func (s *Syncer) Silent(address string, err error) {
+func (s *Syncer) ReportFailure(address string, err error) {
 	if errors.Is(err, peer.ErrNotSent) {
 		s.noteContact(address, err)
 		return
@@ -70,7 +70,7 @@
 		s.contactChanges.Add(1)
 		s.options.Logger.Warn("node lost", "address", address, "error", err.Error())
 	}
-	current.until = now.Add(s.options.Avoidance)
+	current.until = now.Add(s.options.UnresponsiveBackoff)
 	s.silent[address] = current
 	s.options.Client.Reset(address)
 }
@@ -83,7 +83,7 @@
 		s.noteSilent(address, err)
 		return
 	}
-	if s.options.Near(address) {
+	if s.options.SameZone(address) {
 		s.neighbourAt = time.Now()
 	}
 	if _, wasSilent := s.silent[address]; wasSilent {
@@ -101,7 +101,7 @@
 // this node is a bridge or hears of no neighbour, with all. Each change would cross the borders of zones
 // about as often as there are nodes otherwise.
 func (s *Syncer) mayExchange(address string) bool {
-	if s.options.Near(address) || s.options.Bridges() {
+	if s.options.SameZone(address) || s.options.IsZoneRelay() {
 		return true
 	}
 	s.mu.Lock()
--- a/antientropy/news.go
+++ b/antientropy/news.go
@@ -59,10 +59,10 @@
 func (s *Syncer) Changed(change replica.Change) {
 	s.fresh.add(change.Record.Key(), change.Source == replica.SourceStore)
 	if s.options.Replica.IsUrgent(change.Record) {
-		s.UrgentNews()
+		s.ScheduleUrgentSync()
 		return
 	}
-	s.News()
+	s.ScheduleSync()
 }
 
 // spreadNews brings what changed to some nodes of the zone, and what came from the store to the relays of other
@@ -95,7 +95,7 @@
 // relays of other zones are among them where this node is a bridge.
 func (s *Syncer) newsOrBridged() []string {
 	near, relays := s.newsTargets(s.options.Fanout)
-	if !s.options.Bridges() {
+	if !s.options.IsZoneRelay() {
 		return near
 	}
 	return append(near, relays...)
@@ -186,7 +186,7 @@
 		for _, message := range messages {
 			if _, err := s.callExchange(ctx, address, message); err != nil {
 				s.bulkFailed(ctx, "news not brought", address, err)
-				s.Silent(address, err)
+				s.ReportFailure(address, err)
 				return
 			}
 		}
--- a/antientropy/partners.go
+++ b/antientropy/partners.go
@@ -28,7 +28,7 @@
 func (s *Syncer) draw() []string {
 	now := time.Now()
 	if s.isSourceRound() {
-		candidates, silent := s.available(s.options.Sources(), now)
+		candidates, silent := s.available(s.options.Monitored(), now)
 		if len(candidates) > 0 {
 			// Every second round is one of these.
 			rounds := int(sourcePeriod / (2 * s.options.Interval))
@@ -36,7 +36,7 @@
 		}
 	}
 	candidates, silent := s.available(s.options.Peers(), now)
-	if !s.options.Bridges() {
+	if !s.options.IsZoneRelay() {
 		candidates = s.inZone(candidates)
 	}
 	return s.drawFrom(append(s.partners(candidates, now), silent...), 1)
@@ -49,7 +49,7 @@
 	now := time.Now()
 	answering, silent := s.available(s.options.Peers(), now)
 	candidates := append(s.partners(s.inZone(answering), now), silent...)
-	relays, _ = s.available(s.options.Relays(), now)
+	relays, _ = s.available(s.options.RemoteRelays(), now)
 	return s.drawFrom(s.notBringing(candidates), count), s.notBringing(relays)
 }
 
@@ -57,7 +57,7 @@
 func (s *Syncer) inZone(addresses []string) []string {
 	var near []string
 	for _, address := range addresses {
-		if s.options.Near(address) {
+		if s.options.SameZone(address) {
 			near = append(near, address)
 		}
 	}
--- a/antientropy/partners_test.go
+++ b/antientropy/partners_test.go
@@ -21,7 +21,7 @@
 	return New(Options{
 		Replica: replica.New(urgentKind, func(replica.Change) {}), Logger: slog.New(slog.DiscardHandler),
 		Client: peer.NewClient("test", nil, timeline.NewClock(time.Now)),
-		Peers:  func() []string { return peers }, Sources: func() []string { return sources },
+		Peers:  func() []string { return peers }, Monitored: func() []string { return sources },
 	})
 }
 
@@ -120,12 +120,12 @@
 				other = address
 			}
 		}
-		s.Silent(other, peer.ErrNotSent)
+		s.ReportFailure(other, peer.ErrNotSent)
 		g.Expect(drawn(s, 200, true)).NotTo(HaveKey(other))
 		time.Sleep(defaultAvoidance)
 		g.Expect(drawn(s, 200, true)).To(HaveKey(other))
 		for address := range partners {
-			s.Silent(address, peer.ErrNotSent)
+			s.ReportFailure(address, peer.ErrNotSent)
 		}
 		g.Expect(len(drawn(s, 200, true))).To(BeNumerically(">=", partnerCount), "others take their place")
 	})
@@ -156,9 +156,9 @@
 	for i, address := range fleet.addresses {
 		node := newDrawing(fleet.addresses, fleet.addresses[:zonedWatchers])
 		node.salt, node.permute = fmt.Sprint(seed, address), random.Shuffle
-		node.options.Near = func(other string) bool { return fleet.zoneOf[other] == fleet.zoneOf[address] }
+		node.options.SameZone = func(other string) bool { return fleet.zoneOf[other] == fleet.zoneOf[address] }
 		if i < zonedWatchers {
-			node.options.Relays = func() []string {
+			node.options.RemoteRelays = func() []string {
 				return []string{fleet.addresses[(i+1)%zonedWatchers], fleet.addresses[(i+2)%zonedWatchers]}
 			}
 		}
@@ -221,7 +221,7 @@
 		fleet := newZonedFleet(300, 3, 1)
 		near, far := fleet.addresses[3], fleet.addresses[1]
 		node := fleet.nodes[fleet.addresses[0]]
-		node.options.Bridges = func() bool { return false }
+		node.options.IsZoneRelay = func() bool { return false }
 		g.Expect(node.mayExchange(far)).To(BeTrue(), "it has heard of no neighbour yet")
 		node.noteContact(near, nil)
 		g.Expect(node.mayExchange(far)).To(BeFalse())
@@ -235,7 +235,7 @@
 		time.Sleep(neighbourPatience + time.Second)
 		g.Expect(node.mayExchange(far)).To(BeTrue(), "its neighbours have fallen silent")
 		node.noteContact(near, nil)
-		node.options.Bridges = func() bool { return true }
+		node.options.IsZoneRelay = func() bool { return true }
 		g.Expect(node.mayExchange(far)).To(BeTrue())
 	})
 }
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -42,24 +42,24 @@
 	Replica *replica.Replica
 	// Peers returns the addresses of the other nodes.
 	Peers func() []string
-	// Sources returns the addresses of other nodes that this one looks at besides: those that
+	// Monitored returns the addresses of other nodes that this one looks at besides: those that
 	// hear first from the store. Default: none.
-	Sources func() []string
-	// Near reports whether a node is in the zone of this one. News go to such nodes. Default: all
+	Monitored func() []string
+	// SameZone reports whether a node is in the zone of this one. News go to such nodes. Default: all
 	// are.
-	Near func(address string) bool
-	// Relays returns the nodes of other zones to which this one brings news besides. Default: none.
-	Relays func() []string
-	// Bridges reports whether this node exchanges objects with nodes of other zones. Default: it does.
-	Bridges func() bool
-	// Whole reports whether the copy of this node is whole: it has listed all kinds. Default:
+	SameZone func(address string) bool
+	// RemoteRelays returns the nodes of other zones to which this one brings news besides. Default: none.
+	RemoteRelays func() []string
+	// IsZoneRelay reports whether this node exchanges objects with nodes of other zones. Default: it does.
+	IsZoneRelay func() bool
+	// Complete reports whether the copy of this node is whole: it has listed all kinds. Default:
 	// it never is.
-	Whole func() bool
-	// Follows reports whether this node follows the store. Default: it does.
-	Follows func() bool
-	// BecameWhole is called once the copy has all that a whole one has, though this node
+	Complete func() bool
+	// WatchesStore reports whether this node follows the store. Default: it does.
+	WatchesStore func() bool
+	// OnComplete is called once the copy has all that a whole one has, though this node
 	// may have listed nothing. It may be called again. Default: nothing.
-	BecameWhole func()
+	OnComplete func()
 	// Address is where other nodes find this one. Without it, nobody fetches chunks here that
 	// this node has announced or sent.
 	Address string
@@ -81,8 +81,8 @@
 	ExchangeTimeout time.Duration
 	// Fanout is to how many nodes news are brought at once. Default 2.
 	Fanout int
-	// Avoidance is how long a node that did not answer is left alone. Default 2s.
-	Avoidance time.Duration
+	// UnresponsiveBackoff is how long a node that did not answer is left alone. Default 2s.
+	UnresponsiveBackoff time.Duration
 }
 
 // Syncer compares the copy of this node with those of others.
@@ -145,29 +145,29 @@
 	if options.Fanout == 0 {
 		options.Fanout = defaultFanout
 	}
-	if options.Avoidance == 0 {
-		options.Avoidance = defaultAvoidance
+	if options.UnresponsiveBackoff == 0 {
+		options.UnresponsiveBackoff = defaultAvoidance
 	}
-	if options.Whole == nil {
-		options.Whole = func() bool { return false }
+	if options.Complete == nil {
+		options.Complete = func() bool { return false }
 	}
-	if options.Follows == nil {
-		options.Follows = func() bool { return true }
+	if options.WatchesStore == nil {
+		options.WatchesStore = func() bool { return true }
 	}
-	if options.BecameWhole == nil {
-		options.BecameWhole = func() {}
+	if options.OnComplete == nil {
+		options.OnComplete = func() {}
 	}
-	if options.Near == nil {
-		options.Near = func(string) bool { return true }
+	if options.SameZone == nil {
+		options.SameZone = func(string) bool { return true }
 	}
-	if options.Bridges == nil {
-		options.Bridges = func() bool { return true }
+	if options.IsZoneRelay == nil {
+		options.IsZoneRelay = func() bool { return true }
 	}
-	if options.Relays == nil {
-		options.Relays = func() []string { return nil }
+	if options.RemoteRelays == nil {
+		options.RemoteRelays = func() []string { return nil }
 	}
-	if options.Sources == nil {
-		options.Sources = func() []string { return nil }
+	if options.Monitored == nil {
+		options.Monitored = func() []string { return nil }
 	}
 	if options.Refetch == nil {
 		options.Refetch = func(context.Context, replica.Key) {}
@@ -210,11 +210,11 @@
 	s.background.Wait()
 }
 
-// News has the copy compared soon. It never blocks.
-func (s *Syncer) News() { notify(s.news) }
+// ScheduleSync has the copy compared soon. It never blocks.
+func (s *Syncer) ScheduleSync() { notify(s.news) }
 
-// UrgentNews has the copy compared at once. It never blocks.
-func (s *Syncer) UrgentNews() { notify(s.urgentNews) }
+// ScheduleUrgentSync has the copy compared at once. It never blocks.
+func (s *Syncer) ScheduleUrgentSync() { notify(s.urgentNews) }
 
 func notify(waiting chan struct{}) {
 	select {
@@ -303,7 +303,7 @@
 	versions := response.GetReplicaVersions()
 	s.noteBuild(address, versions.GetComparesParts())
 	// A copy that is whole stays so: there is nothing to note any more.
-	compared := comparison{covers: versions.GetWhole() && !s.options.Whole(), byPart: versions.GetComparesParts(), agreedAt: agreedAt(began, versions)}
+	compared := comparison{covers: versions.GetWhole() && !s.options.Complete(), byPart: versions.GetComparesParts(), agreedAt: agreedAt(began, versions)}
 	if !versions.GetSame() {
 		compared.differing = shuffled(s.options.Replica.DifferingBuckets(versions.GetBuckets()))
 	}
@@ -344,7 +344,7 @@
 	whole := !slices.Contains(s.covered[:], false)
 	s.mu.Unlock()
 	if whole {
-		s.options.BecameWhole()
+		s.options.OnComplete()
 	}
 }
 
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -196,7 +196,7 @@
 
 // deafStore has the store forget its watches and its history while things change.
 func (w *world) deafStore(lasting time.Duration) {
-	w.store.SetFaults(standin.StoreFaults{Deaf: true, LoseAnswers: 1})
+	w.store.SetFaults(standin.StoreFaults{DropWatches: true, DropAnswers: 1})
 	w.configure()
 	time.Sleep(min(lasting, time.Second))
 	w.store.Compact()
@@ -206,11 +206,11 @@
 // spoil has a back end fail in several ways.
 func (w *world) spoil(b *backEnd, count int) {
 	if b.engine != nil {
-		b.engine.SetFaults(standin.EngineFaults{RefuseHandles: count, TearAfter: count, Tears: count, FailPrefills: count, SilentPrefills: 1, LateOrders: 1})
+		b.engine.SetFaults(standin.EngineFaults{RefuseHandles: count, TruncateAfter: count, Truncations: count, FailPrefills: count, SilentPrefills: 1, LateOrders: 1})
 		return
 	}
 	b.server.SetFaults(standin.ServerFaults{
-		Fail: count, Full: count, FullUnstated: 1, Torn: count, Lost: count, Other: 1, Unsigned: 1, Silent: 1,
+		Fail: count, Reject: count, Unavailable: 1, Truncate: count, Drop: count, Misattribute: 1, Unsigned: 1, Silent: 1,
 	})
 }
 
--- a/soak/repeats_test.go
+++ b/soak/repeats_test.go
@@ -72,10 +72,10 @@
 // setRejecting has a back end reject a share of the callers' requests.
 func (b *backEnd) setRejecting(share float64) {
 	if b.engine != nil {
-		b.engine.SetRejecting(share)
+		b.engine.SetRejectShare(share)
 		return
 	}
-	b.server.SetRejecting(share)
+	b.server.SetRejectShare(share)
 }
 
 // misdirected returns the requests that were meant for another life of a back end.
@@ -97,7 +97,7 @@
 		for _, b := range w.backEndsOf(service) {
 			arrivals = append(append(arrivals, b.arrivals()...), b.misdirected()...)
 		}
-		repeats += len(standin.BeyondFirst(arrivals))
+		repeats += len(standin.UpstreamRetries(arrivals))
 		if worst, broken := retryRule.Worst(w.requests.of(service), arrivals); broken {
 			violations = append(violations, fmt.Sprintf("%s got %v", service, worst))
 		}
