--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -264,7 +264,7 @@
 	current.health.failed(now, failure.Engine)
 }
 
-// Sync replaces the runs of a node.
+// Sync updates the runs of a node to those that it reports.
 func (c *Coordinator) Sync(service, holder string, runs []ledger.Run) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/ledger/allocations_test.go
+++ b/ledger/allocations_test.go
@@ -10,24 +10,24 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// TestATryAmongFullEnginesLeavesNoGarbage has a run tried at engines that are full, as the coordinator of a service
-// does for all that wait, each time a run ends.
-func TestATryAmongFullEnginesLeavesNoGarbage(t *testing.T) {
+// TestAssignToFullEnginesDoesNotAllocate tries to assign a run to full engines, as a coordinator
+// does for the waiting requests of a service each time a run ends.
+func TestAssignToFullEnginesDoesNotAllocate(t *testing.T) {
 	const engines = 60
 	g := NewWithT(t)
 	now := time.Second
-	book := ledger.New(ledger.Options{})
+	l := ledger.New(ledger.Options{})
 	var all []ledger.Engine
 	for i := range engines {
 		all = append(all, ledger.Engine{ID: "d" + strconv.Itoa(i), Memory: 28_000, Slots: 16})
 	}
-	book.SetEngines(all)
+	l.SetEngines(all)
 	run := func(id string) ledger.Run { return ledger.Run{ID: id, Prompt: 3000, Output: 600, Holder: "n"} }
 	for i := 0; ; i++ {
-		if _, given := book.Assign(now, run(strconv.Itoa(i)), nil); !given {
+		if _, given := l.Assign(now, run(strconv.Itoa(i)), nil); !given {
 			break
 		}
 	}
-	allocated := testing.AllocsPerRun(20, func() { book.Assign(now, run("waiting"), nil) })
+	allocated := testing.AllocsPerRun(20, func() { l.Assign(now, run("waiting"), nil) })
 	g.Expect(allocated).To(BeNumerically("<", engines/10))
 }
--- a/ledger/foreign.go
+++ b/ledger/foreign.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// foreignUse is memory of an engine that the ledger cannot explain.
-type foreignUse struct {
+// externalUse is memory of an engine that no run in the ledger explains.
+type externalUse struct {
 	tokens float64
 	at     time.Duration
 }
 
 const (
-	// explainedShare and explainedTokens are how far the use that an engine reports
-	// may lie above the ledger's: reports are late, and estimates are off.
-	explainedShare  = 1.25
-	explainedTokens = 4000
-	// foreignLifetime is how long a report counts.
-	foreignLifetime = 2500 * time.Millisecond
+	// reportToleranceFactor and reportToleranceTokens bound how far the memory use that an engine
+	// reports may exceed the ledger's prediction before the rest counts as external: reports arrive
+	// late, and predictions are inexact.
+	reportToleranceFactor = 1.25
+	reportToleranceTokens = 4000
+	// externalUseLifetime is how long a report is valid.
+	externalUseLifetime = 2500 * time.Millisecond
 )
 
-// ReportMemoryUse takes note of the memory that an engine says it uses. Runs of nodes that
-// were lost go on there until the engine finds out.
+// ReportMemoryUse records the memory in use that an engine reports. Runs of failed nodes continue
+// there until the engine detects it.
 func (l *Ledger) ReportMemoryUse(now time.Duration, id string, used int) {
 	known := 0.0
 	for _, run := range l.byEngine[id] {
 		known += l.project(now, run).size
 	}
-	l.foreign[id] = foreignUse{tokens: max(0, float64(used)-explainedShare*known-explainedTokens), at: now}
+	l.external[id] = externalUse{tokens: max(0, float64(used)-reportToleranceFactor*known-reportToleranceTokens), at: now}
 }
 
 // InUse returns the engines that have runs, or use memory that the ledger cannot explain.
@@ -33,18 +34,18 @@
 	for id := range l.byEngine {
 		inUse[id] = true
 	}
-	for id := range l.foreign {
-		if l.foreignTokens(now, id) > 0 {
+	for id := range l.external {
+		if l.externalTokens(now, id) > 0 {
 			inUse[id] = true
 		}
 	}
 	return inUse
 }
 
-// foreignTokens returns the memory of an engine that the ledger cannot explain.
-func (l *Ledger) foreignTokens(now time.Duration, id string) float64 {
-	use := l.foreign[id]
-	if now-use.at > foreignLifetime {
+// externalTokens returns the external memory use of an engine.
+func (l *Ledger) externalTokens(now time.Duration, id string) float64 {
+	use := l.external[id]
+	if now-use.at > externalUseLifetime {
 		return 0
 	}
 	return use.tokens
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -10,102 +10,104 @@
 type Run struct {
 	ID     string
 	Prompt int
-	// Output is how many tokens are expected to come out.
+	// Output is the expected number of output tokens.
 	Output int
-	// CallerEstimate is what its caller expected; zero where that is not known.
+	// CallerEstimate is the number of output tokens that the caller expects; zero if unknown.
 	CallerEstimate int
-	// MaxOutput bounds it; zero where that is not known.
+	// MaxOutput is the upper bound of the output; zero if unknown.
 	MaxOutput int
-	// Engine is the decode engine that it was given.
+	// Engine is the assigned decode engine.
 	Engine string
-	// Started is when it was given.
+	// Started is the time of the assignment.
 	Started time.Duration
-	// Holder names the node that serves it.
+	// Holder names the node that serves the run.
 	Holder string
 }
 
 // Engine is a decode engine.
 type Engine struct {
 	ID string
-	// Memory is how many tokens it holds.
+	// Memory is the number of tokens that fit.
 	Memory int
-	// Slots is how many runs it takes at once.
+	// Slots is the number of concurrent runs.
 	Slots int
 }
 
-// Options are the assumptions of a Ledger.
+// Options configure a Ledger.
 type Options struct {
-	// UsableShare is the share of an engine's memory that is given. Default 1.
+	// UsableShare is the share of an engine's memory that may be assigned. Default 1.
 	UsableShare float64
-	// Deviations is how many standard deviations of what the runs of an engine will make
-	// together are kept free. Default 1 (docs/KYKLOS.md has the figures).
+	// Deviations is how many standard deviations of the total output of an engine's runs are kept
+	// free. Default 1.
 	Deviations float64
-	// Overrun is how much more, as a share of its expected output, a run is taken to
-	// make once it has made that. Default 0.25.
+	// Overrun is how much further a run that has reached its expected output is assumed to grow, as
+	// a share of that output. Default 0.25.
 	Overrun float64
-	// DecodeRate is the first guess of how many tokens a run makes in a second. Default
-	// 1000.
+	// DecodeRate is the initial estimate of the tokens per second of one run. Default 1000.
 	DecodeRate float64
-	// FirstTokenDelay is the first guess of the time from an assignment to the first token, while the
-	// prompt is read. Default 150ms.
+	// FirstTokenDelay is the initial estimate of the time from an assignment to the first token,
+	// which includes the prefill. Default 150ms.
 	FirstTokenDelay time.Duration
 }
 
 const (
-	defaultFill       = 1.0
-	defaultDeviations = 1.0
-	defaultOverrun    = 0.25
-	defaultPace       = 1000.0
-	defaultStart      = 150 * time.Millisecond
-	// paceWeight is the weight of one run in the learned pace.
-	paceWeight = 0.05
-	// leastAnswer is the time below which an answer says nothing of the pace: its events came
-	// together.
-	leastAnswer = 10 * time.Millisecond
-	// silenceLimit is how long the runs of a node are kept that tells nothing of them.
-	silenceLimit = 4 * time.Second
-	// forgetInterval is the least time between two looks for such nodes.
-	forgetInterval = 500 * time.Millisecond
-	// syncSlack is how old a run must be to be missed in what its holder tells: the
-	// assignment of a younger one may still be on its way there.
-	syncSlack = 500 * time.Millisecond
+	defaultUsableShare     = 1.0
+	defaultDeviations      = 1.0
+	defaultOverrun         = 0.25
+	defaultDecodeRate      = 1000.0
+	defaultFirstTokenDelay = 150 * time.Millisecond
+	// rateWeight is the weight of one run in the learned decode rate.
+	rateWeight = 0.05
+	// minAnswerTime is the time below which an answer is not used to learn the decode rate, because
+	// its events were delivered together.
+	minAnswerTime = 10 * time.Millisecond
+	// holderTimeout is how long the runs of a node are kept that reports nothing.
+	holderTimeout = 4 * time.Second
+	// expireInterval is the minimum time between two searches for such nodes.
+	expireInterval = 500 * time.Millisecond
+	// syncGracePeriod is the age from which a run that its holder does not report counts as ended:
+	// the assignment of a younger one may still be on its way to the holder.
+	syncGracePeriod = 500 * time.Millisecond
 )
 
-// Ledger is the ledger.
+// Ledger holds the runs of a service's decode engines.
 type Ledger struct {
 	options Options
-	// pace and start are learned; options has the first guesses.
-	pace  float64
-	start time.Duration
-	// answers counts those that taught them, tokens and seconds are what they took together.
+	// decodeRate and firstTokenDelay are learned; options holds the initial estimates.
+	decodeRate      float64
+	firstTokenDelay time.Duration
+	// answers counts the answers they were learned from; tokens and seconds are the weighted totals
+	// of these.
 	answers         int
 	tokens, seconds float64
 	engines         []Engine
 	runs            map[string]Run
-	// byEngine holds the runs of each engine, and byHolder the identifiers of those of each holder.
+	// byEngine holds the runs of each engine, and byHolder the identifiers of the runs of each
+	// holder.
 	byEngine map[string]map[string]Run
 	byHolder map[string]map[string]bool
-	// projected and active are used for one look at an engine after the other.
+	// projected and active are buffers, reused for each engine that is checked.
 	projected []projected
 	active    []Run
-	// refusedUntil holds the engines that did not take a run that should have fitted, until
-	// they are given runs again.
+	// refusedUntil is the time until which an engine that refused a run that should have fitted
+	// gets no runs.
 	refusedUntil map[string]time.Duration
-	forgotAt     time.Duration
-	// foreign holds what engines use for runs that the ledger does not know.
-	foreign map[string]foreignUse
-	// spread is the standard deviation of a run's length, as a share of what is expected.
-	spread float64
-	// coverage is the share of the runs that the ledger is taken to know.
+	expiredAt    time.Duration
+	// external is the memory that engines use for runs that the ledger does not track.
+	external map[string]externalUse
+	// outputDeviation is the standard deviation of a run's output, as a share of the expected
+	// output.
+	outputDeviation float64
+	// coverage is the estimated share of all runs that the ledger tracks.
 	coverage float64
-	// heard is when each holder last told of its runs or asked for an engine.
-	heard map[string]time.Duration
+	// lastContact is when each holder last reported its runs or requested an engine.
+	lastContact map[string]time.Duration
 }
 
 // New returns an empty ledger.
 func New(options Options) *Ledger {
 	if options.UsableShare == 0 {
-		options.UsableShare = defaultFill
+		options.UsableShare = defaultUsableShare
 	}
 	if options.Deviations == 0 {
 		options.Deviations = defaultDeviations
@@ -114,25 +116,25 @@
 		options.Overrun = defaultOverrun
 	}
 	if options.DecodeRate == 0 {
-		options.DecodeRate = defaultPace
+		options.DecodeRate = defaultDecodeRate
 	}
 	if options.FirstTokenDelay == 0 {
-		options.FirstTokenDelay = defaultStart
+		options.FirstTokenDelay = defaultFirstTokenDelay
 	}
 	return &Ledger{
-		options: options, pace: options.DecodeRate, start: options.FirstTokenDelay, runs: map[string]Run{},
-		byEngine: map[string]map[string]Run{}, byHolder: map[string]map[string]bool{}, refusedUntil: map[string]time.Duration{}, heard: map[string]time.Duration{}, foreign: map[string]foreignUse{}, coverage: 1,
+		options: options, decodeRate: options.DecodeRate, firstTokenDelay: options.FirstTokenDelay, runs: map[string]Run{},
+		byEngine: map[string]map[string]Run{}, byHolder: map[string]map[string]bool{}, refusedUntil: map[string]time.Duration{}, lastContact: map[string]time.Duration{}, external: map[string]externalUse{}, coverage: 1,
 	}
 }
 
-// SetEngines states which engines take runs. Runs at other engines are kept: an
-// engine may come back. The ledger only reads the list.
+// SetEngines sets the engines that accept runs. Runs at other engines are kept, because an engine
+// may return. The ledger does not modify the list.
 func (l *Ledger) SetEngines(engines []Engine) { l.engines = engines }
 
-// Sync takes over all runs of a holder, whichever ledger gave them. Runs of the
-// holder that it does not name have ended.
+// Sync adds the runs that a holder reports, including those that another ledger assigned, and
+// removes its other runs, which have ended.
 func (l *Ledger) Sync(now time.Duration, holder string, runs []Run) {
-	l.heard[holder] = now
+	l.lastContact[holder] = now
 	named := make(map[string]bool, len(runs))
 	for _, run := range runs {
 		named[run.ID] = true
@@ -142,49 +144,51 @@
 		}
 	}
 	for id := range l.byHolder[holder] {
-		if !named[id] && now-l.runs[id].Started > syncSlack {
+		if !named[id] && now-l.runs[id].Started > syncGracePeriod {
 			l.remove(id)
 		}
 	}
-	l.forget(now)
+	l.expire(now)
 }
 
-// End forgets a run and returns it.
+// End removes a run and returns it.
 func (l *Ledger) End(id string, answer AnswerTiming) (Run, bool) {
 	run, known := l.runs[id]
 	if !known {
 		return Run{}, false
 	}
 	l.remove(id)
-	if answer.Duration-answer.FirstEvent >= leastAnswer && answer.RestTokens > 0 {
+	if answer.Duration-answer.FirstEvent >= minAnswerTime && answer.RestTokens > 0 {
 		l.learn(answer)
 	}
 	return run, true
 }
 
-// Refused notes that the engine of a run did not take it. The ledger knows less than
-// the engine then, and leaves it alone for a time.
+// Refused records that the engine of a run refused it. The engine has information that the ledger
+// lacks, so it gets no runs for the given time.
 func (l *Ledger) Refused(now time.Duration, id string, pause time.Duration) {
 	if run, known := l.runs[id]; known {
 		l.refusedUntil[run.Engine] = max(l.refusedUntil[run.Engine], now+pause)
 	}
 }
 
-// Assign gives a run to the engine that will be the least full, and reports false
-// where none has room.
+// Assign assigns a run to the engine with the lowest predicted peak, and reports false if it fits
+// nowhere.
 func (l *Ledger) Assign(now time.Duration, run Run, avoid map[string]bool) (string, bool) {
 	return l.AssignPreferring(now, run, avoid, func(string) bool { return false })
 }
 
-// nearAllowance is how much fuller, as a share of its memory, an engine in the zone of the run's
-// node may be than the least full one. A whole answer crosses the border otherwise.
-const nearAllowance = 0.1
+// preferenceAllowance is how much fuller, as a share of its memory, a preferred engine may be than
+// the least full one. The coordinator prefers engines in the zone of the run's node, because
+// otherwise the whole answer is sent between zones.
+const preferenceAllowance = 0.1
 
-// AssignPreferring is Assign, but prefers engines for which isNear holds where they are not much fuller.
-func (l *Ledger) AssignPreferring(now time.Duration, run Run, avoid map[string]bool, isNear func(id string) bool) (string, bool) {
-	l.heard[run.Holder] = now
-	l.forget(now)
-	var best, near choice
+// AssignPreferring is Assign, but prefers engines for which isPreferred holds unless they are much
+// fuller.
+func (l *Ledger) AssignPreferring(now time.Duration, run Run, avoid map[string]bool, isPreferred func(id string) bool) (string, bool) {
+	l.lastContact[run.Holder] = now
+	l.expire(now)
+	var best, preferred choice
 	for _, engine := range l.engines {
 		if avoid[engine.ID] || now < l.refusedUntil[engine.ID] {
 			continue
@@ -193,36 +197,36 @@
 		if !fits {
 			continue
 		}
-		best.offer(engine.ID, peak)
-		if isNear(engine.ID) {
-			near.offer(engine.ID, peak)
+		best.consider(engine.ID, peak)
+		if isPreferred(engine.ID) {
+			preferred.consider(engine.ID, peak)
 		}
 	}
 	if best.engine == "" {
 		return "", false
 	}
-	if near.engine != "" && near.peak <= best.peak+nearAllowance {
-		best = near
+	if preferred.engine != "" && preferred.peak <= best.peak+preferenceAllowance {
+		best = preferred
 	}
 	run.Engine, run.Started = best.engine, now
 	l.add(run)
 	return best.engine, true
 }
 
-// choice is the least full engine of those offered.
+// choice is the candidate with the lowest peak so far.
 type choice struct {
 	engine string
 	peak   float64
 }
 
-// offer takes an engine over if it will be less full; of equal ones the first by its name counts.
-func (c *choice) offer(engine string, peak float64) {
+// consider replaces the choice by an engine with a lower peak; ties go to the first by name.
+func (c *choice) consider(engine string, peak float64) {
 	if c.engine == "" || peak < c.peak || peak == c.peak && engine < c.engine {
 		c.engine, c.peak = engine, peak
 	}
 }
 
-// add puts a run into the ledger, in the place of one of the same name.
+// add adds a run, replacing one with the same identifier.
 func (l *Ledger) add(run Run) {
 	l.remove(run.ID)
 	l.runs[run.ID] = run
@@ -252,12 +256,12 @@
 	}
 }
 
-// TimeUntilCapacity returns how long it will take until a run fits somewhere, if every
-// run ends as expected and no other comes.
+// TimeUntilCapacity returns the time until a run fits on some engine, if every run ends as expected
+// and no other arrives.
 func (l *Ledger) TimeUntilCapacity(now time.Duration, run Run) time.Duration {
 	soonest := time.Duration(0)
 	for _, engine := range l.engines {
-		after, found := l.roomAt(now, engine, run, l.byEngine[engine.ID])
+		after, found := l.capacityAt(now, engine, run, l.byEngine[engine.ID])
 		if found && (soonest == 0 || after < soonest) {
 			soonest = after
 		}
@@ -265,8 +269,8 @@
 	return soonest
 }
 
-// roomAt returns how long it will take until a run fits at one engine.
-func (l *Ledger) roomAt(now time.Duration, engine Engine, run Run, active map[string]Run) (time.Duration, bool) {
+// capacityAt returns the time until a run fits on one engine.
+func (l *Ledger) capacityAt(now time.Duration, engine Engine, run Run, active map[string]Run) (time.Duration, bool) {
 	left := make([]Run, 0, len(active))
 	for _, current := range active {
 		left = append(left, current)
@@ -281,15 +285,15 @@
 	return 0, false
 }
 
-// SetCoverage states which share of the runs the ledger knows, above 0 and up to 1.
-// Each engine is taken to need as much more as that.
+// SetCoverage sets the share of all runs that the ledger tracks, above 0 and up to 1. The predicted
+// use of each engine is divided by it.
 func (l *Ledger) SetCoverage(share float64) { l.coverage = share }
 
-// RecentHolders returns how many holders the ledger has heard of lately.
-func (l *Ledger) RecentHolders(now, lately time.Duration) int {
+// RecentHolders returns how many holders had contact with the ledger within the given window.
+func (l *Ledger) RecentHolders(now, window time.Duration) int {
 	count := 0
-	for _, at := range l.heard {
-		if now-at <= lately {
+	for _, at := range l.lastContact {
+		if now-at <= window {
 			count++
 		}
 	}
@@ -299,25 +303,25 @@
 // Len returns the number of runs in the ledger.
 func (l *Ledger) Len() int { return len(l.runs) }
 
-// forget drops the runs of holders that have been silent for too long.
-func (l *Ledger) forget(now time.Duration) {
-	if now-l.forgotAt < forgetInterval {
+// expire drops the runs of holders without contact for longer than holderTimeout.
+func (l *Ledger) expire(now time.Duration) {
+	if now-l.expiredAt < expireInterval {
 		return
 	}
-	l.forgotAt = now
+	l.expiredAt = now
 	for id, run := range l.runs {
-		if now-l.heard[run.Holder] > silenceLimit {
+		if now-l.lastContact[run.Holder] > holderTimeout {
 			l.remove(id)
 		}
 	}
-	for holder, at := range l.heard {
-		if now-at > silenceLimit {
-			delete(l.heard, holder)
+	for holder, at := range l.lastContact {
+		if now-at > holderTimeout {
+			delete(l.lastContact, holder)
 		}
 	}
 }
 
-// Counts returns how many runs each engine has.
+// Counts returns the number of runs of each engine.
 func (l *Ledger) Counts() map[string]int {
 	counts := make(map[string]int, len(l.byEngine))
 	for id, runs := range l.byEngine {
--- a/ledger/near_test.go
+++ b/ledger/near_test.go
@@ -7,14 +7,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestAnEngineOfTheZoneIsTakenUnlessMuchFuller fills the engine of a node's zone step by step.
-func TestAnEngineOfTheZoneIsTakenUnlessMuchFuller(t *testing.T) {
+// TestAssignPrefersZoneUnlessMuchFuller assigns runs while one engine is in the zone of their node.
+func TestAssignPrefersZoneUnlessMuchFuller(t *testing.T) {
 	g := NewWithT(t)
-	books := New(Options{})
-	books.SetEngines([]Engine{{ID: "far", Memory: 10_000, Slots: 32}, {ID: "near", Memory: 10_000, Slots: 32}})
-	isNear := func(id string) bool { return id == "near" }
+	l := New(Options{})
+	l.SetEngines([]Engine{{ID: "far", Memory: 10_000, Slots: 32}, {ID: "near", Memory: 10_000, Slots: 32}})
+	sameZone := func(id string) bool { return id == "near" }
 	given := func(id string) string {
-		engine, ok := books.AssignPreferring(time.Second, Run{ID: id, Prompt: 500, Output: 1, Holder: "n"}, nil, isNear)
+		engine, ok := l.AssignPreferring(time.Second, Run{ID: id, Prompt: 500, Output: 1, Holder: "n"}, nil, sameZone)
 		g.Expect(ok).To(BeTrue())
 		return engine
 	}
@@ -25,6 +25,6 @@
 	for _, id := range []string{"c", "d", "e", "f", "g", "h", "i", "j"} {
 		counts[given(id)]++
 	}
-	g.Expect(counts["far"]).To(BeNumerically(">=", 3), "the far one is taken as well")
-	g.Expect(books.Counts()["near"]-books.Counts()["far"]).To(BeNumerically("<=", 2), "near is at most a tenth fuller")
+	g.Expect(counts["far"]).To(BeNumerically(">=", 3), "the other zone is used as well")
+	g.Expect(l.Counts()["near"]-l.Counts()["far"]).To(BeNumerically("<=", 2), "the engine of the zone is at most a tenth fuller")
 }
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// AnswerTiming is a whole answer, as far as it teaches the pace. The zero value teaches nothing.
+// AnswerTiming is the timing of a complete answer, from which the decode rate is learned. The zero
+// value is ignored.
 type AnswerTiming struct {
-	// FirstEvent is how long it took from the assignment to the first event, and Duration to the
+	// FirstEvent is the time from the assignment to the first event, and Duration the time to the
 	// last one.
 	FirstEvent, Duration time.Duration
-	// RestTokens is how many tokens came after the first event.
+	// RestTokens is the number of tokens after the first event.
 	RestTokens int
 }
 
-// learn takes over the pace and the start of an answer. The pace is that of all tokens in all
-// the time, newer answers counting more: an answer whose events were held up on the way comes
-// at once, and its own pace says nothing.
+// learn updates the decode rate and the first-token delay from an answer. The rate is the total of
+// all tokens by the total time, weighted towards newer answers: the rate of a single answer is
+// meaningless if its events were held up on the way and arrive at once.
 func (l *Ledger) learn(answer AnswerTiming) {
 	l.answers++
-	l.tokens = (1-paceWeight)*l.tokens + float64(answer.RestTokens)
-	l.seconds = (1-paceWeight)*l.seconds + (answer.Duration - answer.FirstEvent).Seconds()
-	l.pace = l.tokens / l.seconds
-	// The first answers count alike, so that the first guess is soon forgotten.
-	weight := max(paceWeight, 1/float64(l.answers))
-	l.start += time.Duration(weight * float64(answer.FirstEvent-l.start))
+	l.tokens = (1-rateWeight)*l.tokens + float64(answer.RestTokens)
+	l.seconds = (1-rateWeight)*l.seconds + (answer.Duration - answer.FirstEvent).Seconds()
+	l.decodeRate = l.tokens / l.seconds
+	// The first answers have equal weight, so that the initial estimate is soon replaced.
+	weight := max(rateWeight, 1/float64(l.answers))
+	l.firstTokenDelay += time.Duration(weight * float64(answer.FirstEvent-l.firstTokenDelay))
 }
 
-// LearnedRate is what a ledger has learned of how fast answers come.
+// LearnedRate is what a ledger has learned of the speed of answers.
 type LearnedRate struct {
-	// Answers is how many have taught it, Tokens and Seconds are what these took together.
+	// Answers is the number of answers it was learned from; Tokens and Seconds are the weighted
+	// totals of these.
 	Answers         int
 	Tokens, Seconds float64
 	// FirstTokenDelay is the time from an assignment to the first token.
@@ -38,25 +40,25 @@
 
 // Learned returns what the ledger has learned.
 func (l *Ledger) Learned() LearnedRate {
-	return LearnedRate{Answers: l.answers, Tokens: l.tokens, Seconds: l.seconds, FirstTokenDelay: l.start}
+	return LearnedRate{Answers: l.answers, Tokens: l.tokens, Seconds: l.seconds, FirstTokenDelay: l.firstTokenDelay}
 }
 
-// Adopt takes over what another ledger has learned, if this one has learned nothing.
+// Adopt takes over what another ledger has learned, unless this one has learned something itself.
 func (l *Ledger) Adopt(learned LearnedRate) {
-	pace := learned.Tokens / learned.Seconds
-	if l.answers > 0 || learned.Answers <= 0 || !(pace > 0) || math.IsInf(pace, 0) || learned.FirstTokenDelay < 0 {
+	rate := learned.Tokens / learned.Seconds
+	if l.answers > 0 || learned.Answers <= 0 || !(rate > 0) || math.IsInf(rate, 0) || learned.FirstTokenDelay < 0 {
 		return
 	}
-	l.answers, l.tokens, l.seconds, l.start = learned.Answers, learned.Tokens, learned.Seconds, learned.FirstTokenDelay
-	l.pace = pace
+	l.answers, l.tokens, l.seconds, l.firstTokenDelay = learned.Answers, learned.Tokens, learned.Seconds, learned.FirstTokenDelay
+	l.decodeRate = rate
 }
 
-// SetOutputDeviation states the standard deviation of the lengths of answers, as a share of what is
-// expected of each.
-func (l *Ledger) SetOutputDeviation(share float64) { l.spread = share }
+// SetOutputDeviation sets the standard deviation of output lengths, as a share of the expected
+// length.
+func (l *Ledger) SetOutputDeviation(share float64) { l.outputDeviation = share }
 
-// DecodeRate returns how many tokens a run is expected to make in a second.
-func (l *Ledger) DecodeRate() float64 { return l.pace }
+// DecodeRate returns the expected number of tokens per second of one run.
+func (l *Ledger) DecodeRate() float64 { return l.decodeRate }
 
 // MemoryShare returns the share of the memory of all engines that runs use now.
 func (l *Ledger) MemoryShare(now time.Duration) float64 {
@@ -73,8 +75,8 @@
 	return used / memory
 }
 
-// Occupancy returns the share of an engine's memory that a run takes on average, times how
-// long in seconds. Where no engine is known it is zero.
+// Occupancy returns the mean share of an engine's memory that a run uses, multiplied by its
+// duration in seconds. It is zero if there are no engines.
 func (l *Ledger) Occupancy(run Run) float64 {
 	memory := 0.0
 	for _, engine := range l.engines {
@@ -83,6 +85,6 @@
 	if memory == 0 {
 		return 0
 	}
-	lasting := l.start.Seconds() + float64(run.Output)/l.pace
-	return (float64(run.Prompt) + float64(run.Output)/2) / memory * lasting
+	duration := l.firstTokenDelay.Seconds() + float64(run.Output)/l.decodeRate
+	return (float64(run.Prompt) + float64(run.Output)/2) / memory * duration
 }
--- a/ledger/pace_test.go
+++ b/ledger/pace_test.go
@@ -11,40 +11,40 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// TestThePaceIsKnownAfterTwentyAnswers draws engines of any pace, and wants the ledger to know
-// it within a tenth after 20 answers.
-func TestThePaceIsKnownAfterTwentyAnswers(t *testing.T) {
+// TestDecodeRateIsLearnedFromTwentyAnswers draws engines of any decode rate, and expects the
+// learned rate to be within a tenth of it after 20 answers.
+func TestDecodeRateIsLearnedFromTwentyAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book := newLedger(1)
-		pace := rapid.Float64Range(20, 5000).Draw(t, "tokens a second")
+		l := newLedger(1)
+		rate := rapid.Float64Range(20, 5000).Draw(t, "tokens a second")
 		first := time.Duration(rapid.IntRange(20, 900).Draw(t, "milliseconds to the first event")) * time.Millisecond
 		for i := range 20 {
 			id := strconv.Itoa(i)
-			if _, given := book.Assign(0, ledger.Run{ID: id, Prompt: 100, Output: 100}, nil); !given {
+			if _, given := l.Assign(0, ledger.Run{ID: id, Prompt: 100, Output: 100}, nil); !given {
 				t.Fatal("not given")
 			}
 			rest := rapid.IntRange(50, 2000).Draw(t, "tokens")
-			lasting := time.Duration(float64(rest) / pace * float64(time.Second))
-			book.End(id, ledger.AnswerTiming{FirstEvent: first, Duration: first + lasting, RestTokens: rest})
+			duration := time.Duration(float64(rest) / rate * float64(time.Second))
+			l.End(id, ledger.AnswerTiming{FirstEvent: first, Duration: first + duration, RestTokens: rest})
 		}
-		NewWithT(t).Expect(book.DecodeRate()).To(BeNumerically("~", pace, pace/10))
+		NewWithT(t).Expect(l.DecodeRate()).To(BeNumerically("~", rate, rate/10))
 	})
 }
 
-// TestAnAnswerThatCameAtOnceDoesNotSpoilThePace has some answers held up on the way, so that
-// all their events came within a moment.
-func TestAnAnswerThatCameAtOnceDoesNotSpoilThePace(t *testing.T) {
+// TestBufferedAnswersDoNotDistortDecodeRate has some answers held up on the way, so that all their
+// events arrive at almost the same time.
+func TestBufferedAnswersDoNotDistortDecodeRate(t *testing.T) {
 	g := NewWithT(t)
-	const pace = 1000
-	book := newLedger(1)
+	const rate = 1000
+	l := newLedger(1)
 	for i := range 40 {
 		id := strconv.Itoa(i)
-		book.Assign(0, ledger.Run{ID: id, Prompt: 100, Output: 100}, nil)
-		answer := ledger.AnswerTiming{FirstEvent: 100 * time.Millisecond, Duration: 2100 * time.Millisecond, RestTokens: 2 * pace}
+		l.Assign(0, ledger.Run{ID: id, Prompt: 100, Output: 100}, nil)
+		answer := ledger.AnswerTiming{FirstEvent: 100 * time.Millisecond, Duration: 2100 * time.Millisecond, RestTokens: 2 * rate}
 		if i%8 == 3 {
 			answer.Duration = answer.FirstEvent + time.Duration(i)*time.Millisecond
 		}
-		book.End(id, answer)
-		g.Expect(book.DecodeRate()).To(BeNumerically("~", pace, pace/2), "after %d answers", i+1)
+		l.End(id, answer)
+		g.Expect(l.DecodeRate()).To(BeNumerically("~", rate, rate/2), "after %d answers", i+1)
 	}
 }
