--- a/estimate/learned.go
+++ b/estimate/learned.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Sums are the weighted sums of a least-squares fit of y by x. The zero value knows nothing.
+// Sums are the weighted sums of a least-squares fit of y by x. The zero value has no samples.
 type Sums struct {
 	Weight, X, Y, XX, XY float64
 }
@@ -25,7 +25,7 @@
 	return line{weight: s.Weight, sumX: s.X, sumY: s.Y, sumXX: s.XX, sumXY: s.XY}
 }
 
-// LearnedOutput is what an Output has learned, to be adopted by another one.
+// LearnedOutput is the state of an OutputLength, to be adopted by another one.
 type LearnedOutput struct {
 	Samples int
 	Sums    Sums
@@ -33,12 +33,13 @@
 	Squares float64
 }
 
-// Learned returns what the estimate has learned.
+// Learned returns what the estimator has learned.
 func (o *OutputLength) Learned() LearnedOutput {
 	return LearnedOutput{Samples: o.samples, Sums: o.sums.sums(), Squares: o.sumYY}
 }
 
-// Adopt takes over what another estimate has learned, if this one has learned nothing.
+// Adopt takes over what another estimator has learned, unless this one has learned something
+// itself.
 func (o *OutputLength) Adopt(learned LearnedOutput) {
 	if o.samples > 0 || learned.Samples <= 0 || !learned.Sums.valid() || !(learned.Squares >= 0) {
 		return
@@ -50,7 +51,8 @@
 // Learned returns what has been learned of all engines together.
 func (r *PrefillTime) Learned() Sums { return r.pool.sums() }
 
-// Adopt takes over what another model has learned of all engines, if this one has learned nothing.
+// Adopt takes over what another estimator has learned of all engines, unless this one has learned
+// something itself.
 func (r *PrefillTime) Adopt(learned Sums) {
 	if r.pool.weight == 0 && learned.valid() {
 		r.pool = lineOf(learned)
--- a/estimate/output_test.go
+++ b/estimate/output_test.go
@@ -10,9 +10,9 @@
 	"github.com/reelrun/reelrun/estimate"
 )
 
-// TestEstimateBeatsTheExpectation draws answers and expectations that are off by a
-// factor, and compares the errors.
-func TestEstimateBeatsTheExpectation(t *testing.T) {
+// TestEstimateBeatsCallerEstimates draws answers and caller estimates that are off by a factor, and
+// compares the errors.
+func TestEstimateBeatsCallerEstimates(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	var output estimate.OutputLength
@@ -33,7 +33,7 @@
 	g.Expect(math.Abs(bias) / (draws / 2)).To(BeNumerically("<", 0.1*4000))
 }
 
-func TestFewAnswersChangeNothing(t *testing.T) {
+func TestFewAnswersKeepCallerEstimate(t *testing.T) {
 	g := NewWithT(t)
 	var output estimate.OutputLength
 	for range 10 {
@@ -50,18 +50,18 @@
 	output.Observe(5, -1)
 }
 
-// TestSpreadIsLearned draws lengths around what is expected.
-func TestSpreadIsLearned(t *testing.T) {
+// TestDeviationIsLearned draws lengths around the expected ones.
+func TestDeviationIsLearned(t *testing.T) {
 	g := NewWithT(t)
 	var exact, varying estimate.OutputLength
-	chance := rand.New(rand.NewPCG(3, 4))
-	g.Expect(exact.RelativeDeviation()).To(Equal(0.5), "the first guess")
+	random := rand.New(rand.NewPCG(3, 4))
+	g.Expect(exact.RelativeDeviation()).To(Equal(0.5), "the initial estimate")
 	for range 400 {
-		expected := 100 + chance.IntN(900)
+		expected := 100 + random.IntN(900)
 		exact.Observe(expected, expected)
-		varying.Observe(expected, max(1, int(float64(expected)*math.Exp(0.4*chance.NormFloat64()))))
+		varying.Observe(expected, max(1, int(float64(expected)*math.Exp(0.4*random.NormFloat64()))))
 	}
 	g.Expect(exact.RelativeDeviation()).To(BeNumerically("<", 0.01))
-	// That of a logarithmic normal distribution of 0.4.
+	// Of a log-normal distribution with a deviation of 0.4.
 	g.Expect(varying.RelativeDeviation()).To(BeNumerically("~", 0.416, 0.06))
 }
--- a/estimate/reading.go
+++ b/estimate/reading.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	// firstReadingPace is the first guess of how many prompt tokens an engine reads in a
-	// second. The first prompt that was read replaces it.
-	firstReadingPace = 50_000.0
-	// originWeight is how many prompts the assumption weighs that no tokens take no time. It
-	// decides where all prompts had one size.
+	// initialPrefillRate is the initial estimate of the prompt tokens that an engine prefills per
+	// second. The first observed prefill replaces it.
+	initialPrefillRate = 50_000.0
+	// originWeight is the weight, in prompts, of the assumption that a prompt without tokens takes
+	// no time. It determines the fit if all prompts have the same size.
 	originWeight = 0.1
-	// poolWeight is how many prompts of its own a new engine must have read until these say as
-	// much of it as what all engines have read.
-	poolWeight = 1.0
-	// poolMemory and engineMemory are the weights that a prompt loses with each one after it:
-	// about the last 100 prompts of all engines count, and about the last 7 of one engine, so
-	// that an engine which turns slow is known for slow after some prompts.
-	poolMemory   = 0.99
-	engineMemory = 0.85
-	// overrunFactor is how much longer than it was waited for a prompt that was given up
-	// seems to take.
-	overrunFactor = 2
+	// priorWeight is the weight, in prompts, of the pooled estimate for a new engine: after so many
+	// prefills of its own, these count as much as those of all engines.
+	priorWeight = 1.0
+	// poolDecay and engineDecay are the factors applied to the weight of a prompt with each later
+	// one: about the last 100 prompts of all engines count, and about the last 7 of one engine, so
+	// that an engine that becomes slow is recognized after a few prompts.
+	poolDecay   = 0.99
+	engineDecay = 0.85
+	// timeoutFactor is the assumed duration of a prefill that timed out, as a multiple of the time
+	// waited.
+	timeoutFactor = 2
 )
 
-// PrefillTime learns how long prefill engines take to read prompts: a part that each prompt
-// costs, and a part for each token. It knows each engine by what it has read itself, and
-// others by all. The zero value goes by a first guess. Sizes are in tokens and above zero. It is not safe for concurrent use.
+// PrefillTime estimates the times of prefills as a fixed part per prompt and a part per token. An
+// engine's estimate comes from its own prefills, and for an engine without any from those of all
+// engines. The zero value uses an initial estimate. Sizes are in tokens and above zero. It is not
+// safe for concurrent use.
 type PrefillTime struct {
 	pool    line
 	engines map[string]*line
 }
 
-// Observe takes note of one prompt that an engine has read, and of the time that it took
-// for that alone.
+// Observe adds one prefill of an engine and the time that it took without queueing.
 func (r *PrefillTime) Observe(engine string, tokens int, took time.Duration) {
 	if r.engines == nil {
 		r.engines = map[string]*line{}
@@ -41,38 +41,38 @@
 		own = r.prior()
 		r.engines[engine] = own
 	}
-	own.observe(float64(tokens), took.Seconds(), engineMemory)
-	r.pool.observe(float64(tokens), took.Seconds(), poolMemory)
+	own.observe(float64(tokens), took.Seconds(), engineDecay)
+	r.pool.observe(float64(tokens), took.Seconds(), poolDecay)
 }
 
-// HasSamples reports whether a prompt has been observed.
+// HasSamples reports whether a prefill has been observed.
 func (r *PrefillTime) HasSamples() bool { return r.pool.weight > 0 }
 
-// ObserveAtLeast takes note of a prompt that was given up after some time. The engine takes
-// longer than that; how much is not known, and learned from the next ones.
+// ObserveAtLeast adds a prefill that was given up after some time. The engine takes longer than
+// that; how much longer is learned from later prefills.
 func (r *PrefillTime) ObserveAtLeast(engine string, tokens int, waited time.Duration) {
-	guess := overrunFactor * waited
+	guess := timeoutFactor * waited
 	if tokens <= 0 || waited <= 0 || r.Duration(engine, tokens) >= guess {
 		return
 	}
-	// It says nothing of other engines.
-	r.engine(engine).observe(float64(tokens), guess.Seconds(), engineMemory)
+	// This does not affect the estimate for other engines.
+	r.engine(engine).observe(float64(tokens), guess.Seconds(), engineDecay)
 }
 
-// Duration returns how long an engine is expected to take for a prompt.
+// Duration returns the expected time of a prefill on an engine.
 func (r *PrefillTime) Duration(engine string, tokens int) time.Duration {
 	known := r.engines[engine]
 	if known == nil {
 		known = &r.pool
 	}
 	if known.weight == 0 {
-		return seconds(float64(tokens) / firstReadingPace)
+		return seconds(float64(tokens) / initialPrefillRate)
 	}
 	fixed, slope := known.fit()
 	return seconds(fixed + slope*float64(tokens))
 }
 
-// engine returns what is known of one engine.
+// engine returns the line of one engine, creating it if needed.
 func (r *PrefillTime) engine(id string) *line {
 	known := r.engines[id]
 	if known != nil {
@@ -85,14 +85,14 @@
 	return r.engines[id]
 }
 
-// prior returns what is known of an engine that has read nothing yet: what all need, around
-// the usual size of a prompt. It loses its weight as the engine reads.
+// prior returns the initial line of an engine: the pooled line, sampled around the usual size of a
+// prompt. Its weight decays as the engine's own prefills are observed.
 func (r *PrefillTime) prior() *line {
 	known := &line{}
 	if r.pool.weight == 0 {
 		return known
 	}
-	weight := poolWeight * r.pool.weight / (r.pool.weight + 1)
+	weight := priorWeight * r.pool.weight / (r.pool.weight + 1)
 	usual := r.pool.sumX / r.pool.weight
 	fixed, slope := r.pool.fit()
 	for _, tokens := range []float64{usual / 2, 2 * usual} {
@@ -108,17 +108,17 @@
 	weight, sumX, sumY, sumXX, sumXY float64
 }
 
-// observe adds one sample; all earlier ones lose a part of their weight.
-func (l *line) observe(x, y, memory float64) {
-	l.weight *= memory
-	l.sumX *= memory
-	l.sumY *= memory
-	l.sumXX *= memory
-	l.sumXY *= memory
+// observe adds one sample; the weights of all earlier ones decay.
+func (l *line) observe(x, y, decay float64) {
+	l.weight *= decay
+	l.sumX *= decay
+	l.sumY *= decay
+	l.sumXX *= decay
+	l.sumXY *= decay
 	l.add(x, y, 1)
 }
 
-// add adds a sample of some weight.
+// add adds a weighted sample.
 func (l *line) add(x, y, weight float64) {
 	l.weight += weight
 	l.sumX += weight * x
