--- a/roles/controller_test.go
+++ b/roles/controller_test.go
@@ -17,21 +17,21 @@
 	"github.com/reelrun/reelrun/sim/platformsim"
 )
 
-// changeTime is how long an engine of the fleet takes for a change: its runs end, and it loads
-// what its new role needs.
+// changeTime is how long an engine of the fleet takes for a role change: its runs end, and it loads
+// what the new role needs.
 const changeTime = 8 * time.Second
 
-// fleet is a service's engines, which carry orders out.
+// fleet simulates the engines of a service, which carry out orders.
 type fleet struct {
 	backends *backend.Registry
 
 	mu       sync.Mutex
 	changing map[string]bool
-	// orders counts those given, mostAway is how many engines were changing at a time.
-	orders, mostAway int
+	// orders counts the orders, maxChanging is the highest number of engines changing at a time.
+	orders, maxChanging int
 }
 
-// newFleet returns engines of which a third reads prompts.
+// newFleet returns engines of which a third are prefill engines.
 func newFleet(engines int) *fleet {
 	made := &fleet{backends: backend.NewRegistry(time.Now), changing: map[string]bool{}}
 	for i := range engines {
@@ -62,7 +62,7 @@
 	defer f.mu.Unlock()
 	f.changing[target.ID] = true
 	f.orders++
-	f.mostAway = max(f.mostAway, len(f.changing))
+	f.maxChanging = max(f.maxChanging, len(f.changing))
 	time.AfterFunc(changeTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -72,27 +72,28 @@
 	return nil
 }
 
-// counts returns how many orders were given, and how many engines were changing at a time.
-func (f *fleet) counts() (orders, mostAway int) {
+// counts returns the number of orders, and the highest number of engines changing at a time.
+func (f *fleet) counts() (orders, maxChanging int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.orders, f.mostAway
+	return f.orders, f.maxChanging
 }
 
-// TestDivisionAtSize has a fleet of which a third reads prompts where a fifth would do. The
-// division must come as close to the best as the hysteresis lets it, which is two engines or a
-// fifteenth of all, within 30 s at any size: with one engine at a time 64 took 48 s, 90 took 57 s
-// and 600 took 363 s, with a quarter of a role at a time all take 12 s.
-func TestDivisionAtSize(t *testing.T) {
+// TestAllocationConvergesAtAnySize has a third of the engines in the prefill role where a fifth
+// would do. The allocation must come as close to the best as the hysteresis allows, which is two
+// engines or a fifteenth of all, within 30 s at any size: with one engine at a time 64 took 48 s,
+// 90 took 57 s and 600 took 363 s; with a quarter of a role at a time all take 12 s.
+func TestAllocationConvergesAtAnySize(t *testing.T) {
 	for _, engines := range []int{12, 64, 90, 600} {
 		t.Run(fmt.Sprint(engines, " engines"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				divided := newFleet(engines)
-				// At the targets of 0.75 and 0.85 a fifth of the engines is the best.
+				service := newFleet(engines)
+				// At the utilization targets of 0.75 and 0.85, a fifth of the engines is the best
+				// share.
 				demand := &roles.Demand{Prefill: 0.1 * float64(engines), Decode: 0.4533 * float64(engines)}
 				controller := roles.New(roles.Options{
-					Dialect: divided, Backends: divided.backends, Holder: "n",
+					Dialect: service, Backends: service.backends, Holder: "n",
 					Lease:    lease.New(lease.Options{Store: platformsim.NewStore(platformsim.Options{}), Name: "roles", Holder: "n"}),
 					Services: func() []string { return []string{"s"} },
 					Demand:   func(string) (*roles.Demand, map[string]int) { return demand, nil },
@@ -103,17 +104,17 @@
 				go controller.Run(ctx)
 				began := time.Now()
 				allowed := max(2, engines/15)
-				excess := func() int { return divided.backends.CountReady(backend.RolePrefill) - engines/5 }
+				excess := func() int { return service.backends.CountReady(backend.RolePrefill) - engines/5 }
 				for excess() > allowed && time.Since(began) < 10*time.Minute {
 					time.Sleep(time.Second)
 				}
-				orders, mostAway := divided.counts()
-				t.Logf("%v, %d orders, at most %d away", time.Since(began), orders, mostAway)
+				orders, maxChanging := service.counts()
+				t.Logf("%v, %d orders, at most %d changing", time.Since(began), orders, maxChanging)
 				g.Expect(time.Since(began)).To(BeNumerically("<=", 30*time.Second))
 				time.Sleep(time.Minute)
 				g.Expect(excess()).To(BeNumerically(">=", -allowed), "not beyond the best")
-				_, mostAway = divided.counts()
-				g.Expect(mostAway).To(BeNumerically("<=", max(1, engines/6)), "twice a quarter of a role")
+				_, maxChanging = service.counts()
+				g.Expect(maxChanging).To(BeNumerically("<=", max(1, engines/6)), "twice a quarter of a role")
 				cancel()
 				time.Sleep(changeTime)
 			})
--- a/roles/doc.go
+++ b/roles/doc.go
@@ -1,3 +1,4 @@
-// Package roles keeps the engines of a service divided between reading prompts
-// and decoding. It gives orders under a lease with a fence, one engine at a time.
+// Package roles allocates the engines of a service to the prefill and decode
+// roles. It sends orders under a lease with a fencing token. A plan changes at
+// most a quarter of the engines of a role at once.
 package roles
--- a/roles/order.go
+++ b/roles/order.go
@@ -11,16 +11,16 @@
 	"github.com/reelrun/reelrun/logging"
 )
 
-// prepared is a change whose engine is ready to take its order.
+// prepared is a change whose engine can take its order.
 type prepared struct {
 	change Change
 	target backend.Backend
-	// sequence is how many orders the engine has taken.
+	// sequence is the number of orders that the engine has taken.
 	sequence int64
 }
 
-// order has engines change their roles, if this node holds the lease. All are announced, and
-// after one notice all are ordered.
+// order changes the roles of engines, if this node holds the lease. All changes are announced first
+// and ordered after one notice period.
 func (c *Controller) order(ctx context.Context, planned []Change) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+c.options.NoticePeriod)
 	defer cancel()
@@ -33,10 +33,10 @@
 	}
 	ready, err := c.prepare(ctx, planned)
 	if len(ready) == 0 {
-		return errors.CombineErrors(err, c.rest(ctx))
+		return errors.CombineErrors(err, c.releaseLease(ctx))
 	}
 	if err != nil {
-		c.options.Logger.Warn("engine not ordered", "holder", c.options.Holder, "error", err.Error())
+		c.options.Logger.Warn("engine did not report before its role change", "holder", c.options.Holder, "error", err.Error())
 	}
 	for _, change := range ready {
 		c.options.Announce(change.change, fence)
@@ -46,10 +46,10 @@
 	select {
 	case <-ctx.Done():
 		c.withdraw(ready, fence)
-		return errors.CombineErrors(ctx.Err(), c.rest(ctx))
+		return errors.CombineErrors(ctx.Err(), c.releaseLease(ctx))
 	case <-notice.C:
 	}
-	// The lease is looked at right before the orders are sent.
+	// The lease is checked right before the orders are sent.
 	if err := c.options.Lease.Check(callTimeout); err != nil {
 		c.withdraw(ready, fence)
 		return err
@@ -57,18 +57,18 @@
 	c.ordered = true
 	definite, err := c.send(ctx, ready, fence)
 	if definite {
-		// Nothing of this holder is under way.
-		return errors.CombineErrors(err, c.rest(ctx))
+		// No order of this holder is pending.
+		return errors.CombineErrors(err, c.releaseLease(ctx))
 	}
 	return err
 }
 
-// prepare asks the engines of all changes at once what they say of their orders, and returns
-// those that can be ordered. The error is that of any engine that did not answer.
+// prepare requests the reports of the engines of all changes at once, and returns the changes that
+// can be ordered. The error is that of any engine that did not answer.
 func (c *Controller) prepare(ctx context.Context, planned []Change) ([]prepared, error) {
 	ready := make([]*prepared, len(planned))
 	failures := make([]error, len(planned))
-	each(planned, func(i int, change Change) {
+	forEach(planned, func(i int, change Change) {
 		ready[i], failures[i] = c.prepareOne(ctx, change)
 	})
 	var able []prepared
@@ -77,11 +77,11 @@
 			able = append(able, *one)
 		}
 	}
-	return able, firstOf(failures)
+	return able, firstError(failures)
 }
 
-// prepareOne is prepare for one engine; the result is nil for one that is gone, changing already
-// or in the role that it is to take.
+// prepareOne is prepare for one engine; the result is nil for an engine that was removed, is
+// changing already or has the new role.
 func (c *Controller) prepareOne(ctx context.Context, change Change) (*prepared, error) {
 	entry := c.options.Backends.Lookup(change.Engine)
 	if entry == nil {
@@ -90,9 +90,9 @@
 	target := entry.Backend()
 	report, err := c.options.Dialect.Report(ctx, target)
 	if err != nil {
-		return nil, errors.Wrapf(err, "report of %s", change.Engine)
+		return nil, errors.Wrapf(err, "get report of engine %s", change.Engine)
 	}
-	// An order without an answer may be carried out all the same: the engine counts as changing
+	// An order without an answer may be carried out nevertheless: the engine counts as changing
 	// from before it is sent.
 	c.MarkChanging(change)
 	if report.Changing || report.Role == change.Role {
@@ -101,10 +101,10 @@
 	return &prepared{change: change, target: target, sequence: report.Sequence}, nil
 }
 
-// send gives the orders, all at once. It reports whether each has a definite answer.
+// send sends the orders, all at once. It reports whether each got a definite answer.
 func (c *Controller) send(ctx context.Context, ready []prepared, fence uint64) (definite bool, err error) {
 	failures := make([]error, len(ready))
-	each(ready, func(i int, one prepared) {
+	forEach(ready, func(i int, one prepared) {
 		failures[i] = c.options.Dialect.ChangeRole(ctx, one.target, Order{
 			Role: one.change.Role, Holder: c.options.Holder, Fence: fence, Expected: one.sequence,
 		})
@@ -116,11 +116,11 @@
 			return false, failure
 		}
 	}
-	return true, firstOf(failures)
+	return true, firstError(failures)
 }
 
-// each calls work for all items at once and waits for all.
-func each[T any](items []T, work func(int, T)) {
+// forEach calls work for all items concurrently and waits for all calls.
+func forEach[T any](items []T, work func(int, T)) {
 	var group sync.WaitGroup
 	for i, item := range items {
 		group.Go(func() { work(i, item) })
@@ -128,8 +128,8 @@
 	group.Wait()
 }
 
-// firstOf returns the first error, or nil.
-func firstOf(failures []error) error {
+// firstError returns the first error, or nil.
+func firstError(failures []error) error {
 	for _, failure := range failures {
 		if failure != nil {
 			return failure
@@ -138,15 +138,15 @@
 	return nil
 }
 
-// rest lets others take the lease, also where this node is about to stop. Nothing of
-// it may be under way.
-func (c *Controller) rest(ctx context.Context) error {
+// releaseLease lets other nodes take the lease, also while this node is stopping. No order of this
+// node may be pending.
+func (c *Controller) releaseLease(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	return c.options.Lease.Rest(ctx)
 }
 
-// withdraw takes back announced changes whose orders were not sent.
+// withdraw withdraws announced changes whose orders were not sent.
 func (c *Controller) withdraw(ready []prepared, fence uint64) {
 	for _, one := range ready {
 		c.ClearChanging(one.change.Engine)
