--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkDecide measures one decision against the number of engines.
+// BenchmarkDecide measures one decision for different numbers of engines.
 func BenchmarkDecide(b *testing.B) {
 	for _, engines := range []int{8, 32, 128, 600} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -21,15 +21,15 @@
 	}
 }
 
-// BenchmarkGrantAmongTenants measures a request's way through the queue against
-// the number of tenants that wait.
+// BenchmarkGrantAmongTenants measures the path of a request through the queue for different numbers
+// of waiting tenants.
 func BenchmarkGrantAmongTenants(b *testing.B) {
 	for _, tenants := range []int{10, 100, 1000, 13000} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			pool := NewPool(Options{NoAdmission: true}, 200000)
 			pool.SetEngines(testEngines(4, 4))
 			submit := func(number int) {
-				pool.moving.push(&Request{
+				pool.withDecode.push(&Request{
 					ID: fmt.Sprintf("r%d", number), Tenant: fmt.Sprintf("t%d", number%tenants), Weight: 1, PromptTokens: 100, MaxTokens: 10,
 					FirstToken: time.Hour, TokenInterval: 50 * time.Millisecond,
 				})
--- a/scheduler/decide.go
+++ b/scheduler/decide.go
@@ -11,19 +11,19 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// Decide grants a prefill engine to the request, leaves it waiting, or refuses
-// it. The same snapshot and request always give the same decision.
+// Decide grants a prefill engine to the request, leaves it waiting, or refuses it. It is
+// deterministic: the same snapshot and request give the same decision.
 func Decide(snapshot *Snapshot, request *Request, options Options) Decision {
 	options.setDefaults()
 	candidates := prefillCandidates(snapshot, request, &options)
 	if len(candidates) == 0 {
 		return refuse(snapshot, request, ReasonNoEngine)
 	}
-	if !request.IsLocal() && !canEverDecode(snapshot, request) {
+	if !request.IsPrefillOnly() && !canEverDecode(snapshot, request) {
 		return refuseDecode(snapshot, request)
 	}
 	best := pick(snapshot, candidates)
-	firstToken := best.moved + slack(snapshot, request, &options)
+	firstToken := best.transferEnd + slack(snapshot, request, &options)
 	late := firstToken > request.Deadline()
 	if late && !request.LateAllowed && !options.NoAdmission {
 		return refuse(snapshot, request, ReasonDeadline)
@@ -38,24 +38,24 @@
 	}
 }
 
-// pick takes the candidate whose KV cache is ready first; among equals the one
-// that has been free for longest, so that load spreads.
+// pick returns the candidate whose KV transfer ends first; ties go to the engine that has been free
+// for longest, which balances the load.
 func pick(snapshot *Snapshot, candidates []candidate) candidate {
 	best := candidates[0]
 	for _, other := range candidates[1:] {
 		switch {
-		case other.moved < best.moved:
+		case other.transferEnd < best.transferEnd:
 			best = other
-		case other.moved == best.moved && snapshot.Prefill[other.index].FreeAt < snapshot.Prefill[best.index].FreeAt:
+		case other.transferEnd == best.transferEnd && snapshot.Prefill[other.index].FreeAt < snapshot.Prefill[best.index].FreeAt:
 			best = other
 		}
 	}
 	return best
 }
 
-// slack is the time from the arrival of the KV cache to the first token.
+// slack is the assumed time from the end of the KV transfer to the first token.
 func slack(snapshot *Snapshot, request *Request, options *Options) time.Duration {
-	if request.IsLocal() {
+	if request.IsPrefillOnly() {
 		return 0
 	}
 	var longest time.Duration
@@ -69,7 +69,7 @@
 }
 
 func hasSlot(snapshot *Snapshot, request *Request, options *Options, best candidate) bool {
-	if request.IsLocal() || options.Reservation == ReserveNone {
+	if request.IsPrefillOnly() || options.Reservation == ReserveNone {
 		return true
 	}
 	ahead := options.Reservation == ReserveAhead
@@ -85,8 +85,7 @@
 	return refuse(snapshot, request, ReasonNoEngine)
 }
 
-// refuse gives the request up and predicts when the pool will have worked off
-// what it has.
+// refuse refuses the request and predicts when the pool will have finished its current work.
 func refuse(snapshot *Snapshot, request *Request, reason Reason) Decision {
 	after := minRetryAfter
 	if reason == ReasonNoEngine {
@@ -113,9 +112,9 @@
 	return slices.Min(busy) + seconds(float64(snapshot.Ahead.PrefillTokens)/rate)
 }
 
-// DecideDecode picks the decode engine for a request whose prefill has ended:
-// of those with a slot, memory and a step time within the target, the one with
-// the smallest share of its slots in use. It returns "" if there is none.
+// DecideDecode picks the decode engine for a request whose prefill has ended: among the engines
+// with a free slot, enough memory and a step time within the target, the one with the smallest
+// share of slots and memory in use. It returns "" if there is none.
 func DecideDecode(snapshot *Snapshot, request *Request, options Options) string {
 	options.setDefaults()
 	best, bestShare := "", 0.0
--- a/scheduler/filter.go
+++ b/scheduler/filter.go
@@ -5,18 +5,18 @@
 // seconds converts a number of seconds to a duration.
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// candidate is one way to place a prefill.
+// candidate is one possible placement of a prefill.
 type candidate struct {
 	index      int
 	cached     int
 	start      time.Duration
 	prefillEnd time.Duration
-	// moved is when the KV cache is predicted to be at the decode engine.
-	moved time.Duration
+	// transferEnd is when the KV cache is predicted to be at the decode engine.
+	transferEnd time.Duration
 }
 
-// prefillCandidates filters the prefill engines that can take the request and
-// predicts each.
+// prefillCandidates returns the prefill engines that can take the request, with a prediction for
+// each.
 func prefillCandidates(snapshot *Snapshot, request *Request, options *Options) []candidate {
 	candidates := make([]candidate, 0, len(snapshot.Prefill))
 	for i := range snapshot.Prefill {
@@ -37,18 +37,18 @@
 	}
 	start := max(snapshot.Now, engine.FreeAt)
 	end := start + seconds(float64(request.PromptTokens-cached)/engine.TokensPerSecond)
-	moved := end
-	if !request.IsLocal() && snapshot.LinkTokensPerSecond > 0 {
-		moved = max(end, engine.LinkFreeAt) + seconds(float64(request.PromptTokens)/snapshot.LinkTokensPerSecond)
+	transferEnd := end
+	if !request.IsPrefillOnly() && snapshot.LinkTokensPerSecond > 0 {
+		transferEnd = max(end, engine.LinkFreeAt) + seconds(float64(request.PromptTokens)/snapshot.LinkTokensPerSecond)
 	}
-	return candidate{index: index, cached: cached, start: start, prefillEnd: end, moved: moved}
+	return candidate{index: index, cached: cached, start: start, prefillEnd: end, transferEnd: transferEnd}
 }
 
-// requestKV is the memory a request needs at its decode engine.
+// requestKV is the KV memory that a request needs at its decode engine.
 func requestKV(request *Request) int { return request.PromptTokens + request.MaxTokens }
 
-// batchLimit is the number of slots of an engine that keeps the step time
-// within the target, when its held context stays as it is.
+// batchLimit is the number of slots of an engine that keeps the step time within the target, for
+// its current context.
 func batchLimit(engine *DecodeState, interval time.Duration, options *Options) int {
 	if options.NoBatchLimit || interval <= 0 || engine.Step.PerRequest <= 0 {
 		return engine.Slots
@@ -68,10 +68,9 @@
 	return false
 }
 
-// freeSlots counts the decode slots that are open to the request at a time:
-// those free now and, if ahead is set, a share of those that are expected to end by
-// then. The share is below one, because a request without a slot waits while its
-// prefill result ages.
+// freeSlots counts the decode slots that are open to the request at a time: those free now and, if
+// ahead is set, a share of those that are expected to become free by then. The share is below one,
+// because a request that finds no slot waits while its prefill result ages.
 func freeSlots(snapshot *Snapshot, request *Request, options *Options, at time.Duration, ahead bool) int {
 	free, ending := 0, 0.0
 	for i := range snapshot.Decode {
@@ -80,7 +79,7 @@
 			continue
 		}
 		if ahead {
-			ending += options.AheadShare * engine.Turnover * max(at-snapshot.Now, 0).Seconds()
+			ending += options.AheadShare * engine.CompletionRate * max(at-snapshot.Now, 0).Seconds()
 		}
 		if engine.KVUsed+requestKV(request) > engine.KVTokens {
 			continue
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -6,34 +6,33 @@
 	"time"
 )
 
-// RecheckInterval is how often Schedule should run while requests wait: time
-// alone can turn a wait into a grant or a refusal.
+// RecheckInterval is how often Schedule should run while requests wait: a wait can turn into a
+// grant or a refusal with time alone.
 const RecheckInterval = 10 * time.Millisecond
 
-// progress is where a granted request stands.
-type progress int
+// phase is the state of a granted request.
+type phase int
 
 const (
-	atPrefill progress = iota
-	awaitingDecode
-	atDecode
+	phasePrefill phase = iota
+	phasePending
+	phaseDecode
 )
 
 // active is a granted request.
 type active struct {
-	request  *Request
-	progress progress
-	prefill  string
-	decode   string
-	cached   int
-	// turnover is its part in the turnover of its decode engine.
-	turnover float64
-	charged  float64
+	request *Request
+	phase   phase
+	prefill string
+	decode  string
+	cached  int
+	// completionRate is its part in the completion rate of its decode engine.
+	completionRate float64
+	charged        float64
 }
 
-// Pool keeps the books of one pool of engines. It is not safe for concurrent
-// use; its owner serializes the calls. Each call that changes something is
-// followed by Schedule.
+// Pool tracks the engines, queues and grants of one pool. It is not safe for concurrent use; its
+// owner serializes the calls. Each call that changes something must be followed by Schedule.
 type Pool struct {
 	options  Options
 	linkRate float64
@@ -41,18 +40,18 @@
 	prefill []PrefillState
 	decode  []DecodeState
 	index   *PrefixIndex
-	// local holds the requests that end with their prefill, and moving those that
-	// need a decode slot: the lack of slots must not hold the former up.
-	local  *fairQueue
-	moving *fairQueue
-	active map[string]*active
+	// prefillOnly queues the requests that end with their prefill, and withDecode those that need a
+	// decode slot: a lack of slots must not delay the former.
+	prefillOnly *fairQueue
+	withDecode  *fairQueue
+	active      map[string]*active
 	// pending are the active requests that wait for a decode engine, in order.
 	pending []*active
 	// reserved is the number of active requests that will need a decode slot.
 	reserved int
-	// ratio is the running mean of output tokens over MaxTokens.
-	ratio  float64
-	demand Demand
+	// outputRatio is the moving average of output tokens over MaxTokens.
+	outputRatio float64
+	demand      Demand
 }
 
 // NewPool returns a pool without engines.
@@ -60,11 +59,11 @@
 	options.setDefaults()
 	return &Pool{
 		options: options, linkRate: linkTokensPerSecond, index: NewPrefixIndex(),
-		local: newFairQueue(&options), moving: newFairQueue(&options), active: map[string]*active{}, ratio: 1,
+		prefillOnly: newFairQueue(&options), withDecode: newFairQueue(&options), active: map[string]*active{}, outputRatio: 1,
 	}
 }
 
-// SetEngines replaces the engines. What is known of an engine that stays is kept.
+// SetEngines replaces the engines. The state of engines that remain is kept.
 func (p *Pool) SetEngines(prefill []PrefillState, decode []DecodeState) {
 	for i := range prefill {
 		if known := p.findPrefill(prefill[i].Name); known != nil {
@@ -80,30 +79,30 @@
 	slices.SortFunc(decode, func(a, b DecodeState) int { return strings.Compare(a.Name, b.Name) })
 	p.prefill, p.decode = prefill, decode
 	for _, granted := range p.active {
-		if state := p.findDecode(granted.decode); state != nil && granted.progress == atDecode {
-			state.take(granted)
+		if state := p.findDecode(granted.decode); state != nil && granted.phase == phaseDecode {
+			state.add(granted)
 		}
 	}
 }
 
-// shortestDecode keeps the turnover of a short answer finite, in seconds.
-const shortestDecode = 0.001
+// minDecodeTime keeps the completion rate of a short answer finite, in seconds.
+const minDecodeTime = 0.001
 
-// take books a request at a decode engine.
-func (s *DecodeState) take(granted *active) {
+// add accounts for a request at a decode engine.
+func (s *DecodeState) add(granted *active) {
 	s.SlotsUsed++
 	s.KVUsed += requestKV(granted.request)
-	s.Turnover += granted.turnover
+	s.CompletionRate += granted.completionRate
 }
 
-// drop undoes take.
-func (s *DecodeState) drop(granted *active) {
+// remove undoes add.
+func (s *DecodeState) remove(granted *active) {
 	s.SlotsUsed--
 	s.KVUsed -= requestKV(granted.request)
-	s.Turnover -= granted.turnover
+	s.CompletionRate -= granted.completionRate
 }
 
-// SetReady marks an engine as able to take work or not.
+// SetReady sets whether an engine can take work.
 func (p *Pool) SetReady(engine string, ready bool) {
 	if state := p.findPrefill(engine); state != nil {
 		state.Ready = ready
@@ -134,8 +133,8 @@
 	return nil
 }
 
-// Snapshot returns the pool as of now. It shares memory with the pool and is
-// valid until the next change.
+// Snapshot returns the pool as of now. It shares memory with the pool and is valid until the next
+// change.
 func (p *Pool) Snapshot(now time.Duration) *Snapshot {
 	return &Snapshot{
 		Now: now, Prefill: p.prefill, Decode: p.decode,
@@ -144,18 +143,18 @@
 }
 
 // Waiting returns the number of requests in the queue.
-func (p *Pool) Waiting() int { return p.local.length + p.moving.length }
+func (p *Pool) Waiting() int { return p.prefillOnly.length + p.withDecode.length }
 
 // Active returns the number of granted requests.
 func (p *Pool) Active() int { return len(p.active) }
 
-// Submit queues a request, or refuses it at once if the work ahead of it makes
-// its deadline unreachable.
+// Submit queues a request, or refuses it at once if the work ahead of it makes its deadline
+// unreachable.
 func (p *Pool) Submit(now time.Duration, request *Request) *Decision {
 	snapshot := p.Snapshot(now)
 	snapshot.Ahead = p.ahead(request)
 	decision := Decide(snapshot, request, p.options)
-	p.note(request, decision.CachedTokens)
+	p.countDemand(request, decision.CachedTokens)
 	if decision.Kind == KindRefuse {
 		return &decision
 	}
@@ -170,24 +169,24 @@
 }
 
 func (p *Pool) queueOf(request *Request) *fairQueue {
-	if request.IsLocal() {
-		return p.local
+	if request.IsPrefillOnly() {
+		return p.prefillOnly
 	}
-	return p.moving
+	return p.withDecode
 }
 
-// ahead is the backlog of both queues that comes before a new request.
+// ahead is the backlog of both queues before a new request.
 func (p *Pool) ahead(request *Request) Backlog {
-	local, moving := p.local.ahead(request.Tenant, 0), p.moving.ahead(request.Tenant, 0)
-	if request.IsLocal() {
-		// What waits for a decode slot does not take the prefill engines meanwhile.
-		return local
+	prefillOnly, withDecode := p.prefillOnly.ahead(request.Tenant, 0), p.withDecode.ahead(request.Tenant, 0)
+	if request.IsPrefillOnly() {
+		// Requests that wait for a decode slot do not use the prefill engines meanwhile.
+		return prefillOnly
 	}
-	return Backlog{Requests: local.Requests + moving.Requests, PrefillTokens: local.PrefillTokens + moving.PrefillTokens}
+	return Backlog{Requests: prefillOnly.Requests + withDecode.Requests, PrefillTokens: prefillOnly.PrefillTokens + withDecode.PrefillTokens}
 }
 
-// idlePrefill returns the engines as if they were idle, so that work under way,
-// which a prediction includes already, does not count twice.
+// idlePrefill returns the prefill engines as if they were idle, so that work in progress, which the
+// prediction includes already, is not counted twice.
 func (p *Pool) idlePrefill() []PrefillState {
 	idle := slices.Clone(p.prefill)
 	for i := range idle {
@@ -210,25 +209,24 @@
 
 func (p *Pool) scheduleDecode(now time.Duration) []Decision {
 	var decisions []Decision
-	still := p.pending[:0]
+	pending := p.pending[:0]
 	for _, granted := range p.pending {
 		name := DecideDecode(p.Snapshot(now), granted.request, p.options)
 		if name == "" {
-			still = append(still, granted)
+			pending = append(pending, granted)
 			continue
 		}
 		p.startDecode(granted, name)
 		decisions = append(decisions, Decision{Kind: KindDecode, RequestID: granted.request.ID, Prefill: granted.prefill, Decode: name})
 	}
-	clear(p.pending[len(still):])
-	p.pending = still
+	clear(p.pending[len(pending):])
+	p.pending = pending
 	return decisions
 }
 
-// scheduleOne grants or refuses one waiting request. It reports false if there
-// is nothing to do.
+// scheduleOne grants or refuses one waiting request. It reports false if none is due.
 func (p *Pool) scheduleOne(now time.Duration) (Decision, bool) {
-	for _, request := range headsOf(p.local, p.moving, p.options.Scan) {
+	for _, request := range headsOf(p.prefillOnly, p.withDecode, p.options.MaxScan) {
 		decision := Decide(p.Snapshot(now), request, p.options)
 		switch decision.Kind {
 		case KindPrefill:
@@ -249,39 +247,38 @@
 	state.FreeAt = max(now, state.FreeAt) + seconds(float64(uncached)/state.TokensPerSecond)
 	granted := &active{request: request, prefill: decision.Prefill, cached: decision.CachedTokens}
 	p.active[request.ID] = granted
-	if !request.IsLocal() {
+	if !request.IsPrefillOnly() {
 		p.reserved++
 		state.LinkFreeAt = max(state.FreeAt, state.LinkFreeAt)
 		if p.linkRate > 0 {
 			state.LinkFreeAt += seconds(float64(request.PromptTokens) / p.linkRate)
 		}
 	}
-	granted.charged = extendTokenWeight*float64(uncached) + outputTokenWeight*p.expectedOutput(request)
+	granted.charged = inputTokenWeight*float64(uncached) + outputTokenWeight*p.expectedOutput(request)
 	p.charge(request.Tenant, granted.charged)
 	p.index.Store(decision.Prefill, request.Prefixes)
 }
 
 func (p *Pool) expectedOutput(request *Request) float64 {
-	return max(1, float64(request.MaxTokens)*p.ratio)
+	return max(1, float64(request.MaxTokens)*p.outputRatio)
 }
 
-// PrefillDone records that a request's prefill has ended. The decode engine
-// follows from Schedule.
+// PrefillDone records the end of a request's prefill. The next Schedule chooses the decode engine.
 func (p *Pool) PrefillDone(now time.Duration, id string) {
 	granted, ok := p.active[id]
-	if !ok || granted.progress != atPrefill {
+	if !ok || granted.phase != phasePrefill {
 		return
 	}
 	p.endPrefill(now, granted)
-	if granted.request.IsLocal() {
+	if granted.request.IsPrefillOnly() {
 		return
 	}
-	granted.progress = awaitingDecode
+	granted.phase = phasePending
 	p.pending = append(p.pending, granted)
 }
 
-// endPrefill corrects the prediction of when the engine is free: whatever is
-// still granted to it starts now.
+// endPrefill corrects the predicted time at which the engine is free: the prefills still granted to
+// it start now.
 func (p *Pool) endPrefill(now time.Duration, ended *active) {
 	state := p.findPrefill(ended.prefill)
 	if state == nil {
@@ -289,7 +286,7 @@
 	}
 	free := now
 	for _, other := range p.active {
-		if other != ended && other.progress == atPrefill && other.prefill == ended.prefill {
+		if other != ended && other.phase == phasePrefill && other.prefill == ended.prefill {
 			free += seconds(float64(other.request.PromptTokens-other.cached) / state.TokensPerSecond)
 		}
 	}
@@ -299,35 +296,35 @@
 func (p *Pool) startDecode(granted *active, name string) {
 	p.reserved--
 	state := p.findDecode(name)
-	granted.progress = atDecode
+	granted.phase = phaseDecode
 	granted.decode = name
 	step := state.Step.Time(state.SlotsUsed+1, state.KVUsed+requestKV(granted.request))
-	granted.turnover = 1 / max(p.expectedOutput(granted.request)*step.Seconds(), shortestDecode)
-	state.take(granted)
+	granted.completionRate = 1 / max(p.expectedOutput(granted.request)*step.Seconds(), minDecodeTime)
+	state.add(granted)
 }
 
-// DecodeFailed returns a request to the wait for a decode engine, other than
-// the one that failed it. Its prefill result is still held.
+// DecodeFailed makes a request wait for a decode engine other than the failed one. Its prefill
+// result is still available.
 func (p *Pool) DecodeFailed(id, engine string) {
 	granted, ok := p.active[id]
-	if !ok || granted.progress != atDecode || granted.decode != engine {
+	if !ok || granted.phase != phaseDecode || granted.decode != engine {
 		return
 	}
 	if state := p.findDecode(engine); state != nil {
-		state.drop(granted)
+		state.remove(granted)
 	}
 	granted.request.Excluded = append(granted.request.Excluded, engine)
-	granted.progress = awaitingDecode
+	granted.phase = phasePending
 	granted.decode = ""
 	p.reserved++
 	p.pending = append(p.pending, granted)
 }
 
-// ratioGain is the weight of one request in the running mean of output ratios.
-const ratioGain = 0.02
+// outputRatioWeight is the weight of one request in the moving average of output ratios.
+const outputRatioWeight = 0.02
 
-// Finished releases what a request holds. outputTokens is the length of its
-// answer, or negative if it did not come to its end.
+// Finished releases the resources of a request. outputTokens is the length of its answer, or
+// negative if it did not complete.
 func (p *Pool) Finished(now time.Duration, id string, outputTokens int) {
 	granted, ok := p.active[id]
 	if !ok {
@@ -336,43 +333,43 @@
 	delete(p.active, id)
 	if outputTokens >= 0 {
 		request := granted.request
-		cost := extendTokenWeight*float64(request.PromptTokens-granted.cached) + outputTokenWeight*float64(outputTokens)
+		cost := inputTokenWeight*float64(request.PromptTokens-granted.cached) + outputTokenWeight*float64(outputTokens)
 		p.charge(request.Tenant, cost-granted.charged)
 		if request.MaxTokens > 1 {
-			p.ratio += ratioGain * (float64(outputTokens)/float64(request.MaxTokens) - p.ratio)
+			p.outputRatio += outputRatioWeight * (float64(outputTokens)/float64(request.MaxTokens) - p.outputRatio)
 		}
 	}
 	p.release(now, granted)
 }
 
 func (p *Pool) release(now time.Duration, granted *active) {
-	switch granted.progress {
-	case atPrefill:
+	switch granted.phase {
+	case phasePrefill:
 		p.endPrefill(now, granted)
-		if !granted.request.IsLocal() {
+		if !granted.request.IsPrefillOnly() {
 			p.reserved--
 		}
-	case awaitingDecode:
+	case phasePending:
 		p.reserved--
 		p.pending = slices.DeleteFunc(p.pending, func(other *active) bool { return other == granted })
-	case atDecode:
+	case phaseDecode:
 		if state := p.findDecode(granted.decode); state != nil {
-			state.drop(granted)
+			state.remove(granted)
 		}
 	}
 }
 
-// Withdraw takes a request out of the queue. It reports whether it was there.
+// Withdraw removes a request from the queue. It reports whether it was there.
 func (p *Pool) Withdraw(request *Request) bool { return p.queueOf(request).remove(request) }
 
-// Restore books a request that another owner has granted.
+// Restore adds a request that another owner has granted.
 func (p *Pool) Restore(request *Request, prefill, decode string) {
 	if _, known := p.active[request.ID]; known {
 		return
 	}
 	granted := &active{request: request, prefill: prefill}
 	p.active[request.ID] = granted
-	if !request.IsLocal() {
+	if !request.IsPrefillOnly() {
 		p.reserved++
 	}
 	if decode == "" || p.findDecode(decode) == nil {
@@ -381,9 +378,9 @@
 	p.startDecode(granted, decode)
 }
 
-// charge takes the cost of work from a tenant's credit in both queues: what it got
-// from one takes the same prefill engines from the others in the other.
+// charge charges the cost of work to a tenant in both queues, because both use the same prefill
+// engines.
 func (p *Pool) charge(tenant string, cost float64) {
-	p.local.charge(tenant, cost)
-	p.moving.charge(tenant, cost)
+	p.prefillOnly.charge(tenant, cost)
+	p.withDecode.charge(tenant, cost)
 }
--- a/scheduler/prefix.go
+++ b/scheduler/prefix.go
@@ -1,19 +1,18 @@
 package scheduler
 
-// maxIndexBlocks bounds the blocks remembered for one engine.
+// maxIndexBlocks is the maximum number of blocks in the index per engine.
 const maxIndexBlocks = 8192
 
 // BlockTokens is the size of a prefix block.
 const BlockTokens = 64
 
-// PrefixIndex remembers which engine holds which prompt blocks. It follows the
-// engines' events, which come late and with gaps, and is therefore a guess; a
-// wrong guess costs time and nothing else.
+// PrefixIndex tracks which engine caches which prompt blocks. It is built from the engines' events,
+// which arrive late and with gaps, so it is approximate; errors cost time only.
 type PrefixIndex struct {
 	engines map[string]*blockSet
 }
 
-// blockSet holds the newest blocks of one engine, the oldest first in order.
+// blockSet holds the newest blocks of one engine; order lists them from oldest to newest.
 type blockSet struct {
 	held  map[uint64]struct{}
 	order []uint64
@@ -57,10 +56,10 @@
 	}
 }
 
-// Forget drops what is known of an engine.
+// Forget drops the blocks of an engine.
 func (x *PrefixIndex) Forget(engine string) { delete(x.engines, engine) }
 
-// CachedTokens returns how many leading tokens an engine is thought to hold.
+// CachedTokens returns how many leading tokens an engine is expected to have cached.
 func (x *PrefixIndex) CachedTokens(engine string, blocks []uint64) int {
 	if x == nil {
 		return 0
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -40,19 +40,19 @@
 	return prefills, decodes
 }
 
-// checkBooks compares a pool's books with the requests that are active.
-func checkBooks(t *rapid.T, pool *Pool) {
+// checkAccounting compares a pool's accounting with its active requests.
+func checkAccounting(t *rapid.T, pool *Pool) {
 	for i := range pool.decode {
 		state := &pool.decode[i]
 		slots, memory := 0, 0
 		for _, granted := range pool.active {
-			if granted.progress == atDecode && granted.decode == state.Name {
+			if granted.phase == phaseDecode && granted.decode == state.Name {
 				slots++
 				memory += requestKV(granted.request)
 			}
 		}
 		if slots != state.SlotsUsed || memory != state.KVUsed {
-			t.Fatalf("%s: books say %d slots and %d tokens, requests take %d and %d", state.Name, state.SlotsUsed, state.KVUsed, slots, memory)
+			t.Fatalf("%s: pool counts %d slots and %d tokens, requests use %d and %d", state.Name, state.SlotsUsed, state.KVUsed, slots, memory)
 		}
 		if state.SlotsUsed > state.Slots || state.KVUsed > state.KVTokens {
 			t.Fatalf("%s: granted beyond capacity: %d of %d slots, %d of %d tokens", state.Name, state.SlotsUsed, state.Slots, state.KVUsed, state.KVTokens)
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestNeverGrantsBeyondCapacity runs random histories of a pool.
+// TestNeverGrantsBeyondCapacity runs random operations on a pool.
 func TestNeverGrantsBeyondCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := NewPool(drawOptions(t), 200000)
@@ -88,7 +88,7 @@
 				pool.SetReady("d1", rapid.Bool().Draw(t, "ready"))
 			}
 			pool.Schedule(now)
-			checkBooks(t, pool)
+			checkAccounting(t, pool)
 		}
 	})
 }
@@ -122,8 +122,8 @@
 	})
 }
 
-// TestNoTenantStarves keeps one tenant flooding; another tenant's request must be
-// granted after a bounded amount of the flood's work.
+// TestNoTenantStarves has one tenant flood the pool; another tenant's request must be granted after
+// a bounded amount of the flood's work.
 func TestNoTenantStarves(t *testing.T) {
 	for _, ordering := range []Ordering{OrderDeficit, OrderVTC} {
 		rapid.Check(t, func(t *rapid.T) {
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// waiting is the queue of one tenant, ordered by key.
-type waiting struct {
+// tenantQueue is the queue of one tenant, ordered by key.
+type tenantQueue struct {
 	tenant   string
 	weight   float64
 	requests []*Request
-	// keys are the places of the requests in the order.
+	// keys are the sort keys of the requests.
 	keys []time.Duration
 	// credit is the deficit counter; counter is the service received.
 	credit  float64
 	counter float64
-	// position is the place in the heap, or -1.
+	// position is the index in the heap, or -1.
 	position int
-	// idleSince is when the last request left, for forgetting the tenant.
+	// idleSince is the arrival of the request that left the queue last. It is meant for dropping
+	// idle tenants, but nothing reads it.
 	idleSince time.Duration
 }
 
@@ -26,9 +27,9 @@
 type fairQueue struct {
 	ordering Ordering
 	quantum  float64
-	// stretchPerToken is added to a request's arrival for each prompt token.
+	// stretchPerToken is added to a request's deadline for each prompt token.
 	stretchPerToken time.Duration
-	tenants         map[string]*waiting
+	tenants         map[string]*tenantQueue
 	order           tenantHeap
 	length          int
 	tokens          int
@@ -36,17 +37,17 @@
 
 func newFairQueue(options *Options) *fairQueue {
 	return &fairQueue{
-		ordering: options.Ordering, quantum: options.Quantum, tenants: map[string]*waiting{},
+		ordering: options.Ordering, quantum: options.Quantum, tenants: map[string]*tenantQueue{},
 		order:           tenantHeap{ordering: options.Ordering},
 		stretchPerToken: seconds(options.Stretch / nominalPrefillRate),
 	}
 }
 
-// nominalPrefillRate turns prompt tokens into time for the order of requests, in
-// tokens a second. Only its product with the stretch matters.
+// nominalPrefillRate converts prompt tokens to time for the order of requests, in tokens a second.
+// Only its product with the stretch matters.
 const nominalPrefillRate = 20000
 
-// key is the place of a request in the order; the lowest goes first.
+// key is the sort key of a request; the lowest goes first.
 func (q *fairQueue) key(request *Request) time.Duration {
 	switch q.ordering {
 	case OrderDeficit:
@@ -61,11 +62,11 @@
 // tenantHeap holds the tenants that have waiting requests.
 type tenantHeap struct {
 	ordering Ordering
-	tenants  []*waiting
+	tenants  []*tenantQueue
 }
 
 // headKey is the key of the tenant's first request.
-func (w *waiting) headKey() time.Duration { return w.keys[0] }
+func (w *tenantQueue) headKey() time.Duration { return w.keys[0] }
 
 // Len implements heap.Interface.
 func (h *tenantHeap) Len() int { return len(h.tenants) }
@@ -99,7 +100,7 @@
 
 // Push implements heap.Interface.
 func (h *tenantHeap) Push(value any) {
-	added := value.(*waiting)
+	added := value.(*tenantQueue)
 	added.position = len(h.tenants)
 	h.tenants = append(h.tenants, added)
 }
@@ -114,10 +115,10 @@
 	return removed
 }
 
-func (q *fairQueue) tenant(name string, weight float64) *waiting {
+func (q *fairQueue) tenant(name string, weight float64) *tenantQueue {
 	found, ok := q.tenants[name]
 	if !ok {
-		found = &waiting{tenant: name, position: -1, credit: q.quantum * max(weight, minWeight)}
+		found = &tenantQueue{tenant: name, position: -1, credit: q.quantum * max(weight, minWeight)}
 		q.tenants[name] = found
 	}
 	found.weight = max(weight, minWeight)
@@ -130,7 +131,7 @@
 func (q *fairQueue) push(request *Request) {
 	tenant := q.tenant(request.Tenant, request.Weight)
 	if len(tenant.requests) == 0 {
-		q.lift(tenant)
+		q.raiseCounter(tenant)
 	}
 	key := q.key(request)
 	at, _ := slices.BinarySearch(tenant.keys, key)
@@ -141,19 +142,19 @@
 	tenant.keys = slices.Insert(tenant.keys, at, key)
 	q.length++
 	q.tokens += request.PromptTokens
-	q.fix(tenant)
+	q.updateHeap(tenant)
 }
 
-// lift keeps a tenant that was idle from using the time it was away as credit.
-func (q *fairQueue) lift(tenant *waiting) {
+// raiseCounter keeps a tenant that was idle from using its idle time as credit.
+func (q *fairQueue) raiseCounter(tenant *tenantQueue) {
 	if q.ordering != OrderVTC || q.order.Len() == 0 {
 		return
 	}
 	tenant.counter = max(tenant.counter, q.order.tenants[0].counter)
 }
 
-// fix restores the heap after a change of the tenant.
-func (q *fairQueue) fix(tenant *waiting) {
+// updateHeap restores the heap after a change of the tenant.
+func (q *fairQueue) updateHeap(tenant *tenantQueue) {
 	switch {
 	case len(tenant.requests) == 0 && tenant.position >= 0:
 		heap.Remove(&q.order, tenant.position)
@@ -179,11 +180,11 @@
 	tenant.idleSince = request.Arrival
 	q.length--
 	q.tokens -= request.PromptTokens
-	q.fix(tenant)
+	q.updateHeap(tenant)
 	return true
 }
 
-// charge takes the cost of work from a tenant's credit; a negative cost gives it back.
+// charge deducts the cost of work from a tenant's credit; a negative cost is refunded.
 func (q *fairQueue) charge(name string, cost float64) {
 	tenant, ok := q.tenants[name]
 	if !ok {
@@ -191,10 +192,10 @@
 	}
 	tenant.credit -= cost
 	tenant.counter += cost / tenant.weight
-	q.fix(tenant)
+	q.updateHeap(tenant)
 }
 
-// refill adds credit when no waiting tenant has any.
+// refill adds credit if no waiting tenant has any.
 func (q *fairQueue) refill() {
 	if q.ordering != OrderDeficit || q.order.Len() == 0 || q.order.tenants[0].credit > 0 {
 		return
@@ -218,14 +219,14 @@
 	return float64(int(fewest))
 }
 
-// heads returns the first requests of up to limit tenants in order.
+// heads returns the first requests of up to limit tenants, in order.
 func (q *fairQueue) heads(limit int) []*Request {
 	q.refill()
 	limit = min(limit, q.order.Len())
-	popped := make([]*waiting, 0, limit)
+	popped := make([]*tenantQueue, 0, limit)
 	heads := make([]*Request, 0, limit)
 	for range limit {
-		tenant := heap.Pop(&q.order).(*waiting)
+		tenant := heap.Pop(&q.order).(*tenantQueue)
 		popped = append(popped, tenant)
 		heads = append(heads, tenant.requests[0])
 	}
@@ -249,8 +250,8 @@
 	return append(append(merged, first...), second...)
 }
 
-// ahead predicts the work that is granted before a new request of the tenant:
-// its own waiting requests and, tenant by tenant, as many tokens of the others.
+// ahead predicts the work that is granted before a new request of the tenant: the tenant's own
+// waiting requests and, for each other tenant, up to as many tokens.
 func (q *fairQueue) ahead(name string, tokens int) Backlog {
 	own := tokens
 	var backlog Backlog
--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Request is what the scheduler knows of a request.
+// Request is the scheduler's view of a request.
 type Request struct {
 	ID     string
 	Tenant string
@@ -15,7 +15,7 @@
 	// FirstToken and TokenInterval are the class's targets.
 	FirstToken    time.Duration
 	TokenInterval time.Duration
-	// LateAllowed admits the request although its first token will be late.
+	// LateAllowed admits the request even if its first token will be late.
 	LateAllowed bool
 	// Prefixes are the hashes of the prompt's blocks, see engine.BlockHashes.
 	Prefixes []uint64
@@ -26,9 +26,9 @@
 // Deadline is when the first token is due.
 func (r *Request) Deadline() time.Duration { return r.Arrival + r.FirstToken }
 
-// IsLocal reports whether the request ends with the token that the prefill
-// itself yields, so that nothing needs to move.
-func (r *Request) IsLocal() bool { return r.MaxTokens <= 1 }
+// IsPrefillOnly reports whether the request ends with the token that the prefill itself yields, so
+// that no KV transfer is needed.
+func (r *Request) IsPrefillOnly() bool { return r.MaxTokens <= 1 }
 
 func (r *Request) excludes(engine string) bool {
 	for _, excluded := range r.Excluded {
@@ -45,20 +45,20 @@
 	Base time.Duration
 	// PerRequest is added for each request in the batch.
 	PerRequest time.Duration
-	// PerContextToken is added for each token of held context.
+	// PerContextToken is added for each token of context in the batch.
 	PerContextToken time.Duration
 }
 
-// Time returns the step time for a batch with the given held context.
+// Time returns the step time for a batch with the given context.
 func (m StepModel) Time(batch, contextTokens int) time.Duration {
 	return m.Base + time.Duration(batch)*m.PerRequest + time.Duration(contextTokens)*m.PerContextToken
 }
 
-// PrefillState is a prefill engine as a snapshot shows it.
+// PrefillState is a prefill engine in a snapshot.
 type PrefillState struct {
 	Name  string
 	Ready bool
-	// TokensPerSecond is the rate of its prefill.
+	// TokensPerSecond is the prefill rate.
 	TokensPerSecond float64
 	// FreeAt is when the prefills granted so far are predicted to end.
 	FreeAt time.Duration
@@ -66,7 +66,7 @@
 	LinkFreeAt time.Duration
 }
 
-// DecodeState is a decode engine as a snapshot shows it.
+// DecodeState is a decode engine in a snapshot.
 type DecodeState struct {
 	Name  string
 	Ready bool
@@ -74,39 +74,38 @@
 	Slots    int
 	KVTokens int
 	Step     StepModel
-	// SlotsUsed and KVUsed are what granted requests take.
+	// SlotsUsed and KVUsed are the resources of granted requests.
 	SlotsUsed int
 	KVUsed    int
-	// Turnover is how many of its requests are expected to end in a second.
-	Turnover float64
+	// CompletionRate is how many of its requests are expected to end per second.
+	CompletionRate float64
 }
 
-// Backlog is the work that will be granted before the request at hand.
+// Backlog is the work that will be granted before a request.
 type Backlog struct {
 	Requests      int
 	PrefillTokens int
 }
 
-// Snapshot is a pool at one moment. Decide reads it and changes nothing.
+// Snapshot is a pool at one moment. Decide does not modify it.
 type Snapshot struct {
 	Now     time.Duration
 	Prefill []PrefillState
 	Decode  []DecodeState
-	// Reserved is the number of slots promised to requests that are not yet at a
-	// decode engine.
+	// Reserved is the number of slots reserved for requests that are not yet at a decode engine.
 	Reserved int
 	// LinkTokensPerSecond is the rate of a KV transfer.
 	LinkTokensPerSecond float64
-	// Ahead is the backlog.
+	// Ahead is the work that will be granted before the request.
 	Ahead Backlog
-	// Index knows the cached prefixes. It may be nil.
+	// Index tracks the cached prefixes. It may be nil.
 	Index *PrefixIndex
 }
 
-// Kind is what a Decision says.
+// Kind is the kind of a Decision.
 type Kind int
 
-// The kinds of a Decision.
+// Kinds of decisions.
 const (
 	// KindWait leaves the request in the queue.
 	KindWait Kind = iota
@@ -114,14 +113,14 @@
 	KindPrefill
 	// KindDecode grants a decode engine to a request whose prefill has ended.
 	KindDecode
-	// KindRefuse gives the request up.
+	// KindRefuse refuses the request.
 	KindRefuse
 )
 
-// Reason says why a request was refused.
+// Reason is why a request was refused.
 type Reason string
 
-// The reasons of a refusal.
+// Reasons for a refusal.
 const (
 	ReasonNoEngine Reason = "no engine can take the request"
 	ReasonTooLarge Reason = "no decode engine has the memory for the request"
