--- a/owner/demand.go
+++ b/owner/demand.go
@@ -5,15 +5,15 @@
 	"github.com/reelrun/reelrun/scheduler"
 )
 
-// PoolDemand is the work asked of a pool since this node keeps its state.
+// PoolDemand is the work requested from a pool since this node created its state.
 type PoolDemand struct {
 	scheduler.Demand
-	// Epoch tells one state of the pool from another: the counts begin anew with it.
+	// Epoch identifies the state of the pool: the counts restart with each new state.
 	Epoch int64
-	// PrefillEngines and DecodeEngines are the engines that have their roles.
+	// PrefillEngines and DecodeEngines count the engines that have their configured role.
 	PrefillEngines int
 	DecodeEngines  int
-	// Changing states that an engine does not have its configured role yet.
+	// Changing is set if an engine does not have its configured role yet.
 	Changing bool
 }
 
@@ -24,18 +24,18 @@
 		return PoolDemand{}, false
 	}
 	o.mu.Lock()
-	kept, ok := o.pools[name]
+	owned, ok := o.pools[name]
 	o.mu.Unlock()
 	if !ok {
 		return PoolDemand{}, false
 	}
-	return kept.demand(), true
+	return owned.demand(), true
 }
 
 func (p *pool) demand() PoolDemand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	demand := PoolDemand{Demand: p.books.Demand(), Epoch: p.start.UnixNano()}
+	demand := PoolDemand{Demand: p.scheduler.Demand(), Epoch: p.start.UnixNano()}
 	for name, role := range p.configured {
 		switch {
 		case !p.isInRole(name):
--- a/owner/doc.go
+++ b/owner/doc.go
@@ -1,9 +1,10 @@
 // Package owner grants prefill work and decode slots of the pools that a node
 // owns.
 //
-// A pool has one owner at a time, by rendezvous hashing over the live nodes of
-// its zone, so the owner knows the occupancy of its engines exactly. Its state
-// is soft: a new owner rebuilds it from the streams that the engines hold and
-// from the grants that the entry nodes report again. Two owners for a moment may
-// grant more than there is; an engine then refuses the excess.
+// A pool has one owner at a time, chosen by rendezvous hashing over the live
+// nodes of its zone, so the owner tracks the occupancy of its engines exactly.
+// Its state is not persisted: a new owner rebuilds it from the streams that the
+// engines hold and from the grants that the entry nodes report again. Two
+// simultaneous owners may grant more than there is; an engine then refuses the
+// excess.
 package owner
--- a/owner/inspect.go
+++ b/owner/inspect.go
@@ -7,33 +7,32 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// report is what one engine holds, as listed by itself.
-type report struct {
+// engineReport is what one engine reports of its streams and role.
+type engineReport struct {
 	engine  string
 	streams []engine.StreamStatus
-	// role is what the engine says of itself, or empty if it was not asked.
+	// role is the reported role, or empty if it was not requested.
 	role api.Role
 	err  error
 }
 
-// orphan is a stream whose caller is gone.
+// orphan is a stream whose holder has terminated.
 type orphan struct {
 	engine  string
 	attempt engine.Attempt
 }
 
-// holderState tells what is known of the node that holds a stream.
+// holderState is this node's view of the nodes that hold streams.
 type holderState struct {
-	// isGone reports that the node's start has ended.
-	isGone func(engine.Holder) bool
-	// majority states that this node hears most of its zone, so that it may
-	// trust its view of a node whose connections still stand.
-	majority bool
+	// isTerminated reports that the node's incarnation has ended.
+	isTerminated func(engine.Holder) bool
+	// seesMajority is set if this node hears most of its zone, so that its view of a node whose
+	// connections still exist is reliable.
+	seesMajority bool
 }
 
-// inspect books streams that the pool did not know, drops bookings that are
-// gone, and returns the streams to cancel.
-func (p *pool) inspect(reports []report, holders holderState, window time.Duration, suspects map[orphan]time.Time) []orphan {
+// inspect books streams without a booking, drops lost bookings, and returns the streams to cancel.
+func (p *pool) inspect(reports []engineReport, holders holderState, window time.Duration, suspects map[orphan]time.Time) []orphan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -43,7 +42,7 @@
 		if listing.role != "" {
 			p.reported[listing.engine] = listing.role
 		}
-		p.books.SetReady(listing.engine, listing.err == nil && p.isInRole(listing.engine))
+		p.scheduler.SetReady(listing.engine, listing.err == nil && p.isInRole(listing.engine))
 		silent[listing.engine] = listing.err != nil
 		for _, status := range listing.streams {
 			id := grantID(status.RequestID, status.Number)
@@ -60,34 +59,33 @@
 	return cancels
 }
 
-// book adds a decode stream that nobody has reported.
+// book books a decode stream that no entry node has reported.
 func (p *pool) book(now time.Time, id, engineName string, status engine.StreamStatus) {
 	if known, ok := p.bookings[id]; ok {
-		known.seen = now
+		known.lastSeen = now
 		return
 	}
 	if status.MaxTokens <= 1 || status.Phase != "decode" {
 		return
 	}
-	request := streamRequest(p.since(), status)
-	p.bookings[id] = &booking{request: request, holder: status.Holder, decode: engineName, seen: now, foreign: true}
-	p.books.Restore(request, "", engineName)
+	request := streamRequest(p.elapsed(), status)
+	p.bookings[id] = &booking{request: request, holder: status.Holder, decode: engineName, lastSeen: now, adopted: true}
+	p.scheduler.Restore(request, "", engineName)
 	p.metrics.Add("streams_adopted", 1)
 }
 
-// isOrphan decides whether a stream's caller is gone. The holder must have been
-// gone for the resume window without a break, in which another node may take
-// the stream over. A stream that a connection still reads belongs to a holder
-// that may merely be cut off from this node; it is cancelled after twice the
-// window, and only if this node hears most of its zone.
+// isOrphan reports whether a stream is orphaned. Its holder must have been terminated for the whole
+// resume window, in which another node may take the stream over. A stream that a connection still
+// reads belongs to a holder that may merely be unreachable from this node; it is cancelled after
+// twice the window, and only if this node hears most of its zone.
 func (p *pool) isOrphan(suspect orphan, status engine.StreamStatus, holders holderState, window time.Duration, suspects map[orphan]time.Time, now time.Time) bool {
-	if !holders.isGone(status.Holder) {
+	if !holders.isTerminated(status.Holder) {
 		delete(suspects, suspect)
 		return false
 	}
 	if status.Attached {
 		window *= 2
-		if !holders.majority {
+		if !holders.seesMajority {
 			delete(suspects, suspect)
 			return false
 		}
@@ -100,40 +98,40 @@
 	return now.Sub(since) >= window
 }
 
-// strandedAfter is when a grant that no engine holds counts as lost although its
-// holder lives: the message that returned it has not arrived.
-const strandedAfter = 15 * time.Second
+// unreturnedTimeout is when a grant that no engine holds counts as lost although its holder is
+// alive: the message that returned it did not arrive.
+const unreturnedTimeout = 15 * time.Second
 
-// dropLost frees bookings that no engine holds: those whose holder is gone,
-// adopted ones that have ended, and those that were never returned.
+// dropLost frees bookings that no engine holds: those whose holder has terminated, adopted ones
+// that have ended, and those that were never returned.
 func (p *pool) dropLost(now time.Time, listed, silent map[string]bool, holders holderState, window time.Duration) {
 	for id, booked := range p.bookings {
 		if listed[id] || silent[booked.prefill] || silent[booked.decode] {
-			booked.seen = now
+			booked.lastSeen = now
 			continue
 		}
-		if now.Sub(booked.seen) < booked.patience(holders, window) {
+		if now.Sub(booked.lastSeen) < booked.lossTimeout(holders, window) {
 			continue
 		}
 		delete(p.bookings, id)
-		if !p.books.Withdraw(booked.request) {
-			p.books.Finished(p.since(), id, -1)
+		if !p.scheduler.Withdraw(booked.request) {
+			p.scheduler.Finished(p.elapsed(), id, -1)
 		}
 		p.metrics.Add("bookings_dropped", 1)
 	}
 }
 
-// patience is how long a booking is kept without a sign of it.
-func (b *booking) patience(holders holderState, window time.Duration) time.Duration {
+// lossTimeout is how long a booking is kept that no engine reports.
+func (b *booking) lossTimeout(holders holderState, window time.Duration) time.Duration {
 	switch {
-	case b.foreign:
+	case b.adopted:
 		return 0
-	case holders.isGone(b.holder):
+	case holders.isTerminated(b.holder):
 		return window
 	case b.prefill == "" && b.decode == "":
-		// The request waits in the queue, which refuses it in time.
+		// The request waits in the queue, which refuses it once it is late.
 		return time.Hour
 	default:
-		return strandedAfter
+		return unreturnedTimeout
 	}
 }
--- a/owner/key.go
+++ b/owner/key.go
@@ -19,11 +19,11 @@
 	return requestID + "/" + strconv.FormatUint(uint64(attempt), 10)
 }
 
-// requestOf returns the scheduler's form of a grant that arrived at now.
+// requestOf converts a grant that arrived at the given time to a scheduler request.
 func requestOf(now time.Duration, grant *peerpb.Grant) *scheduler.Request {
 	return &scheduler.Request{
 		ID: grantID(grant.GetRequestId(), grant.GetAttempt()),
-		// The string is cloned, because it would keep the whole message alive.
+		// Without the clone, the string would keep the whole message in memory.
 		Tenant:        strings.Clone(grant.GetTenant()),
 		Weight:        grant.GetWeight(),
 		Arrival:       now,
@@ -37,7 +37,7 @@
 	}
 }
 
-// enginesOf returns the scheduler's form of a pool's engines.
+// enginesOf returns the scheduler states of a pool's engines.
 func enginesOf(pool *api.Pool) ([]scheduler.PrefillState, []scheduler.DecodeState) {
 	var prefill []scheduler.PrefillState
 	var decode []scheduler.DecodeState
@@ -56,15 +56,15 @@
 	return prefill, decode
 }
 
-// stepModel derives a step model from the step time with a full batch: half of
-// it is spent whatever the batch, and half grows with the batch.
+// stepModel derives a step model from the step time with a full batch: half of it is independent of
+// the batch size, and half is proportional to it.
 func stepModel(pool *api.Pool, slots int) scheduler.StepModel {
 	base := pool.StepTime.Std() / 2
 	return scheduler.StepModel{Base: base, PerRequest: base / time.Duration(max(slots, 1))}
 }
 
-// streamRequest is the scheduler's form of a stream that an engine holds and
-// that no entry node has reported.
+// streamRequest returns the scheduler request of a stream that an engine holds and that no entry
+// node has reported.
 func streamRequest(now time.Duration, status engine.StreamStatus) *scheduler.Request {
 	return &scheduler.Request{
 		ID: grantID(status.RequestID, status.Number), Arrival: now,
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -15,7 +15,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// Engines is the part of the engine client that an owner uses.
+// Engines are the engine calls that an owner uses.
 type Engines interface {
 	Streams(ctx context.Context, address string) ([]engine.StreamStatus, error)
 	Load(ctx context.Context, address string) (engine.Load, error)
@@ -23,17 +23,17 @@
 	CacheEvents(ctx context.Context, address string, after uint64) ([]engine.CacheEvent, error)
 }
 
-// Members is the part of the cluster that an owner uses.
+// Members are the cluster methods that an owner uses.
 type Members interface {
 	Owns(zone, key string) bool
 	IsGone(node string, incarnation uint64) bool
 	SeesMajority() bool
 }
 
-// Leaving tells whether a back end is leaving.
+// Leaving reports whether a backend is leaving.
 type Leaving func(machine string) bool
 
-// Options are the parts of an Owner.
+// Options configure an Owner.
 type Options struct {
 	Configuration *configuration.Holder
 	Engines       Engines
@@ -42,10 +42,10 @@
 	Scheduler     scheduler.Options
 	Metrics       *metrics.Set
 	Events        *timeline.Ring
-	// Epoch identifies this start of the node.
+	// Epoch identifies this incarnation of the node.
 	Epoch uint64
-	// ResumeWindow is how long a stream without a living holder is kept for
-	// another node to take over. Default 5s.
+	// ResumeWindow is how long a stream without a live holder is kept for another node to take
+	// over. Default 5s.
 	ResumeWindow time.Duration
 	// Now reads the clock. Default time.Now.
 	Now func() time.Time
@@ -53,9 +53,9 @@
 
 const (
 	defaultResumeWindow = 5 * time.Second
-	// keepPool is how long a pool's state is kept after its last use by a node
-	// that no longer owns it.
-	keepPool = 10 * time.Second
+	// poolRetention is how long a pool's state is kept after its last use by a node that no longer
+	// owns it.
+	poolRetention = 10 * time.Second
 )
 
 // Owner grants the work of the pools that the node owns. It is safe for
@@ -82,7 +82,7 @@
 
 var errUnknownPool = api.NewError(http.StatusNotFound, api.CodeNotFound, api.OutcomeNotRun, "pool is not configured")
 
-// pool returns the state of a pool. A new one first learns what the engines hold.
+// pool returns the state of a pool. Before it creates one, it asks the engines what they hold.
 func (o *Owner) pool(ctx context.Context, name string) (*pool, error) {
 	snapshot := o.options.Configuration.Current()
 	configured, ok := snapshot.Pool(name)
@@ -95,7 +95,7 @@
 	if ok {
 		return known, nil
 	}
-	reports := o.list(ctx, configured, func(string) bool { return false })
+	reports := o.listEngines(ctx, configured, func(string) bool { return false })
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if known, ok := o.pools[name]; ok {
@@ -111,7 +111,7 @@
 	return created, nil
 }
 
-// HandleGrant answers a Grant.
+// HandleGrant serves a Grant.
 func (o *Owner) HandleGrant(ctx context.Context, grant *peerpb.Grant) (*peerpb.Granted, error) {
 	target, err := o.pool(ctx, grant.GetPool())
 	if err != nil {
@@ -136,16 +136,16 @@
 		status = http.StatusTooManyRequests
 	case scheduler.ReasonTooLarge:
 		return api.NewError(http.StatusRequestEntityTooLarge, api.CodeTooLarge, api.OutcomeNotRun, "%s", decision.Reason)
-	case reasonMoved:
-		return errMoved
+	case reasonOwnerChanged:
+		return errOwnerChanged
 	}
 	return api.NewError(status, code, api.OutcomeNotRun, "%s", decision.Reason).WithRetryAfter(decision.RetryAfter)
 }
 
-// errMoved asks the entry node to ask the pool's new owner.
-var errMoved = api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun, "pool has another owner")
+// errOwnerChanged tells the entry node to ask the pool's new owner.
+var errOwnerChanged = api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun, "pool has another owner")
 
-// HandleProgress answers a Progress with the decode engine.
+// HandleProgress serves a Progress and returns the decode engine.
 func (o *Owner) HandleProgress(ctx context.Context, progress *peerpb.Progress) (*peerpb.Granted, error) {
 	target, err := o.pool(ctx, progress.GetPool())
 	if err != nil {
@@ -158,7 +158,7 @@
 	return &peerpb.Granted{DecodeEngine: decode, Epoch: o.options.Epoch}, nil
 }
 
-// HandleRelease answers a Release.
+// HandleRelease serves a Release.
 func (o *Owner) HandleRelease(release *peerpb.Release) {
 	o.mu.Lock()
 	target, ok := o.pools[release.GetPool()]
@@ -168,7 +168,7 @@
 	}
 }
 
-// HandleRestore answers a Restore.
+// HandleRestore serves a Restore.
 func (o *Owner) HandleRestore(ctx context.Context, restore *peerpb.Restore) error {
 	target, err := o.pool(ctx, restore.GetGrant().GetPool())
 	if err != nil {
@@ -178,22 +178,22 @@
 	return nil
 }
 
-// PoolStatus is what an owner reports of a pool.
+// PoolStatus is the status of a pool.
 type PoolStatus struct {
 	Pool    string `json:"pool"`
 	Waiting int    `json:"waiting"`
 	Active  int    `json:"active"`
 }
 
-// Status returns the state of the pools that the node keeps.
+// Status returns the status of the pools whose state the node keeps.
 func (o *Owner) Status() []PoolStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	statuses := make([]PoolStatus, 0, len(o.pools))
-	for name, kept := range o.pools {
-		kept.mu.Lock()
-		statuses = append(statuses, PoolStatus{Pool: name, Waiting: kept.books.Waiting(), Active: kept.books.Active()})
-		kept.mu.Unlock()
+	for name, owned := range o.pools {
+		owned.mu.Lock()
+		statuses = append(statuses, PoolStatus{Pool: name, Waiting: owned.scheduler.Waiting(), Active: owned.scheduler.Active()})
+		owned.mu.Unlock()
 	}
 	return statuses
 }
--- a/owner/pool.go
+++ b/owner/pool.go
@@ -19,33 +19,32 @@
 	holder  engine.Holder
 	prefill string
 	decode  string
-	// decisions carries the grant and then the decode engine.
+	// decisions receives the grant and then the decode engine.
 	decisions chan scheduler.Decision
-	// seen is when the booking was last known to be wanted: its holder lives or
-	// an engine holds its stream.
-	seen time.Time
-	// foreign marks a booking made from an engine's report alone.
-	foreign bool
+	// lastSeen is when the booking was last confirmed by its holder or an engine, or could not be
+	// checked because its engine did not answer.
+	lastSeen time.Time
+	// adopted marks a booking that was made from an engine's report alone.
+	adopted bool
 }
 
-// pool is one owned pool.
+// pool is the state of one pool.
 type pool struct {
 	name    string
 	start   time.Time
 	now     func() time.Time
 	metrics *metrics.Set
 
-	mu        sync.Mutex
-	books     *scheduler.Pool
-	bookings  map[string]*booking
-	rechecked *time.Timer
-	touched   time.Time
-	version   uint64
-	closed    bool
-	// configured are the roles that the engines are to have, and reported those
-	// that they have last named themselves. An engine whose role is being changed
-	// gets no work until it has the new one: it still does the old one's, and
-	// refuses the new one's.
+	mu           sync.Mutex
+	scheduler    *scheduler.Pool
+	bookings     map[string]*booking
+	recheckTimer *time.Timer
+	lastUsed     time.Time
+	version      uint64
+	closed       bool
+	// configured are the configured roles of the engines, and reported those that the engines
+	// reported last. An engine whose role is being changed gets no work until it has the new role:
+	// it still serves the old one, and refuses work of the new one.
 	configured map[string]api.Role
 	reported   map[string]api.Role
 }
@@ -53,30 +52,29 @@
 func newPool(configured *api.Pool, options scheduler.Options, set *metrics.Set, now func() time.Time) *pool {
 	created := &pool{
 		name: configured.Name, start: now(), now: now, metrics: set,
-		books: scheduler.NewPool(options, configured.LinkTokensPerSecond), bookings: map[string]*booking{}, touched: now(),
+		scheduler: scheduler.NewPool(options, configured.LinkTokensPerSecond), bookings: map[string]*booking{}, lastUsed: now(),
 		reported: map[string]api.Role{},
 	}
 	created.setEngines(configured)
 	return created
 }
 
-// setEngines books the engines of a configuration. The caller holds the lock, or
-// is the only one who knows the pool.
+// setEngines applies the engines of a configuration. The caller holds the lock, unless the pool is
+// not shared yet.
 func (p *pool) setEngines(configured *api.Pool) {
 	p.configured = map[string]api.Role{}
 	for _, member := range configured.Engines {
 		p.configured[member.Name] = member.Role
 	}
-	p.books.SetEngines(enginesOf(configured))
+	p.scheduler.SetEngines(enginesOf(configured))
 	for _, member := range configured.Engines {
 		if !p.isInRole(member.Name) {
-			p.books.SetReady(member.Name, false)
+			p.scheduler.SetReady(member.Name, false)
 		}
 	}
 }
 
-// isInRole reports whether an engine has said that it has its configured role.
-// The caller holds the lock.
+// isInRole reports whether an engine has reported its configured role. The caller holds the lock.
 func (p *pool) isInRole(engine string) bool {
 	role, known := p.reported[engine]
 	return known && role == p.configured[engine]
@@ -89,23 +87,23 @@
 	return p.isInRole(engine)
 }
 
-// since is the pool's scheduler time.
-func (p *pool) since() time.Duration { return p.now().Sub(p.start) }
+// elapsed is the pool's scheduler time.
+func (p *pool) elapsed() time.Duration { return p.now().Sub(p.start) }
 
 // schedule delivers the decisions that are due. The caller holds the lock.
 func (p *pool) schedule() {
-	for _, decision := range p.books.Schedule(p.since()) {
+	for _, decision := range p.scheduler.Schedule(p.elapsed()) {
 		p.deliver(decision)
 	}
-	if p.books.Waiting() > 0 && p.rechecked == nil && !p.closed {
-		p.rechecked = time.AfterFunc(scheduler.RecheckInterval, p.recheck)
+	if p.scheduler.Waiting() > 0 && p.recheckTimer == nil && !p.closed {
+		p.recheckTimer = time.AfterFunc(scheduler.RecheckInterval, p.recheck)
 	}
 }
 
 func (p *pool) recheck() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rechecked = nil
+	p.recheckTimer = nil
 	if !p.closed {
 		p.schedule()
 	}
@@ -138,18 +136,18 @@
 // grant waits until the request is granted or refused.
 func (p *pool) grant(ctx context.Context, grant *peerpb.Grant) (scheduler.Decision, error) {
 	p.mu.Lock()
-	request := requestOf(p.since(), grant)
+	request := requestOf(p.elapsed(), grant)
 	if _, exists := p.bookings[request.ID]; exists {
 		p.mu.Unlock()
 		return scheduler.Decision{}, api.NewError(http.StatusConflict, api.CodeConflict, api.OutcomeNotRun, "attempt is booked already")
 	}
-	p.touched = p.now()
-	if refused := p.books.Submit(p.since(), request); refused != nil {
+	p.lastUsed = p.now()
+	if refused := p.scheduler.Submit(p.elapsed(), request); refused != nil {
 		p.mu.Unlock()
 		p.metrics.Add("refusals", 1)
 		return *refused, nil
 	}
-	booked := &booking{request: request, holder: holderOf(grant.GetHolder()), decisions: make(chan scheduler.Decision, decisionBuffer), seen: p.now()}
+	booked := &booking{request: request, holder: holderOf(grant.GetHolder()), decisions: make(chan scheduler.Decision, decisionBuffer), lastSeen: p.now()}
 	p.bookings[request.ID] = booked
 	p.schedule()
 	p.mu.Unlock()
@@ -173,8 +171,8 @@
 	}
 }
 
-// errNotBooked tells an entry node that the owner does not know its grant.
-var errNotBooked = api.NewError(http.StatusNotFound, api.CodeNotFound, api.OutcomeUnknown, "grant is not booked")
+// errUnknownGrant tells an entry node that the owner has no record of its grant.
+var errUnknownGrant = api.NewError(http.StatusNotFound, api.CodeNotFound, api.OutcomeUnknown, "grant is not booked")
 
 // progress records the end of a prefill and waits for a decode engine.
 func (p *pool) progress(ctx context.Context, id, failedEngine string) (string, error) {
@@ -182,18 +180,18 @@
 	booked, ok := p.bookings[id]
 	if !ok {
 		p.mu.Unlock()
-		return "", errNotBooked
+		return "", errUnknownGrant
 	}
 	if failedEngine != "" {
-		p.books.DecodeFailed(id, failedEngine)
+		p.scheduler.DecodeFailed(id, failedEngine)
 	} else {
-		p.books.PrefillDone(p.since(), id)
+		p.scheduler.PrefillDone(p.elapsed(), id)
 	}
 	p.schedule()
 	p.mu.Unlock()
 	decision, err := await(ctx, booked)
 	if err == nil && decision.Kind != scheduler.KindDecode {
-		err = errMoved
+		err = errOwnerChanged
 	}
 	return decision.Decode, err
 }
@@ -207,12 +205,12 @@
 		return
 	}
 	delete(p.bookings, id)
-	if !p.books.Withdraw(booked.request) {
-		p.books.Finished(p.since(), id, outputTokens)
+	if !p.scheduler.Withdraw(booked.request) {
+		p.scheduler.Finished(p.elapsed(), id, outputTokens)
 	}
 	if failedEngine != "" {
-		p.books.SetReady(failedEngine, false)
-		// It may have come back with another role.
+		p.scheduler.SetReady(failedEngine, false)
+		// The engine may have restarted with another role.
 		delete(p.reported, failedEngine)
 		p.metrics.Add("engine_failures", 1)
 	}
@@ -223,24 +221,24 @@
 func (p *pool) restore(restore *peerpb.Restore) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	request := requestOf(p.since(), restore.GetGrant())
-	if standing, known := p.bookings[request.ID]; known {
-		standing.holder = holderOf(restore.GetGrant().GetHolder())
-		standing.seen = p.now()
-		standing.foreign = false
+	request := requestOf(p.elapsed(), restore.GetGrant())
+	if existing, known := p.bookings[request.ID]; known {
+		existing.holder = holderOf(restore.GetGrant().GetHolder())
+		existing.lastSeen = p.now()
+		existing.adopted = false
 		return
 	}
 	granted := restore.GetGranted()
 	p.bookings[request.ID] = &booking{
-		request: request, holder: holderOf(restore.GetGrant().GetHolder()), seen: p.now(),
+		request: request, holder: holderOf(restore.GetGrant().GetHolder()), lastSeen: p.now(),
 		prefill: granted.GetPrefillEngine(), decode: granted.GetDecodeEngine(),
 		decisions: make(chan scheduler.Decision, decisionBuffer),
 	}
-	p.books.Restore(request, granted.GetPrefillEngine(), granted.GetDecodeEngine())
+	p.scheduler.Restore(request, granted.GetPrefillEngine(), granted.GetDecodeEngine())
 	p.metrics.Add("grants_restored", 1)
 }
 
-// update puts a new configuration of the pool in force.
+// update applies a new configuration of the pool.
 func (p *pool) update(configured *api.Pool, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,21 +250,21 @@
 	p.schedule()
 }
 
-// close answers whoever waits, so that the entry nodes ask the new owner.
+// close answers all waiting calls, so that the entry nodes ask the new owner.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	for id, booked := range p.bookings {
-		if p.books.Withdraw(booked.request) {
+		if p.scheduler.Withdraw(booked.request) {
 			delete(p.bookings, id)
 		}
 		select {
-		case booked.decisions <- scheduler.Decision{Kind: scheduler.KindRefuse, Reason: reasonMoved}:
+		case booked.decisions <- scheduler.Decision{Kind: scheduler.KindRefuse, Reason: reasonOwnerChanged}:
 		default:
 		}
 	}
 }
 
-// reasonMoved marks a refusal that only means that the pool has another owner.
-const reasonMoved scheduler.Reason = "pool has moved"
+// reasonOwnerChanged marks a refusal that only means that the pool has another owner.
+const reasonOwnerChanged scheduler.Reason = "pool has moved"
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -14,26 +14,26 @@
 // listTimeout bounds the listing of an engine's streams.
 const listTimeout = time.Second
 
-// list asks each engine of a pool what it holds and, unless its role is confirmed,
-// which role it has.
-func (o *Owner) list(ctx context.Context, configured *api.Pool, confirmed func(engine string) bool) []report {
+// listEngines asks each engine of a pool for its streams and, unless its role is confirmed, for its
+// role.
+func (o *Owner) listEngines(ctx context.Context, configured *api.Pool, confirmed func(engine string) bool) []engineReport {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	reports := make([]report, len(configured.Engines))
+	reports := make([]engineReport, len(configured.Engines))
 	var asked sync.WaitGroup
 	for i, member := range configured.Engines {
 		asked.Add(1)
 		go func() {
 			defer asked.Done()
-			reports[i] = o.listOne(ctx, member, confirmed(member.Name))
+			reports[i] = o.listEngine(ctx, member, confirmed(member.Name))
 		}()
 	}
 	asked.Wait()
 	return reports
 }
 
-func (o *Owner) listOne(ctx context.Context, member api.Engine, confirmed bool) report {
-	listing := report{engine: member.Name}
+func (o *Owner) listEngine(ctx context.Context, member api.Engine, confirmed bool) engineReport {
+	listing := engineReport{engine: member.Name}
 	listing.streams, listing.err = o.options.Engines.Streams(ctx, member.Address)
 	if confirmed || listing.err != nil {
 		return listing
@@ -45,17 +45,16 @@
 
 func (o *Owner) holders() holderState {
 	return holderState{
-		isGone: func(holder engine.Holder) bool {
+		isTerminated: func(holder engine.Holder) bool {
 			return o.options.Members.IsGone(holder.Node, holder.Incarnation)
 		},
-		majority: o.options.Members.SeesMajority(),
+		seesMajority: o.options.Members.SeesMajority(),
 	}
 }
 
-// Reconcile compares the books of a pool with what its engines hold: it cancels
-// streams whose callers are gone, frees what is lost, and takes engines that do
-// not answer or are leaving out of the choice. It is safe to repeat, and does
-// nothing for a pool that another node owns.
+// Reconcile compares the bookings of a pool with what its engines hold: it cancels orphaned
+// streams, frees lost bookings, and excludes engines that do not answer or are leaving. It is
+// idempotent, and does nothing for a pool that another node owns.
 func (o *Owner) Reconcile(ctx context.Context, request controller.Request) (controller.Result, error) {
 	snapshot := o.options.Configuration.Current()
 	configured, ok := snapshot.Pool(request.Name)
@@ -68,18 +67,18 @@
 		return controller.Result{}, err
 	}
 	target.update(configured, snapshot.Version())
-	reports := o.list(ctx, configured, target.hasRole)
+	reports := o.listEngines(ctx, configured, target.hasRole)
 	o.mu.Lock()
 	cancels := target.inspect(reports, o.holders(), o.options.ResumeWindow, o.suspects[configured.Name])
 	o.applyLeaving(target, configured)
 	o.mu.Unlock()
 	o.cancelAll(ctx, configured, cancels)
-	o.followCaches(ctx, target, configured, reports)
+	o.readCacheEvents(ctx, target, configured, reports)
 	return controller.Result{}, nil
 }
 
-// Requests lists the pools to reconcile: the configured ones, and those that the
-// node still keeps.
+// Requests lists the pools to reconcile: the configured ones, and those whose state the node still
+// keeps.
 func (o *Owner) Requests() []controller.Request {
 	snapshot := o.options.Configuration.Current()
 	names := map[string]bool{}
@@ -98,13 +97,13 @@
 	return requests
 }
 
-// applyLeaving takes engines that are leaving out of the choice.
+// applyLeaving excludes engines that are leaving.
 func (o *Owner) applyLeaving(target *pool, configured *api.Pool) {
 	target.mu.Lock()
 	defer target.mu.Unlock()
 	for _, member := range configured.Engines {
 		if o.options.Leaving(member.Name) {
-			target.books.SetReady(member.Name, false)
+			target.scheduler.SetReady(member.Name, false)
 		}
 	}
 }
@@ -118,20 +117,20 @@
 			if o.options.Engines.Cancel(ctx, member.Address, lost.attempt) == nil {
 				o.options.Metrics.Add("orphans_cancelled", 1)
 				o.options.Events.Record(timeline.Event{Kind: "orphan-cancelled", Request: lost.attempt.RequestID, Engine: lost.engine})
-				o.forget(configured.Name, lost)
+				o.forgetSuspect(configured.Name, lost)
 			}
 		}
 	}
 }
 
-func (o *Owner) forget(pool string, lost orphan) {
+func (o *Owner) forgetSuspect(pool string, lost orphan) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.suspects[pool], lost)
 }
 
-// followCaches reads the engines' cache events into the prefix index.
-func (o *Owner) followCaches(ctx context.Context, target *pool, configured *api.Pool, reports []report) {
+// readCacheEvents applies the engines' cache events to the prefix index.
+func (o *Owner) readCacheEvents(ctx context.Context, target *pool, configured *api.Pool, reports []engineReport) {
 	for i, member := range configured.Engines {
 		if member.Role != api.RolePrefill || reports[i].err != nil {
 			continue
@@ -155,7 +154,7 @@
 func (p *pool) applyCacheEvents(engineName string, events []engine.CacheEvent) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	index := p.books.Index()
+	index := p.scheduler.Index()
 	for _, event := range events {
 		if event.Evicted {
 			index.Evict(engineName, event.Block)
@@ -165,12 +164,12 @@
 	}
 }
 
-// retire drops the state of a pool that the node no longer owns. Its waiting
-// requests are sent to the new owner; the granted ones end here.
+// retire drops the state of a pool that the node no longer owns. Its waiting requests are sent to
+// the new owner; the tracking of granted ones ends here.
 func (o *Owner) retire(name string) {
 	o.mu.Lock()
-	kept, ok := o.pools[name]
-	if ok && o.options.Now().Sub(kept.touchedAt()) >= keepPool {
+	retired, ok := o.pools[name]
+	if ok && o.options.Now().Sub(retired.lastUse()) >= poolRetention {
 		delete(o.pools, name)
 		delete(o.suspects, name)
 	} else {
@@ -178,26 +177,26 @@
 	}
 	o.mu.Unlock()
 	if ok {
-		kept.close()
+		retired.close()
 		o.options.Events.Record(timeline.Event{Kind: "pool-retired", Detail: name})
 	}
 }
 
-func (p *pool) touchedAt() time.Time {
+func (p *pool) lastUse() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.touched
+	return p.lastUsed
 }
 
-// HandOver sends all waiting requests to the new owners. It is called when the
-// node is draining and no longer counts as ready.
+// HandOver sends all waiting requests to the new owners. It is called when the node is draining and
+// no longer ready.
 func (o *Owner) HandOver() {
 	o.mu.Lock()
-	kept := o.pools
+	handedOver := o.pools
 	o.pools = map[string]*pool{}
 	o.suspects = map[string]map[orphan]time.Time{}
 	o.mu.Unlock()
-	for _, target := range kept {
+	for _, target := range handedOver {
 		target.close()
 	}
 }
