--- a/rebalance/advisor_test.go
+++ b/rebalance/advisor_test.go
@@ -12,8 +12,8 @@
 
 const step = 5 * time.Second
 
-// follow feeds a constant load and returns the first advice and its time.
-func follow(advisor *Advisor, from time.Duration, load Load, length time.Duration) (Advice, time.Duration, bool) {
+// observeConstant observes a constant load and returns the first advice and its time.
+func observeConstant(advisor *Advisor, from time.Duration, load Load, length time.Duration) (Advice, time.Duration, bool) {
 	for now := from; now < from+length; now += step {
 		if advice, due := advisor.Observe(now, load); due {
 			return advice, now, true
@@ -24,12 +24,12 @@
 
 func TestShortRoleGetsAnEngine(t *testing.T) {
 	g := NewWithT(t)
-	advice, at, due := follow(New(Options{}), 0, Load{PrefillEngines: 4, DecodeEngines: 4, Prefill: 4.4, Decode: 2}, time.Minute)
+	advice, at, due := observeConstant(New(Options{}), 0, Load{PrefillEngines: 4, DecodeEngines: 4, Prefill: 4.4, Decode: 2}, time.Minute)
 	g.Expect(due).To(BeTrue())
 	g.Expect(advice.From).To(Equal(api.RoleDecode))
 	g.Expect(advice.To).To(Equal(api.RolePrefill))
 	g.Expect(at).To(BeNumerically(">=", defaultSustain))
-	advice, _, due = follow(New(Options{}), 0, Load{PrefillEngines: 4, DecodeEngines: 4, Prefill: 2, Decode: 4.4}, time.Minute)
+	advice, _, due = observeConstant(New(Options{}), 0, Load{PrefillEngines: 4, DecodeEngines: 4, Prefill: 2, Decode: 4.4}, time.Minute)
 	g.Expect(due).To(BeTrue())
 	g.Expect(advice.To).To(Equal(api.RoleDecode))
 }
@@ -47,19 +47,19 @@
 		_, due := advisor.Observe(now, load)
 		g.Expect(due).To(BeFalse(), "at %s", now)
 	}
-	_, _, due := follow(New(Options{}), 0, Load{PrefillEngines: 4, DecodeEngines: 4, Prefill: 5, Decode: 5}, time.Hour)
+	_, _, due := observeConstant(New(Options{}), 0, Load{PrefillEngines: 4, DecodeEngines: 4, Prefill: 5, Decode: 5}, time.Hour)
 	g.Expect(due).To(BeFalse(), "both roles are short of engines")
 }
 
 func TestLastEngineOfARoleStays(t *testing.T) {
 	g := NewWithT(t)
-	_, _, due := follow(New(Options{}), 0, Load{PrefillEngines: 1, DecodeEngines: 1, Prefill: 5, Decode: 0}, time.Hour)
+	_, _, due := observeConstant(New(Options{}), 0, Load{PrefillEngines: 1, DecodeEngines: 1, Prefill: 5, Decode: 0}, time.Hour)
 	g.Expect(due).To(BeFalse())
 }
 
-// TestChangesSettle carries out every advice under a constant load: each lowers
-// the worst use, none is taken back, and they come to an end.
-func TestChangesSettle(t *testing.T) {
+// TestChangesConverge follows every advice under a constant load: each change lowers the highest
+// utilization, none is reverted, and they come to an end.
+func TestChangesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		load := Load{
 			PrefillEngines: rapid.IntRange(1, 12).Draw(t, "prefill engines"), DecodeEngines: rapid.IntRange(1, 12).Draw(t, "decode engines"),
@@ -73,18 +73,18 @@
 			if !due {
 				continue
 			}
-			before := load.worst()
+			before := load.maxUtilization()
 			change := 1
 			if advice.To == api.RoleDecode {
 				change = -1
 			}
 			load.PrefillEngines += change
 			load.DecodeEngines -= change
-			if load.worst() >= before {
-				t.Fatalf("the worst use went from %f to %f", before, load.worst())
+			if load.maxUtilization() >= before {
+				t.Fatalf("the highest utilization went from %f to %f", before, load.maxUtilization())
 			}
 			if direction != "" && direction != advice.To {
-				t.Fatal("a change was taken back")
+				t.Fatal("a change was reverted")
 			}
 			if now-changedAt < defaultCooldown {
 				t.Fatalf("two changes within %s", now-changedAt)
--- a/rebalance/doc.go
+++ b/rebalance/doc.go
@@ -1,4 +1,4 @@
-// Package rebalance decides when an engine of a pool should change its role. It is
-// pure: it reads no clock and does no I/O, so that the router and the emulator run
-// the same decision.
+// Package rebalance decides when an engine of a pool should change its role. It
+// reads no clock and does no I/O, so that the router and the emulator run the
+// same decisions.
 package rebalance
