--- a/coordinator/assign_test.go
+++ b/coordinator/assign_test.go
@@ -38,7 +38,7 @@
 			}
 			// The decode engine takes the first prompt that cannot be served in time; it takes one
 			// at a time.
-			slow.state("s").localPrefill.add(now, "d", ledger.Run{ID: "prefilled by d", Prompt: 8000})
+			slow.state("s").localPrefill.add(now, "d", ledger.Run{ID: "read by d", Prompt: 8000})
 			g.Expect(ask("idle").Prefill).To(Equal("p"))
 			g.Expect(ask("busy").Decode).To(BeEmpty())
 		})
--- a/coordinator/fill_test.go
+++ b/coordinator/fill_test.go
@@ -22,7 +22,7 @@
 		Nodes: func() int { return 1 }, Now: func() time.Duration { return now },
 	})
 	demand, _ := coordinator.Demand("s")
-	g.Expect(demand.DecodeUtilization).To(BeZero(), "not observed yet")
+	g.Expect(demand.DecodeUtilization).To(BeZero(), "not seen yet")
 	given := 0
 	for i := range 40 {
 		run := ledger.Run{ID: fmt.Sprint("run", i), Prompt: 3000, Output: 1, MaxOutput: 1, Holder: "node"}
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -203,7 +203,7 @@
 		t.Logf("held p50 %v p90 %v, at most %d waiting, %d listings", quantileOf(counts.refused, 0.5), quantileOf(counts.refused, 0.9), counts.maxWaiting, replayed.listings)
 		g.Expect(quantileOf(counts.refused, 0.9)).To(BeNumerically("<", 100*time.Millisecond))
 		g.Expect(counts.maxWaiting).To(BeNumerically("<", 250))
-		g.Expect(counts.assigned).To(BeNumerically(">", 2900), "3,023 without predicted waits")
+		g.Expect(counts.assigned).To(BeNumerically(">", 2900), "without a prediction 3,023")
 	})
 }
 
--- a/estimate/output_test.go
+++ b/estimate/output_test.go
@@ -55,7 +55,7 @@
 	g := NewWithT(t)
 	var exact, varying estimate.OutputLength
 	random := rand.New(rand.NewPCG(3, 4))
-	g.Expect(exact.RelativeDeviation()).To(Equal(0.5), "the initial estimate")
+	g.Expect(exact.RelativeDeviation()).To(Equal(0.5), "the first guess")
 	for range 400 {
 		expected := 100 + random.IntN(900)
 		exact.Observe(expected, expected)
--- a/ledger/margin_test.go
+++ b/ledger/margin_test.go
@@ -37,7 +37,7 @@
 			for n := 1.0; n*whole+deviation*float64(size.output)*math.Sqrt(n) <= memory && n <= slots; n++ {
 				want = int(n)
 			}
-			g.Expect(fittingRuns(deviation, size.prompt, size.output)).To(Equal(want), "%+v, deviation %v", size, deviation)
+			g.Expect(fittingRuns(deviation, size.prompt, size.output)).To(Equal(want), "%+v, spread %v", size, deviation)
 		}
 	}
 }
--- a/ledger/near_test.go
+++ b/ledger/near_test.go
@@ -25,6 +25,6 @@
 	for _, id := range []string{"c", "d", "e", "f", "g", "h", "i", "j"} {
 		counts[given(id)]++
 	}
-	g.Expect(counts["far"]).To(BeNumerically(">=", 3), "the other zone is used as well")
-	g.Expect(l.Counts()["near"]-l.Counts()["far"]).To(BeNumerically("<=", 2), "the engine of the zone is at most a tenth fuller")
+	g.Expect(counts["far"]).To(BeNumerically(">=", 3), "the far one is taken as well")
+	g.Expect(l.Counts()["near"]-l.Counts()["far"]).To(BeNumerically("<=", 2), "near is at most a tenth fuller")
 }
