--- a/coordinator/health_test.go
+++ b/coordinator/health_test.go
@@ -28,15 +28,15 @@
 func TestFailingEngineIsRetried(t *testing.T) {
 	g := NewWithT(t)
 	var health engineHealth
-	tries := 0
+	attempts := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
 		if health.healthy(now, "e") {
 			health.failed(now, "e")
-			tries++
+			attempts++
 		}
 	}
-	g.Expect(tries).To(BeNumerically(">=", 5))
-	g.Expect(tries).To(BeNumerically("<=", 30))
+	g.Expect(attempts).To(BeNumerically(">=", 5))
+	g.Expect(attempts).To(BeNumerically("<=", 30))
 	health.answered("e")
 	health.answered("e")
 	g.Expect(health.healthy(10*time.Second, "e")).To(BeTrue())
