--- a/quota/client.go
+++ b/quota/client.go
@@ -15,111 +15,111 @@
 )
 
 const (
-	// answerTimeout is how long the coordinator may take for an answer. A request waits for it
-	// before anything else is done, and its node decides alone after it.
+	// answerTimeout is how long the coordinator may take to answer. A request waits for it before anything else
+	// is done, and its node decides locally afterwards.
 	answerTimeout = 60 * time.Millisecond
 	// noticeTimeout bounds a call that no request waits for.
 	noticeTimeout = 300 * time.Millisecond
-	// lookInterval is how often a node looks whether there is another coordinator.
-	lookInterval = 100 * time.Millisecond
-	// presenceInterval is how often a node calls its coordinator at least.
+	// checkInterval is how often a node checks for another coordinator.
+	checkInterval = 100 * time.Millisecond
+	// presenceInterval is the longest time between two calls of a node to its coordinator.
 	presenceInterval = 500 * time.Millisecond
 )
 
-// Scope is what the coordinator of quotas is chosen for.
+// Scope is the scope for which the quota coordinator is chosen.
 const Scope = "quotas"
 
-// ClientOptions are the parts of a Client.
+// ClientOptions configures a Client.
 type ClientOptions struct {
 	Coordinators coordinator.Choice
 	Peers        *peer.Client
-	// LocalCoordinator decides where this node is the coordinator.
+	// LocalCoordinator decides when this node is the coordinator.
 	LocalCoordinator *Coordinator
-	// LocalLimiter decides where none answers.
+	// LocalLimiter decides when no coordinator answers.
 	LocalLimiter *LocalLimiter
-	// Limited reports whether any tenant has a limit: without one nothing is said.
+	// Limited reports whether any tenant has a limit: without one, no coordinator is called.
 	Limited func() bool
 	// Now reads a monotonic clock.
 	Now func() time.Duration
 }
 
-// Client charges requests of this node. It is safe for concurrent use.
+// Client charges the requests of this node. It is safe for concurrent use.
 type Client struct {
 	options ClientOptions
-	// coordinator is the address of the coordinator as of the last look; empty for none.
+	// coordinator is the coordinator's address at the last check; empty for none.
 	coordinator atomic.Pointer[string]
 	// answeredAt is when a coordinator last answered, by the clock of the options.
 	answeredAt atomic.Int64
-	// recent is what that coordinator, or one before it, granted of late.
-	recent recentUse
+	// recent is what that coordinator, or one before it, granted recently.
+	recent recentUsage
 }
 
-// NewClient returns a client that decides alone until Run has found a coordinator.
+// NewClient returns a client that decides locally until Run has found a coordinator.
 func NewClient(options ClientOptions) *Client {
 	client := &Client{options: options}
 	client.coordinator.Store(new(string))
 	return client
 }
 
-// Source is who decided on a charge.
+// Source is what decided on a charge.
 type Source string
 
-// The sources.
+// Sources of a decision.
 const (
 	SourceCoordinator Source = "coordinator"
 	SourceLocal       Source = "alone"
 )
 
-// Decision is whether a request may be served, and by whose word.
+// Decision is whether a request may be served, and what decided it.
 type Decision struct {
 	Grant
 	Source Source
 }
 
-// Charge decides on a request of a tenant that costs so many units.
+// Charge decides on a tenant's request that costs the given units.
 func (c *Client) Charge(ctx context.Context, charged *tenant.Tenant, units float64) Decision {
 	address := *c.coordinator.Load()
 	if address != "" {
-		uses := c.options.LocalLimiter.TakeUnreported(charged.Name)
-		grant, err := c.take(ctx, address, Charge{Tenant: charged.Name, Units: units, Uses: uses}, answerTimeout)
+		usages := c.options.LocalLimiter.TakeUnreported(charged.Name)
+		grant, err := c.send(ctx, address, Charge{Tenant: charged.Name, Units: units, Usages: usages}, answerTimeout)
 		if err == nil && grant.TenantKnown {
 			if grant.Granted {
 				c.recent.add(c.options.Now(), charged.Name, units)
 			}
 			return Decision{Grant: grant, Source: SourceCoordinator}
 		}
-		c.options.LocalLimiter.PutBack(uses)
+		c.options.LocalLimiter.RestoreUnreported(usages)
 		if err != nil && ctx.Err() == nil {
 			c.options.Coordinators.Missed(address, err)
 		}
 	}
 	now := c.options.Now()
-	grant := c.options.LocalLimiter.Take(now, charged, units, now-time.Duration(c.answeredAt.Load()))
+	grant := c.options.LocalLimiter.Decide(now, charged, units, now-time.Duration(c.answeredAt.Load()))
 	return Decision{Grant: grant, Source: SourceLocal}
 }
 
-// Refund returns the units of a request that did not run. It does not wait for the answer; what
-// is not heard is reported with a later charge.
+// Refund returns the units of a request that did not run. It does not wait for the answer; what is not
+// delivered is reported with a later charge.
 func (c *Client) Refund(charged *tenant.Tenant, units float64) {
-	c.options.LocalLimiter.Note(charged.Name, -units)
+	c.options.LocalLimiter.AddUnreported(charged.Name, -units)
 	c.recent.add(c.options.Now(), charged.Name, -units)
 	if address := *c.coordinator.Load(); address != "" {
 		go c.report(context.Background(), address, c.options.LocalLimiter.TakeUnreported(charged.Name))
 	}
 }
 
-// report tells a coordinator that this node belongs to it, and what it does not know of.
-func (c *Client) report(ctx context.Context, address string, uses []Use) {
-	if _, err := c.take(ctx, address, Charge{Uses: uses}, noticeTimeout); err != nil {
-		c.options.LocalLimiter.PutBack(uses)
+// report registers this node with a coordinator, and sends usage that it has no record of.
+func (c *Client) report(ctx context.Context, address string, usages []Usage) {
+	if _, err := c.send(ctx, address, Charge{Usages: usages}, noticeTimeout); err != nil {
+		c.options.LocalLimiter.RestoreUnreported(usages)
 		c.options.Coordinators.Missed(address, err)
 	}
 }
 
-// Run looks for the coordinator, and says that this node belongs to it, until the context ends.
+// Run tracks the coordinator and registers this node with it, until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	grantedBy := ""
-	periodic.Run(ctx, lookInterval, func(ctx context.Context) {
+	periodic.Run(ctx, checkInterval, func(ctx context.Context) {
 		address := ""
 		if c.options.Limited() {
 			address, _ = c.options.Coordinators.Coordinator(Scope)
@@ -132,22 +132,22 @@
 		if address == "" || !changed && now-time.Duration(c.answeredAt.Load()) < presenceInterval {
 			return
 		}
-		uses := c.options.LocalLimiter.TakeAllUnreported()
+		usages := c.options.LocalLimiter.TakeAllUnreported()
 		if address != grantedBy && grantedBy != "" {
-			uses = append(uses, c.recent.take(now)...)
+			usages = append(usages, c.recent.drain(now)...)
 		}
-		c.recent.forget(now)
+		c.recent.prune(now)
 		grantedBy = address
-		go c.report(ctx, address, uses)
+		go c.report(ctx, address, usages)
 	})
 }
 
-// take sends a charge to a coordinator, this node perhaps.
-func (c *Client) take(ctx context.Context, address string, charge Charge, timeout time.Duration) (Grant, error) {
+// send sends a charge to a coordinator, possibly this node.
+func (c *Client) send(ctx context.Context, address string, charge Charge, timeout time.Duration) (Grant, error) {
 	charge.Holder = c.options.Coordinators.Own()
 	if address == charge.Holder {
 		c.answered()
-		return c.options.LocalCoordinator.Take(c.options.Now(), charge), nil
+		return c.options.LocalCoordinator.Decide(c.options.Now(), charge), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -159,18 +159,18 @@
 	return decodeGrant(response.GetQuotaGrant()), nil
 }
 
-// answered notes that a coordinator has answered.
+// answered records that a coordinator has answered.
 func (c *Client) answered() { c.answeredAt.Store(int64(c.options.Now())) }
 
-// ErrNoCharge is returned for a call that is not a charge.
-var ErrNoCharge = errors.New("quota: not a charge")
+// ErrNotCharge is returned for a call that is not a charge.
+var ErrNotCharge = errors.New("quota: not a charge")
 
 // Handle answers the charge of another node.
 func (c *Client) Handle(request *peerpb.Request) (*peerpb.Response, error) {
 	body, isCharge := request.GetBody().(*peerpb.Request_ChargeQuota)
 	if !isCharge {
-		return nil, ErrNoCharge
+		return nil, ErrNotCharge
 	}
-	grant := c.options.LocalCoordinator.Take(c.options.Now(), decodeCharge(body.ChargeQuota))
+	grant := c.options.LocalCoordinator.Decide(c.options.Now(), decodeCharge(body.ChargeQuota))
 	return &peerpb.Response{Body: &peerpb.Response_QuotaGrant{QuotaGrant: encodeGrant(grant)}}, nil
 }
--- a/quota/replay_test.go
+++ b/quota/replay_test.go
@@ -13,42 +13,42 @@
 	"github.com/reelrun/reelrun/tenant"
 )
 
-// Figures of the replays: those of the sites' sheets, where they are given.
+// Parameters of the replays: those of the sites' sheets, if given there.
 const (
-	replayRate    = 60_000.0
-	replayWindow  = 8 * time.Second
-	replayStep    = 5 * time.Millisecond
-	usualShare    = 1 / 1.8
-	hotFactor     = 7.5
-	meanCost      = 8_000.0
-	toleratedOver = 0.1
+	replayRate         = 60_000.0
+	replayWindow       = 8 * time.Second
+	replayStep         = 5 * time.Millisecond
+	usualShare         = 1 / 1.8
+	hotFactor          = 7.5
+	meanCost           = 8_000.0
+	toleratedOvershoot = 0.1
 )
 
 // sheetTolerance is the tolerance of the sites' sheets.
-var sheetTolerance = Tolerance{Window: replayWindow, Overshoot: toleratedOver, Slack: 120_000}
+var sheetTolerance = Tolerance{Window: replayWindow, Overshoot: toleratedOvershoot, Slack: 120_000}
 
-// replay plays tenants and nodes against the decisions, without input and output.
+// replay simulates tenants and nodes against the limiters, without I/O.
 type replay struct {
 	random *rand.Rand
 	nodes  int
-	// tenants have all the same limit.
+	// tenants all have the same limit.
 	tenants []*tenant.Tenant
-	// coordinators are the nodes that others may belong to; alone are the decisions of each node.
+	// coordinators are the nodes that others may belong to; local are the limiters of each node.
 	coordinators []*Coordinator
-	alone        []*LocalLimiter
+	local        []*LocalLimiter
 	// coordinatorOf is the coordinator that each node calls; negative for none.
 	coordinatorOf []int
 	// grantedBy is the coordinator whose grants recent holds.
 	grantedBy []int
-	recent    []*recentUse
+	recent    []*recentUsage
 	// answeredAt is when each node last had an answer of a coordinator.
 	answeredAt []time.Duration
 	presentAt  []time.Duration
 	now        time.Duration
-	// used holds what each tenant used, by step.
+	// used holds each tenant's usage, by step.
 	used [][]float64
-	// asked and refused count requests by tenant.
-	asked, refused []int
+	// asked and rejected count requests by tenant.
+	asked, rejected []int
 	// calls counts messages to coordinators.
 	calls int
 }
@@ -68,36 +68,36 @@
 		}))
 	}
 	for range nodes {
-		r.alone = append(r.alone, NewLocalLimiter(func() int { return nodes }, r.random.Float64))
+		r.local = append(r.local, NewLocalLimiter(func() int { return nodes }, r.random.Float64))
 		r.answeredAt = append(r.answeredAt, -time.Hour)
 		r.coordinatorOf, r.grantedBy = append(r.coordinatorOf, -1), append(r.grantedBy, -1)
-		r.recent = append(r.recent, &recentUse{})
+		r.recent = append(r.recent, &recentUsage{})
 		r.presentAt = append(r.presentAt, -time.Hour)
 	}
-	r.used, r.asked, r.refused = make([][]float64, tenants), make([]int, tenants), make([]int, tenants)
+	r.used, r.asked, r.rejected = make([][]float64, tenants), make([]int, tenants), make([]int, tenants)
 	return r
 }
 
-// belong has a node call another coordinator from now on.
-func (r *replay) belong(node, coordinator int) {
+// setCoordinator makes a node call another coordinator from now on.
+func (r *replay) setCoordinator(node, coordinator int) {
 	if r.coordinatorOf[node] != coordinator {
-		// Nodes look for another coordinator at intervals, each at its own time.
-		until := time.Duration(r.random.Float64() * float64(lookInterval))
+		// Nodes check for another coordinator at intervals, each at its own time.
+		until := time.Duration(r.random.Float64() * float64(checkInterval))
 		r.coordinatorOf[node], r.presentAt[node] = coordinator, r.now+until-presenceInterval
 	}
 }
 
 // charge decides on one request at a node.
 func (r *replay) charge(node, charged int, units float64) bool {
-	to, alone := r.coordinatorOf[node], r.alone[node]
+	to, local := r.coordinatorOf[node], r.local[node]
 	if to < 0 {
-		return alone.Take(r.now, r.tenants[charged], units, r.now-r.answeredAt[node]).Granted
+		return local.Decide(r.now, r.tenants[charged], units, r.now-r.answeredAt[node]).Granted
 	}
 	r.calls++
 	r.answeredAt[node] = r.now
 	name := r.tenants[charged].Name
-	granted := r.coordinators[to].Take(r.now, Charge{
-		Tenant: name, Holder: strconv.Itoa(node), Units: units, Uses: alone.TakeUnreported(name),
+	granted := r.coordinators[to].Decide(r.now, Charge{
+		Tenant: name, Holder: strconv.Itoa(node), Units: units, Usages: local.TakeUnreported(name),
 	}).Granted
 	if granted {
 		r.recent[node].add(r.now, name, units)
@@ -105,7 +105,7 @@
 	return granted
 }
 
-// step plays a step in which each tenant sends a multiple of its usual load.
+// step simulates a step in which each tenant sends a multiple of its usual load.
 func (r *replay) step(load func(tenant int) float64) {
 	for node := range r.nodes {
 		to := r.coordinatorOf[node]
@@ -114,12 +114,12 @@
 		}
 		r.presentAt[node], r.answeredAt[node] = r.now, r.now
 		r.calls++
-		uses := r.alone[node].TakeAllUnreported()
+		usages := r.local[node].TakeAllUnreported()
 		if r.grantedBy[node] >= 0 && r.grantedBy[node] != to {
-			uses = append(uses, r.recent[node].take(r.now)...)
+			usages = append(usages, r.recent[node].drain(r.now)...)
 		}
 		r.grantedBy[node] = to
-		r.coordinators[to].Take(r.now, Charge{Holder: strconv.Itoa(node), Uses: uses})
+		r.coordinators[to].Decide(r.now, Charge{Holder: strconv.Itoa(node), Usages: usages})
 	}
 	for i := range r.tenants {
 		expected := load(i) * usualShare * replayRate / meanCost * replayStep.Seconds()
@@ -130,7 +130,7 @@
 			if r.charge(r.random.IntN(r.nodes), i, units) {
 				used += units
 			} else {
-				r.refused[i]++
+				r.rejected[i]++
 			}
 		}
 		r.used[i] = append(r.used[i], used)
@@ -138,7 +138,7 @@
 	r.now += replayStep
 }
 
-// poisson draws how many requests come where so many are expected.
+// poisson draws a Poisson-distributed number of requests.
 func (r *replay) poisson(expected float64) int {
 	count := 0
 	for left := expected - r.random.ExpFloat64(); left > 0; left -= r.random.ExpFloat64() {
@@ -153,9 +153,9 @@
 	}
 }
 
-// worstOver returns by how much, as a share of what is allowed, a tenant used too much in its
-// worst window; negative where it never did.
-func (r *replay) worstOver(of int) float64 {
+// worstOvershoot returns a tenant's excess in its worst window, as a fraction of what is allowed; negative if
+// it never exceeded it.
+func (r *replay) worstOvershoot(of int) float64 {
 	steps := int(replayWindow / replayStep)
 	limit := r.tenants[of].Quota
 	allowed := limit.Rate*replayWindow.Seconds() + limit.Burst
@@ -170,17 +170,16 @@
 	return worst/allowed - 1
 }
 
-// refusedShare returns the share of the requests refused of all tenants but the first.
-func (r *replay) refusedShare() float64 {
-	asked, refused := 0, 0
+// rejectedShare returns the rejected share of the requests of all tenants but the first.
+func (r *replay) rejectedShare() float64 {
+	asked, rejected := 0, 0
 	for i := 1; i < len(r.tenants); i++ {
-		asked, refused = asked+r.asked[i], refused+r.refused[i]
+		asked, rejected = asked+r.asked[i], rejected+r.rejected[i]
 	}
-	return float64(refused) / float64(max(1, asked))
+	return float64(rejected) / float64(max(1, asked))
 }
 
-// hotFirst has the first tenant send many times its usual load, the others a little more or less
-// than theirs.
+// hotFirst makes the first tenant send many times its usual load, and the others theirs.
 func hotFirst(of int) float64 {
 	if of == 0 {
 		return hotFactor
@@ -190,75 +189,76 @@
 
 func usual(int) float64 { return 1 }
 
-// TestTheFleetKeepsOneLimit replays a hot tenant among others at several sizes of the fleet, with
-// equal parts of the limits a node and with a coordinator.
-func TestTheFleetKeepsOneLimit(t *testing.T) {
+// TestFleetEnforcesOneLimit replays a hot tenant among others at several fleet sizes, with equal shares of the
+// limits per node and with a coordinator.
+func TestFleetEnforcesOneLimit(t *testing.T) {
 	for _, nodes := range []int{8, 60, 295, 410} {
 		for _, coordinated := range []bool{false, true} {
 			g := NewWithT(t)
 			played := newReplay(1, nodes, 16, 1)
 			for node := range nodes {
 				if coordinated {
-					played.belong(node, 0)
+					played.setCoordinator(node, 0)
 				}
 			}
 			played.play(10*time.Second, usual)
 			played.play(7*time.Second, hotFirst)
 			played.play(10*time.Second, usual)
-			over, refused := played.worstOver(0), played.refusedShare()
-			t.Logf("nodes %d, coordinated %v: worst window %+.3f, refused below the limit %.4f, calls a node and second %.2f",
-				nodes, coordinated, over, refused, float64(played.calls)/float64(nodes)/played.now.Seconds())
+			over, rejected := played.worstOvershoot(0), played.rejectedShare()
+			t.Logf("nodes %d, coordinated %v: worst window %+.3f, rejected below the limit %.4f, calls a node and second %.2f",
+				nodes, coordinated, over, rejected, float64(played.calls)/float64(nodes)/played.now.Seconds())
 			if coordinated {
-				g.Expect(over).To(BeNumerically("<", toleratedOver))
-				g.Expect(refused).To(BeNumerically("<", 0.005))
+				g.Expect(over).To(BeNumerically("<", toleratedOvershoot))
+				g.Expect(rejected).To(BeNumerically("<", 0.005))
 			}
 		}
 	}
 }
 
-// TestTheLimitHoldsInPartitions splits the fleet, loses coordinators and heals it again at random,
-// while one tenant is hot, each split lasting at least as long as it takes to notice: whatever two coordinators and lone nodes give out together stays within
-// the limit and the slack of the sheets, and tenants below their limit are served.
-func TestTheLimitHoldsInPartitions(t *testing.T) {
+// TestLimitHoldsInPartitions splits the fleet, loses coordinators and heals it again at random, while one
+// tenant is hot. Each split lasts at least as long as it takes to detect. What two coordinators and
+// uncoordinated nodes grant together stays within the limit and the slack of the sheets, and tenants below
+// their limit are served.
+func TestLimitHoldsInPartitions(t *testing.T) {
 	const slack = 120_000 / (replayRate * 9)
-	// The limit does not hold in each partition: of 20,000 such replays, counted one by one, 171 were
-	// above the limit, its tolerance and the slack, 40 by more than this, the worst by 0.156. So
-	// other seeds than that of CI fail here, about one draw in 500.
+	// The limit does not hold in every partition: of 20,000 such replays, counted one by one, 171 were above
+	// the limit, its tolerance and the slack, 40 by more than this, the worst by 0.156. So other seeds than
+	// that of CI fail here, about one draw in 500.
 	const chance = 0.05
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		nodes := rapid.SampledFrom([]int{8, 30, 60}).Draw(t, "nodes")
 		played := newReplay(rapid.Uint64().Draw(t, "seed"), nodes, 4, 3)
 		for node := range nodes {
-			played.belong(node, 0)
+			played.setCoordinator(node, 0)
 		}
 		played.play(3*time.Second, usual)
 		for range rapid.IntRange(1, 2).Draw(t, "changes") {
-			// A minority has no coordinator; the greater part may fall to two.
+			// A minority has no coordinator; the majority may have two.
 			cut := rapid.IntRange(0, nodes/2).Draw(t, "cut")
 			first, second := rapid.IntRange(0, 2).Draw(t, "first"), rapid.IntRange(-1, 2).Draw(t, "second")
 			for node := range nodes {
 				if node < cut {
-					played.belong(node, second)
+					played.setCoordinator(node, second)
 				} else {
-					played.belong(node, first)
+					played.setCoordinator(node, first)
 				}
 			}
 			played.play(time.Duration(rapid.IntRange(2000, 6000).Draw(t, "lasting"))*time.Millisecond, hotFirst)
 		}
-		g.Expect(played.worstOver(0)).To(BeNumerically("<", toleratedOver+slack+chance))
-		// Up to half of the nodes reach no coordinator, and serve by the part of one node.
-		g.Expect(played.refusedShare()).To(BeNumerically("<", 0.5))
+		g.Expect(played.worstOvershoot(0)).To(BeNumerically("<", toleratedOvershoot+slack+chance))
+		// Up to half of the nodes reach no coordinator, and serve by a single node's share.
+		g.Expect(played.rejectedShare()).To(BeNumerically("<", 0.5))
 	})
 }
 
-// TestALowerLimitIsInForceAtOnce lowers a limit far below what the tenant sends.
-func TestALowerLimitIsInForceAtOnce(t *testing.T) {
+// TestLimitChangeAppliesImmediately lowers a limit far below what the tenant sends, and raises it again.
+func TestLimitChangeAppliesImmediately(t *testing.T) {
 	g := NewWithT(t)
 	limited := &tenant.Tenant{Name: "a", Quota: tenant.Quota{Rate: 1000, Burst: 1000}}
-	keeper := NewCoordinator(Options{Tenant: func(string) *tenant.Tenant { return limited }, Nodes: func() int { return 1 }})
+	coordinator := NewCoordinator(Options{Tenant: func(string) *tenant.Tenant { return limited }, Nodes: func() int { return 1 }})
 	take := func(now time.Duration) bool {
-		return keeper.Take(now, Charge{Tenant: "a", Holder: "h", Units: 100}).Granted
+		return coordinator.Decide(now, Charge{Tenant: "a", Holder: "h", Units: 100}).Granted
 	}
 	granted := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
@@ -274,35 +274,35 @@
 	g.Expect(take(10*time.Second)).To(BeTrue(), "a higher limit is in force at once")
 }
 
-// TestWhatDidNotRunIsGivenBack charges, gives back, and charges again.
-func TestWhatDidNotRunIsGivenBack(t *testing.T) {
+// TestRefund charges, refunds, and charges again.
+func TestRefund(t *testing.T) {
 	g := NewWithT(t)
 	limited := &tenant.Tenant{Name: "a", Quota: tenant.Quota{Rate: 10, Burst: 1000}}
-	keeper := NewCoordinator(Options{Tenant: func(string) *tenant.Tenant { return limited }, Nodes: func() int { return 1 }})
-	g.Expect(keeper.Take(0, Charge{Tenant: "a", Holder: "h", Units: 400}).Granted).To(BeTrue())
-	g.Expect(keeper.Take(0, Charge{Tenant: "a", Holder: "h", Units: 400}).Granted).To(BeTrue())
-	refused := keeper.Take(0, Charge{Tenant: "a", Holder: "h", Units: 400})
-	g.Expect(refused.Granted).To(BeFalse())
-	g.Expect(refused.RetryAfter).To(Equal(longestRetryAfter))
-	keeper.Take(0, Charge{Holder: "h", Uses: []Use{{Tenant: "a", Unreported: -400}}})
-	g.Expect(keeper.Take(0, Charge{Tenant: "a", Holder: "h", Units: 400}).Granted).To(BeTrue())
+	coordinator := NewCoordinator(Options{Tenant: func(string) *tenant.Tenant { return limited }, Nodes: func() int { return 1 }})
+	g.Expect(coordinator.Decide(0, Charge{Tenant: "a", Holder: "h", Units: 400}).Granted).To(BeTrue())
+	g.Expect(coordinator.Decide(0, Charge{Tenant: "a", Holder: "h", Units: 400}).Granted).To(BeTrue())
+	rejected := coordinator.Decide(0, Charge{Tenant: "a", Holder: "h", Units: 400})
+	g.Expect(rejected.Granted).To(BeFalse())
+	g.Expect(rejected.RetryAfter).To(Equal(maxRetryAfter))
+	coordinator.Decide(0, Charge{Holder: "h", Usages: []Usage{{Tenant: "a", Unreported: -400}}})
+	g.Expect(coordinator.Decide(0, Charge{Tenant: "a", Holder: "h", Units: 400}).Granted).To(BeTrue())
 }
 
-// TestARequestAboveTheBurstIsServed has a single request cost more than the whole burst.
-func TestARequestAboveTheBurstIsServed(t *testing.T) {
+// TestRequestAboveBurstIsServed has a single request cost more than the whole burst.
+func TestRequestAboveBurstIsServed(t *testing.T) {
 	g := NewWithT(t)
 	limited := &tenant.Tenant{Name: "a", Quota: tenant.Quota{Rate: 100, Burst: 100}}
-	keeper := NewCoordinator(Options{Tenant: func(string) *tenant.Tenant { return limited }, Nodes: func() int { return 1 }})
+	coordinator := NewCoordinator(Options{Tenant: func(string) *tenant.Tenant { return limited }, Nodes: func() int { return 1 }})
 	large := Charge{Tenant: "a", Holder: "h", Units: 300}
-	g.Expect(keeper.Take(0, large).Granted).To(BeTrue())
-	later := keeper.Take(0, large)
+	g.Expect(coordinator.Decide(0, large).Granted).To(BeTrue())
+	later := coordinator.Decide(0, large)
 	g.Expect(later.Granted).To(BeFalse())
 	g.Expect(later.RetryAfter).To(Equal(3 * time.Second))
-	g.Expect(keeper.Take(3*time.Second, large).Granted).To(BeTrue())
+	g.Expect(coordinator.Decide(3*time.Second, large).Granted).To(BeTrue())
 }
 
-// BenchmarkTake is the work of the coordinator for one charge, among 13,000 tenants of 410 nodes.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkDecide measures the coordinator's work per charge, among 13,000 tenants of 410 nodes.
+func BenchmarkDecide(b *testing.B) {
 	const tenants, nodes = 13_000, 410
 	limited := map[string]*tenant.Tenant{}
 	names, holders := make([]string, tenants), make([]string, nodes)
@@ -313,15 +313,15 @@
 	for i := range holders {
 		holders[i] = fmt.Sprintf("10.0.%d.%d:8000", i/250, i%250)
 	}
-	keeper := NewCoordinator(Options{Tenant: func(name string) *tenant.Tenant { return limited[name] }, Nodes: func() int { return nodes }})
+	coordinator := NewCoordinator(Options{Tenant: func(name string) *tenant.Tenant { return limited[name] }, Nodes: func() int { return nodes }})
 	for _, name := range names {
-		keeper.Take(0, Charge{Tenant: name, Holder: holders[0]})
+		coordinator.Decide(0, Charge{Tenant: name, Holder: holders[0]})
 	}
 	now, i := time.Duration(0), 0
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 180 * time.Microsecond
 		i++
-		keeper.Take(now, Charge{Tenant: names[i%tenants], Holder: holders[i%nodes], Units: 200})
+		coordinator.Decide(now, Charge{Tenant: names[i%tenants], Holder: holders[i%nodes], Units: 200})
 	}
 }
--- a/quota/wire.go
+++ b/quota/wire.go
@@ -7,7 +7,7 @@
 
 func encodeCharge(charge Charge) *peerpb.ChargeQuota {
 	encoded := &peerpb.ChargeQuota{Tenant: charge.Tenant, Holder: charge.Holder, Units: charge.Units}
-	for _, use := range charge.Uses {
+	for _, use := range charge.Usages {
 		encoded.Uses = append(encoded.Uses, &peerpb.QuotaUse{Tenant: use.Tenant, Unreported: use.Unreported, Recent: use.Recent})
 	}
 	return encoded
@@ -16,7 +16,7 @@
 func decodeCharge(encoded *peerpb.ChargeQuota) Charge {
 	charge := Charge{Tenant: encoded.GetTenant(), Holder: encoded.GetHolder(), Units: max(0, encoded.GetUnits())}
 	for _, use := range encoded.GetUses() {
-		charge.Uses = append(charge.Uses, Use{Tenant: use.GetTenant(), Unreported: use.GetUnreported(), Recent: max(0, use.GetRecent())})
+		charge.Usages = append(charge.Usages, Usage{Tenant: use.GetTenant(), Unreported: use.GetUnreported(), Recent: max(0, use.GetRecent())})
 	}
 	return charge
 }
