--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,33 +1,32 @@
 package backend
 
-// State tells whether a back end takes new work.
+// State is whether a backend takes new work.
 type State string
 
-// The states of a back end.
+// States of a backend.
 const (
 	StateReady    State = "ready"
 	StateDraining State = "draining"
 )
 
-// Role is what an engine does. Back ends of plain services have none.
+// Role is the role of an engine. Backends of plain services have none.
 type Role string
 
-// The roles of engines.
+// Roles of engines.
 const (
 	RoleNone    Role = ""
 	RolePrefill Role = "prefill"
 	RoleDecode  Role = "decode"
 )
 
-// Backend is one life of a back end, as discovery tells it.
+// Backend is one incarnation of a backend, as described by discovery.
 type Backend struct {
-	// ID names this life: no other start of the back end has the same one, so that what is
-	// assigned, reserved, counted or believed by it ends with the life.
+	// ID identifies the incarnation: no other start of the backend has the same one, so that whatever is
+	// assigned, reserved, counted or recorded by it ends with the incarnation.
 	ID string
-	// RegisteredAs is the identifier that the back end keeps over its lives; empty where it is
-	// the ID.
+	// RegisteredAs is the identifier that the backend keeps over its incarnations; empty if that is the ID.
 	RegisteredAs string
-	// StartedAt is when this life began, as a Unix millisecond; zero if that is not known.
+	// StartedAt is when this incarnation started, as a Unix millisecond; zero if unknown.
 	StartedAt int64
 	Service   string
 	// Address is an IP address and port.
@@ -35,11 +34,11 @@
 	Zone    string
 	State   State
 	Role    Role
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
 }
 
-// name returns what the back end is registered as.
+// name returns the identifier that the backend is registered under.
 func (b Backend) name() string {
 	if b.RegisteredAs == "" {
 		return b.ID
--- a/backend/doc.go
+++ b/backend/doc.go
@@ -1,7 +1,6 @@
-// Package backend knows the back ends that requests can be sent to: where each
-// incarnation is, which service it belongs to, whether it takes new work, and
-// how it has answered this node lately.
+// Package backend tracks the backends that requests can be sent to: the address and service of each
+// incarnation, whether it takes new work, and how it has recently answered this node.
 //
-// A back end's identifier names one incarnation: after a restart it is another
-// back end, also at the same address.
+// A backend's identifier names one incarnation: after a restart it is another backend, also at the same
+// address.
 package backend
--- a/backend/entry.go
+++ b/backend/entry.go
@@ -8,55 +8,54 @@
 )
 
 const (
-	// failureHalfLife is the time in which a failure counts half as much.
+	// failureHalfLife is the half-life of a failure's weight.
 	failureHalfLife = 2 * time.Second
-	// outcomeWeight is the weight of one answer in the share of failures.
+	// outcomeWeight is the weight of one answer in the failure rate.
 	outcomeWeight = 0.2
-	// unsoundFailures is the number of recent failures above which a back end is
-	// given no work that can go elsewhere.
-	unsoundFailures = 0.7
+	// unhealthyFailures is the number of recent failures above which a backend gets no work that can go
+	// elsewhere.
+	unhealthyFailures = 0.7
 )
 
-// Entry is a back end together with what this node has seen of it. It is safe
-// for concurrent use.
+// Entry is a backend with this node's observations of it. It is safe for concurrent use.
 type Entry struct {
 	now     func() time.Time
 	backend atomic.Pointer[Backend]
 	pending atomic.Int64
-	// saidLeaving is set once the back end itself has said that it leaves. Its word is newer than
-	// what discovery tells, and lasts for this life.
-	saidLeaving atomic.Bool
-	// askedForBackoff is set once the back end has asked for backoff in this life, so that choosing
-	// among thousands of back ends locks none of those that never did.
-	askedForBackoff atomic.Bool
+	// announcedLeaving is set once the backend itself has announced that it leaves. Its notice is newer than
+	// discovery, and lasts for this incarnation.
+	announcedLeaving atomic.Bool
+	// requestedBackoff is set once this incarnation has requested backoff, so that choosing among thousands of
+	// backends locks none of those that never did.
+	requestedBackoff atomic.Bool
 
 	mu sync.Mutex
-	// seen is what this node has observed; nil for the most of thousands of back ends, to which it has
-	// never sent anything.
+	// seen holds this node's observations; nil for most of thousands of backends, to which it has never sent
+	// anything.
 	seen *observations
 }
 
-// observations are what a node has observed of one back end.
+// observations holds a node's observations of one backend.
 type observations struct {
 	// leavingAt is when it stopped taking new work, or was removed; zero while it takes work.
 	leavingAt time.Time
-	// failures counts those of late, older ones less.
+	// failures counts recent failures, weighted by age.
 	failures float64
-	// failing is the share of answers that failed, newer ones counting more. It
-	// falls by itself as well, so that the back end is tried again.
-	failing   float64
-	failureAt time.Time
-	// fullUntil is when a back end that refused for want of room is asked again.
+	// failureRate is the share of answers that failed, weighted towards newer ones. It also decays over time,
+	// so that the backend is tried again.
+	failureRate float64
+	failureAt   time.Time
+	// fullUntil is when a backend that rejected a request for lack of capacity may be used again.
 	fullUntil time.Time
 	backoff   backoffPeriod
-	// heardAt is when the back end last said anything of itself, as a Unix millisecond by this node.
-	heardAt int64
+	// noticeAt is when the backend last sent a notice, as a Unix millisecond by this node's clock.
+	noticeAt int64
 }
 
-// backoffPeriod is from when until when a back end wants no request from this node.
+// backoffPeriod is the time in which a backend wants no request from this node.
 type backoffPeriod struct{ from, until time.Time }
 
-// observed returns the observations to change; the lock is held.
+// observed returns the observations for modification; the lock is held.
 func (e *Entry) observed() *observations {
 	if e.seen == nil {
 		e.seen = &observations{}
@@ -64,7 +63,7 @@
 	return e.seen
 }
 
-// observations returns a copy of what was observed so far.
+// observations returns a copy of the observations.
 func (e *Entry) observations() observations {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,7 +82,7 @@
 // Backend returns the current description.
 func (e *Entry) Backend() Backend { return *e.backend.Load() }
 
-// ID names the life of the back end; it never changes.
+// ID identifies the backend's incarnation; it never changes.
 func (e *Entry) ID() string { return e.backend.Load().ID }
 
 func (e *Entry) set(updated Backend) bool {
@@ -91,22 +90,22 @@
 		return false
 	}
 	e.backend.Store(&updated)
-	e.noteLeaving(updated.State != StateReady)
+	e.setLeaving(updated.State != StateReady)
 	return true
 }
 
-// TakesWork reports whether the back end takes new work, by its own word and by what discovery tells.
+// TakesWork reports whether the backend takes new work, by its own notices and by discovery.
 func (e *Entry) TakesWork() bool {
-	return e.backend.Load().State == StateReady && !e.saidLeaving.Load()
+	return e.backend.Load().State == StateReady && !e.announcedLeaving.Load()
 }
 
-// noteLeaving notes whether discovery tells that the back end still takes new work.
-func (e *Entry) noteLeaving(leaving bool) {
+// setLeaving records whether the backend has stopped taking new work according to discovery.
+func (e *Entry) setLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case e.saidLeaving.Load():
-		// What discovery tells may be older.
+	case e.announcedLeaving.Load():
+		// Discovery may be older than the notice.
 	case !leaving:
 		e.observed().leavingAt = time.Time{}
 	case e.observed().leavingAt.IsZero():
@@ -114,8 +113,8 @@
 	}
 }
 
-// LeavingFor returns how long ago the back end stopped taking new work, or was removed; zero
-// while it takes work.
+// LeavingFor returns how long ago the backend stopped taking new work, or was removed; zero while it takes
+// work.
 func (e *Entry) LeavingFor() time.Duration {
 	leavingAt := e.observations().leavingAt
 	if leavingAt.IsZero() {
@@ -124,50 +123,49 @@
 	return e.now().Sub(leavingAt)
 }
 
-// Begin counts a request that this node has under way there. The function that
-// it returns ends it.
+// Begin counts a request that this node has in flight there. The returned function ends it.
 func (e *Entry) Begin() func() {
 	e.pending.Add(1)
 	var once sync.Once
 	return func() { once.Do(func() { e.pending.Add(-1) }) }
 }
 
-// Pending returns how many requests this node has under way there.
+// Pending returns the number of requests that this node has in flight there.
 func (e *Entry) Pending() int { return int(e.pending.Load()) }
 
-// RecordFailure notes a failure of the back end itself.
+// RecordFailure records a failure of the backend itself.
 func (e *Entry) RecordFailure() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now, seen := e.now(), e.observed()
 	seen.failures = seen.decayed(seen.failures, now) + 1
-	seen.failing = seen.decayed(seen.failing, now)
-	seen.failing += outcomeWeight * (1 - seen.failing)
+	seen.failureRate = seen.decayed(seen.failureRate, now)
+	seen.failureRate += outcomeWeight * (1 - seen.failureRate)
 	seen.failureAt = now
 }
 
-// RecordSuccess notes an answer.
+// RecordSuccess records an answer.
 func (e *Entry) RecordSuccess() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.seen != nil {
-		e.seen.failing -= outcomeWeight * e.seen.failing
+		e.seen.failureRate -= outcomeWeight * e.seen.failureRate
 	}
 }
 
-// FailureRate returns the share of requests that seem to fail there.
+// FailureRate returns the estimated share of requests that fail there.
 func (e *Entry) FailureRate() float64 {
 	seen := e.observations()
-	return seen.decayed(seen.failing, e.now())
+	return seen.decayed(seen.failureRate, e.now())
 }
 
-// Healthy reports whether the back end has not failed lately.
+// Healthy reports whether the backend has not failed recently.
 func (e *Entry) Healthy() bool {
 	seen := e.observations()
-	return seen.decayed(seen.failures, e.now()) <= unsoundFailures
+	return seen.decayed(seen.failures, e.now()) <= unhealthyFailures
 }
 
-// decayed returns a value of the time of the last failure as of now.
+// decayed returns a value that held at the last failure, decayed to now.
 func (o observations) decayed(value float64, now time.Time) float64 {
 	if value == 0 {
 		return 0
@@ -175,12 +173,12 @@
 	return value * math.Exp2(-now.Sub(o.failureAt).Seconds()/failureHalfLife.Seconds())
 }
 
-// MarkFull notes that the back end has no capacity until the given time has passed.
-func (e *Entry) MarkFull(lasting time.Duration) {
+// MarkFull records that the backend has no capacity for the given time.
+func (e *Entry) MarkFull(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.observed().fullUntil = e.now().Add(lasting)
+	e.observed().fullUntil = e.now().Add(duration)
 }
 
-// IsFull reports whether the back end was full a short time ago.
+// IsFull reports whether the backend has recently been full.
 func (e *Entry) IsFull() bool { return e.now().Before(e.observations().fullUntil) }
--- a/backend/memory_test.go
+++ b/backend/memory_test.go
@@ -11,8 +11,8 @@
 	"github.com/reelrun/reelrun/backend"
 )
 
-// bytesOfEach returns how much memory each of so many back ends takes that this node has sent nothing to.
-func bytesOfEach(count int) float64 {
+// bytesPerBackend returns the memory per backend of a registry of backends to which this node has sent nothing.
+func bytesPerBackend(count int) float64 {
 	before := heapInUse()
 	registry := backend.NewRegistry(time.Now)
 	for i := range count {
@@ -35,12 +35,12 @@
 	return int64(stats.HeapAlloc)
 }
 
-// TestABackEndTakesLittleMemory bounds what each node of a large fleet holds of each of 10,000 and 20,000
-// back ends, most of which it never sends anything to.
-func TestABackEndTakesLittleMemory(t *testing.T) {
+// TestMemoryPerBackend bounds what each node of a large fleet stores per backend, with 10,000 and 20,000
+// backends, most of which it never sends anything to.
+func TestMemoryPerBackend(t *testing.T) {
 	for _, count := range []int{10_000, 20_000} {
-		bytes := bytesOfEach(count)
-		t.Logf("%d back ends: %.0f bytes each", count, bytes)
+		bytes := bytesPerBackend(count)
+		t.Logf("%d backends: %.0f bytes each", count, bytes)
 		NewWithT(t).Expect(bytes).To(BeNumerically("<", 400))
 	}
 }
--- a/backend/notice.go
+++ b/backend/notice.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Notice is what a back end says of itself in an answer, beside the answer.
+// Notice is what a backend announces about itself beside an answer.
 type Notice struct {
-	// Leaving is set where it is about to end and wants no new requests.
+	// Leaving is set if it is about to end and wants no new requests.
 	Leaving bool
-	// Backoff is how long it wants no request from this node; zero where it did not ask for backoff.
+	// Backoff is how long it wants no request from this node; zero if it did not request backoff.
 	Backoff time.Duration
 }
 
-// IsEmpty reports whether the back end has said nothing.
+// IsEmpty reports whether the notice announces nothing.
 func (n Notice) IsEmpty() bool { return n == Notice{} }
 
-// Observer is called with what a back end has said in an answer, before the answer is used.
-type Observer func(target Backend, said Notice)
+// Observer is called with a backend's notice before the answer is used.
+type Observer func(target Backend, notice Notice)
 
-// heard notes what the back end has said of itself at a Unix millisecond. It reports what of that was not
-// known.
-func (e *Entry) heard(said Notice, at int64) Notice {
-	if said.IsEmpty() {
+// recordNotice records a notice received at a Unix millisecond. It returns the part of it that changed the
+// entry.
+func (e *Entry) recordNotice(notice Notice, at int64) Notice {
+	if notice.IsEmpty() {
 		return Notice{}
 	}
-	news := Notice{Leaving: said.Leaving && e.heardLeaving(), Backoff: e.heardBackoff(said.Backoff)}
+	changed := Notice{Leaving: notice.Leaving && e.recordLeaving(), Backoff: e.recordBackoff(notice.Backoff)}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.observed().heardAt = at
-	return news
+	e.observed().noticeAt = at
+	return changed
 }
 
-// heardLeaving notes that the back end has said that it leaves. It reports whether that is news.
-func (e *Entry) heardLeaving() bool {
+// recordLeaving records that the backend announced that it leaves. It reports whether that is a change.
+func (e *Entry) recordLeaving() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.saidLeaving.CompareAndSwap(false, true) {
+	if !e.announcedLeaving.CompareAndSwap(false, true) {
 		return false
 	}
 	if seen := e.observed(); seen.leavingAt.IsZero() {
@@ -42,13 +42,13 @@
 	return true
 }
 
-// heardBackoff notes for how long the back end wants no request. It returns that time where it begins a
-// backoff, and zero where the back end is in backoff already or wants none.
-func (e *Entry) heardBackoff(backoff time.Duration) time.Duration {
+// recordBackoff records for how long the backend wants no request. It returns that time if it begins a backoff,
+// and zero if the backend is in backoff already or wants none.
+func (e *Entry) recordBackoff(backoff time.Duration) time.Duration {
 	if backoff == 0 {
 		return 0
 	}
-	e.askedForBackoff.Store(true)
+	e.requestedBackoff.Store(true)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now, period := e.now(), &e.observed().backoff
@@ -65,16 +65,16 @@
 	return backoff
 }
 
-// BackoffRemaining returns for how much longer the back end wants no request from this node; zero where it is
-// not in backoff.
+// BackoffRemaining returns for how much longer the backend wants no request from this node; zero if it is not
+// in backoff.
 func (e *Entry) BackoffRemaining() time.Duration {
-	if !e.askedForBackoff.Load() {
+	if !e.requestedBackoff.Load() {
 		return 0
 	}
 	return max(0, e.observations().backoff.until.Sub(e.now()))
 }
 
-// BackingOffFor returns how long ago the backoff began that the back end is in; zero where it has none.
+// BackingOffFor returns how long ago the current backoff began; zero if there is none.
 func (e *Entry) BackingOffFor() time.Duration {
 	now, period := e.now(), e.observations().backoff
 	if !now.Before(period.until) {
@@ -83,42 +83,43 @@
 	return now.Sub(period.from)
 }
 
-// isWithheld reports whether the back end has said something for which this node gives it no work now.
-func (e *Entry) isWithheld() bool { return e.saidLeaving.Load() || e.BackoffRemaining() > 0 }
+// isWithheld reports whether this node gives the backend no work now because of a notice.
+func (e *Entry) isWithheld() bool { return e.announcedLeaving.Load() || e.BackoffRemaining() > 0 }
 
-// adopt takes over what the same life said before its entry was removed for a while.
+// adopt takes over the notices that the same incarnation sent before its entry was removed for a while.
 func (e *Entry) adopt(before *Entry) {
-	if before.saidLeaving.Load() {
-		e.heardLeaving()
+	if before.announcedLeaving.Load() {
+		e.recordLeaving()
 	}
-	if before.askedForBackoff.Load() {
+	if before.requestedBackoff.Load() {
 		e.setBackoff(before.observations().backoff)
 	}
 }
 
-// setBackoff puts a backoff into force in place of any other.
+// setBackoff replaces the backoff.
 func (e *Entry) setBackoff(period backoffPeriod) {
-	e.askedForBackoff.Store(true)
+	e.requestedBackoff.Store(true)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.observed().backoff = period
 }
 
-// unsureLeaving is how long a new life is given nothing where it may be the one that said that it leaves. It
-// is a few times as long as back ends serve on (2 to 3 s on the sites' sheets); if it does leave, its next
-// answer or its entry says so, and if clocks disagree, and it was the life before, it is used again.
-const unsureLeaving = 10 * time.Second
+// uncertainLeavingBackoff is how long a new incarnation gets no work if it may be the one that announced that
+// it leaves. It is a few times as long as backends continue to serve after that (2 to 3 s on the sites'
+// sheets). If it does leave, its next answer or its entry shows it; if clocks disagree, and the previous
+// incarnation had announced it, the new one is used again.
+const uncertainLeavingBackoff = 10 * time.Second
 
-// inherit takes over what was heard from the life before, if that was not before this one began. It
-// reports whether there was anything.
+// inherit takes over the notices received from the previous incarnation, unless they came before this one
+// started. It reports whether there were any.
 func (e *Entry) inherit(before *Entry) bool {
 	seen := before.observations()
-	if seen.heardAt < e.Backend().StartedAt {
+	if seen.noticeAt < e.Backend().StartedAt {
 		return false
 	}
 	now, period := e.now(), seen.backoff
-	if before.saidLeaving.Load() {
-		period = backoffPeriod{from: now, until: now.Add(unsureLeaving)}
+	if before.announcedLeaving.Load() {
+		period = backoffPeriod{from: now, until: now.Add(uncertainLeavingBackoff)}
 	}
 	if !now.Before(period.until) {
 		return false
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -8,69 +8,67 @@
 	"time"
 )
 
-// Registry holds the back ends that discovery tells of. It is safe for
-// concurrent use.
+// Registry holds the backends found by discovery. It is safe for concurrent use.
 type Registry struct {
 	now func() time.Time
-	// timeOfDay is compared with the times at which lives began.
-	timeOfDay func() time.Time
+	// wallClock is compared with the start times of incarnations.
+	wallClock func() time.Time
 
 	mu   sync.RWMutex
 	byID map[string]*Entry
-	// lives holds the current life of each back end by what it is registered as, where that is another
-	// name than its identifier.
-	lives map[string]*Entry
-	// services holds the entries of each service in the order of their identifiers.
+	// currentByName holds the current incarnation of each backend by the name that it is registered under, if
+	// that differs from its identifier.
+	currentByName map[string]*Entry
+	// services holds the entries of each service, sorted by identifier.
 	services map[string][]*Entry
-	// groups holds the same entries by service, role and zone, so that a few are found without a look at
-	// all.
+	// groups holds the same entries by service, role and zone, so that a few can be found without iterating
+	// over all.
 	groups map[group][]*Entry
-	// notices are the entries of back ends that have said something of themselves.
+	// notices are the entries of backends that have sent a notice.
 	notices map[string]*Entry
-	// departed are removed lives that had said something of themselves.
-	departed map[string]departedLife
-	synced   bool
+	// removed holds removed incarnations that had sent a notice.
+	removed map[string]removedEntry
+	synced  bool
 }
 
-// departedLife is a removed life and when it was removed.
-type departedLife struct {
+// removedEntry is the entry of a removed incarnation and the time of its removal.
+type removedEntry struct {
 	entry *Entry
 	at    time.Time
 }
 
-// departedMemory is how long the word of a life is remembered once that has been removed. An entry lapses
-// while the store is away, and is written once more within seconds of its return, for a moment also as
-// it was before. A back end without a time of birth that leaves and starts again under its identifier
-// is used after this time.
-const departedMemory = time.Minute
+// removedLifetime is how long the notices of a removed incarnation are kept. An entry expires while the store
+// is unavailable, and is written again within seconds of its return, for a moment also in its previous form. A
+// backend without a start time that leaves and restarts under its identifier is used after this time.
+const removedLifetime = time.Minute
 
 // NewRegistry returns an empty registry. The clock must be monotonic.
 func NewRegistry(now func() time.Time) *Registry {
 	return &Registry{
-		now: now, timeOfDay: time.Now, byID: map[string]*Entry{}, lives: map[string]*Entry{}, services: map[string][]*Entry{}, groups: map[group][]*Entry{},
-		notices: map[string]*Entry{}, departed: map[string]departedLife{},
+		now: now, wallClock: time.Now, byID: map[string]*Entry{}, currentByName: map[string]*Entry{}, services: map[string][]*Entry{}, groups: map[group][]*Entry{},
+		notices: map[string]*Entry{}, removed: map[string]removedEntry{},
 	}
 }
 
-// SetWallClock replaces the clock that is compared with the times at which lives began. Default time.Now. It
-// is called before all other calls.
-func (r *Registry) SetWallClock(timeOfDay func() time.Time) { r.timeOfDay = timeOfDay }
+// SetWallClock replaces the clock that is compared with the start times of incarnations. Default time.Now. It
+// is called before all other methods.
+func (r *Registry) SetWallClock(wallClock func() time.Time) { r.wallClock = wallClock }
 
-// Synced reports whether a whole list of back ends has been seen.
+// Synced reports whether a complete list of backends has been received.
 func (r *Registry) Synced() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.synced
 }
 
-// SetSynced notes that a whole list of back ends has been taken over.
+// SetSynced records that a complete list of backends has been received.
 func (r *Registry) SetSynced() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.synced = true
 }
 
-// Update takes over one back end. It reports whether anything changed.
+// Update adds or updates one backend. It reports whether anything changed.
 func (r *Registry) Update(updated Backend) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,9 +81,9 @@
 		entry = newEntry(updated, r.now)
 		r.byID[updated.ID] = entry
 		if name != updated.ID {
-			r.lives[name] = entry
+			r.currentByName[name] = entry
 		}
-		r.recall(entry)
+		r.restore(entry)
 		r.inherit(entry)
 		r.insert(entry)
 		return true
@@ -94,26 +92,26 @@
 	if before == updated {
 		return false
 	}
-	isElsewhere := groupOf(before) != groupOf(updated)
-	if isElsewhere {
+	isMoved := groupOf(before) != groupOf(updated)
+	if isMoved {
 		r.delete(before)
 	}
 	entry.set(updated)
-	if isElsewhere {
+	if isMoved {
 		r.insert(entry)
 	}
 	return true
 }
 
-// Remove forgets one life of a back end. It reports whether that was known.
+// Remove removes one incarnation of a backend. It reports whether it was present.
 func (r *Registry) Remove(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.remove(id)
 }
 
-// RemoveRegistered forgets the current life of a back end by what it is registered as. It reports
-// whether there was one.
+// RemoveRegistered removes the current incarnation of a backend by its registered name. It reports whether
+// there was one.
 func (r *Registry) RemoveRegistered(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,9 +119,9 @@
 	return entry != nil && r.remove(entry.ID())
 }
 
-// current returns the current life of a back end by what it is registered as, or nil; the lock is held.
+// current returns the current incarnation of a backend by its registered name, or nil; the lock is held.
 func (r *Registry) current(name string) *Entry {
-	if entry := r.lives[name]; entry != nil {
+	if entry := r.currentByName[name]; entry != nil {
 		return entry
 	}
 	if entry := r.byID[name]; entry != nil && entry.Backend().name() == name {
@@ -132,24 +130,24 @@
 	return nil
 }
 
-// remove forgets one life of a back end; the lock is held.
+// remove removes one incarnation of a backend; the lock is held.
 func (r *Registry) remove(id string) bool {
 	entry := r.byID[id]
 	if entry == nil {
 		return false
 	}
-	entry.noteLeaving(true)
+	entry.setLeaving(true)
 	delete(r.byID, id)
-	r.depart(entry)
-	if name := entry.Backend().name(); r.lives[name] == entry {
-		delete(r.lives, name)
+	r.retire(entry)
+	if name := entry.Backend().name(); r.currentByName[name] == entry {
+		delete(r.currentByName, name)
 	}
 	r.delete(entry.Backend())
 	return true
 }
 
-// depart remembers a removed life that has said something of itself; the lock is held.
-func (r *Registry) depart(entry *Entry) {
+// retire keeps a removed incarnation that has sent a notice; the lock is held.
+func (r *Registry) retire(entry *Entry) {
 	id := entry.Backend().ID
 	delete(r.notices, id)
 	if entry.isWithheld() {
@@ -157,59 +155,60 @@
 	}
 }
 
-// remember keeps what a life without an entry has said of itself; the lock is held.
+// remember keeps the notices of an incarnation without an entry; the lock is held.
 func (r *Registry) remember(id string, entry *Entry) {
 	now := r.now()
-	maps.DeleteFunc(r.departed, func(_ string, life departedLife) bool { return now.Sub(life.at) > departedMemory })
-	r.departed[id] = departedLife{entry, now}
+	maps.DeleteFunc(r.removed, func(_ string, kept removedEntry) bool { return now.Sub(kept.at) > removedLifetime })
+	r.removed[id] = removedEntry{entry, now}
 }
 
-// recall has a life that discovery tells of once more keep to what it has said; the lock is held.
-func (r *Registry) recall(entry *Entry) {
+// restore applies the kept notices of an incarnation that discovery describes again; the lock is held.
+func (r *Registry) restore(entry *Entry) {
 	id := entry.Backend().ID
-	if life, known := r.departed[id]; known && r.now().Sub(life.at) <= departedMemory {
-		entry.adopt(life.entry)
+	if kept, known := r.removed[id]; known && r.now().Sub(kept.at) <= removedLifetime {
+		entry.adopt(kept.entry)
 		r.notices[id] = entry
 	}
 }
 
-// inherit has a new life keep to what was heard from the life before at a time when it had begun already:
-// answers do not name the life that gave them, and discovery tells of a new one late; the lock is held.
-// Without it a back end that had asked for backoff before it was known had three requests meanwhile.
+// inherit applies to a new incarnation the notices attributed to the previous one after the new one had
+// started; the lock is held: answers do not name the incarnation that gave them, and discovery describes a new
+// one late. Without this, a backend that had requested backoff before it was discovered got three requests
+// meanwhile.
 func (r *Registry) inherit(entry *Entry) {
 	current := entry.Backend()
 	if current.StartedAt == 0 {
 		return
 	}
-	for id, life := range r.departed {
-		if id != current.ID && life.entry.Backend().name() == current.name() && entry.inherit(life.entry) {
+	for id, kept := range r.removed {
+		if id != current.ID && kept.entry.Backend().name() == current.name() && entry.inherit(kept.entry) {
 			r.notices[current.ID] = entry
 		}
 	}
 }
 
-// insert puts an entry into the lists; the lock is held. A node that starts takes over thousands of
-// entries one by one, so that a list is never built anew.
+// insert adds an entry to the lists; the lock is held. A starting node adds thousands of entries one by one, so
+// lists are never rebuilt.
 func (r *Registry) insert(entry *Entry) {
 	described := entry.Backend()
 	insertInto(r.services, described.Service, entry)
 	insertInto(r.groups, groupOf(described), entry)
 }
 
-// delete takes the entry of a description out of the lists; the lock is held.
+// delete removes the entry of a description from the lists; the lock is held.
 func (r *Registry) delete(described Backend) {
 	deleteFrom(r.services, described.Service, described.ID)
 	deleteFrom(r.groups, groupOf(described), described.ID)
 }
 
-// insertInto puts an entry into one of some lists.
+// insertInto adds an entry to the list of a key.
 func insertInto[K comparable](lists map[K][]*Entry, key K, entry *Entry) {
 	entries := lists[key]
 	position, _ := find(entries, entry.ID())
 	lists[key] = slices.Insert(entries, position, entry)
 }
 
-// deleteFrom takes an identifier out of one of some lists.
+// deleteFrom removes an identifier from the list of a key.
 func deleteFrom[K comparable](lists map[K][]*Entry, key K, id string) {
 	entries := lists[key]
 	position, found := find(entries, id)
@@ -224,14 +223,14 @@
 	lists[key] = entries
 }
 
-// find returns where an identifier is, or would be, in a list.
+// find returns the position of an identifier in a list, or where it would be inserted.
 func find(entries []*Entry, id string) (position int, found bool) {
 	return slices.BinarySearchFunc(entries, id, func(entry *Entry, id string) int {
 		return strings.Compare(entry.ID(), id)
 	})
 }
 
-// Ready returns the back ends of a service that take new work in a role.
+// Ready returns the backends of a service that take new work in a role.
 func (r *Registry) Ready(service string, role Role) []*Entry {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -244,40 +243,40 @@
 	return ready
 }
 
-// Lookup returns a back end, or nil.
+// Lookup returns a backend, or nil.
 func (r *Registry) Lookup(id string) *Entry {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.byID[id]
 }
 
-// RecordNotice notes what a life of a back end has said of itself in an answer. It reports what of that was not
-// known. Its entry may have lapsed meanwhile, and be written once more as it was.
-func (r *Registry) RecordNotice(target Backend, said Notice) Notice {
+// RecordNotice records the notice of a backend incarnation. It returns the part of it that was not known. Its
+// entry may have expired meanwhile, and be written again in its previous form.
+func (r *Registry) RecordNotice(target Backend, notice Notice) Notice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	entry := r.byID[target.ID]
 	if entry == nil {
-		entry = r.departedEntry(target)
+		entry = r.removedEntryOf(target)
 	} else {
 		maps.DeleteFunc(r.notices, func(_ string, known *Entry) bool { return !known.isWithheld() })
 		r.notices[target.ID] = entry
 	}
-	return entry.heard(said, r.timeOfDay().UnixMilli())
+	return entry.recordNotice(notice, r.wallClock().UnixMilli())
 }
 
-// departedEntry returns the entry of a life that discovery does not tell of; the lock is held.
-func (r *Registry) departedEntry(target Backend) *Entry {
-	life, known := r.departed[target.ID]
+// removedEntryOf returns the entry of an incarnation that discovery does not describe; the lock is held.
+func (r *Registry) removedEntryOf(target Backend) *Entry {
+	kept, known := r.removed[target.ID]
 	if !known {
-		life.entry = newEntry(target, r.now)
+		kept.entry = newEntry(target, r.now)
 	}
-	r.remember(target.ID, life.entry)
-	return life.entry
+	r.remember(target.ID, kept.entry)
+	return kept.entry
 }
 
-// Withheld returns the back ends of a service that this node gives no work because of their own word,
-// whatever other nodes know of them.
+// Withheld returns the backends of a service that get no work from this node because of their notices, whatever
+// other nodes know of them.
 func (r *Registry) Withheld(service string) []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -290,8 +289,8 @@
 	return withheld
 }
 
-// ServiceBackoff returns how long it is until the first back end of a service and role wants requests from
-// this node again, where all that take work are in backoff; zero where one is not, or there is none.
+// ServiceBackoff returns the time until the first backend of a service and role accepts requests from this node
+// again, if all that take work are in backoff; zero if one is not, or there is none.
 func (r *Registry) ServiceBackoff(service string, role Role) time.Duration {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -303,18 +302,18 @@
 		if entry.backend.Load().Role != role || !entry.TakesWork() {
 			continue
 		}
-		left := entry.BackoffRemaining()
-		if left == 0 {
+		remaining := entry.BackoffRemaining()
+		if remaining == 0 {
 			return 0
 		}
-		if shortest == 0 || left < shortest {
-			shortest = left
+		if shortest == 0 || remaining < shortest {
+			shortest = remaining
 		}
 	}
 	return shortest
 }
 
-// CountReady returns how many back ends of all services take new work in a role.
+// CountReady returns how many backends of all services take new work in a role.
 func (r *Registry) CountReady(role Role) int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/backend/registry_test.go
+++ b/backend/registry_test.go
@@ -12,7 +12,7 @@
 	"github.com/reelrun/reelrun/backend"
 )
 
-// drawBackend draws one of a few back ends, which change their service, role and state.
+// drawBackend draws one of a few backends, which change their service, role and state.
 func drawBackend(t *rapid.T) backend.Backend {
 	return backend.Backend{
 		ID:      rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "id"),
@@ -22,7 +22,7 @@
 	}
 }
 
-// readyOf is what Ready is to return, from all back ends by their identifiers.
+// readyOf returns the expected result of Ready, from all backends by their identifiers.
 func readyOf(all map[string]backend.Backend, service string, role backend.Role) []string {
 	var ids []string
 	for id, current := range all {
@@ -59,16 +59,16 @@
 					ids = append(ids, entry.Backend().ID)
 				}
 				if wanted := readyOf(all, service, backend.RoleDecode); fmt.Sprint(ids) != fmt.Sprint(wanted) {
-					t.Fatalf("%v in place of %v", ids, wanted)
+					t.Fatalf("got %v, want %v", ids, wanted)
 				}
 			}
 		}
 	})
 }
 
-// TestUpdateDoesNotGrowWithTheRegistry takes over the state of one of many back ends. A node
-// that starts does so for each of them.
-func TestUpdateDoesNotGrowWithTheRegistry(t *testing.T) {
+// TestUpdateCostIsIndependentOfRegistrySize updates the state of one of many backends. A starting node does so
+// for each of them.
+func TestUpdateCostIsIndependentOfRegistrySize(t *testing.T) {
 	const many = 3000
 	g := NewWithT(t)
 	registry := backend.NewRegistry(time.Now)
@@ -84,21 +84,21 @@
 	g.Expect(allocations).To(BeNumerically("<", 5))
 }
 
-// TestANewLifeReplacesTheOneBefore has a back end start again under what it is registered as: what
-// was believed of the life before ends with it.
-func TestANewLifeReplacesTheOneBefore(t *testing.T) {
+// TestNewIncarnationReplacesPrevious has a backend restart under its registered name: the observations of the
+// previous incarnation end with it.
+func TestNewIncarnationReplacesPrevious(t *testing.T) {
 	g := NewWithT(t)
 	registry := backend.NewRegistry(time.Now)
-	life := func(born int64) backend.Backend {
+	incarnationAt := func(startedAt int64) backend.Backend {
 		return backend.Backend{
-			ID: fmt.Sprintf("a@%d", born), RegisteredAs: "a", StartedAt: born, Service: "first", State: backend.StateReady,
+			ID: fmt.Sprintf("a@%d", startedAt), RegisteredAs: "a", StartedAt: startedAt, Service: "first", State: backend.StateReady,
 		}
 	}
-	registry.Update(life(1))
+	registry.Update(incarnationAt(1))
 	before := registry.Lookup("a@1")
 	before.RecordFailure()
 	before.MarkFull(time.Hour)
-	g.Expect(registry.Update(life(2))).To(BeTrue())
+	g.Expect(registry.Update(incarnationAt(2))).To(BeTrue())
 	g.Expect(registry.Lookup("a@1")).To(BeNil())
 	g.Expect(before.LeavingFor()).To(BeNumerically(">", 0))
 	current := registry.Lookup("a@2")
--- a/backend/sample_test.go
+++ b/backend/sample_test.go
@@ -14,7 +14,7 @@
 	"github.com/reelrun/reelrun/backend"
 )
 
-// manyBackends returns a registry of so many back ends of one service in five zones.
+// manyBackends returns a registry of count backends of one service in five zones.
 func manyBackends(count int) *backend.Registry {
 	registry := backend.NewRegistry(time.Now)
 	for i := range count {
@@ -26,9 +26,9 @@
 	return registry
 }
 
-// TestASampleIsOfThoseThatTakeWork draws samples of services of all sizes, some of whose back ends leave,
-// change their role or their zone.
-func TestASampleIsOfThoseThatTakeWork(t *testing.T) {
+// TestSampleIsOfReadyBackends draws samples of services of all sizes, some of whose backends leave, or change
+// their role or zone.
+func TestSampleIsOfReadyBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry := backend.NewRegistry(time.Now)
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
@@ -42,19 +42,19 @@
 			}
 		}
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		wanted := backend.SampleOptions{
+		options := backend.SampleOptions{
 			Service: "first", Role: backend.RoleDecode, Count: rapid.IntRange(1, 20).Draw(t, "count"),
 			Zone: rapid.SampledFrom([]string{"", "a"}).Draw(t, "wanted zone"),
 		}
-		all := slices.DeleteFunc(registry.Ready(wanted.Service, wanted.Role), func(entry *backend.Entry) bool {
-			return wanted.Zone != "" && entry.Backend().Zone != wanted.Zone
+		all := slices.DeleteFunc(registry.Ready(options.Service, options.Role), func(entry *backend.Entry) bool {
+			return options.Zone != "" && entry.Backend().Zone != options.Zone
 		})
-		drawn, isAll := registry.Sample(wanted, random.IntN)
+		drawn, isAll := registry.Sample(options, random.IntN)
 		if isAll && !slices.Equal(drawn, all) {
-			t.Fatalf("%d are said to be all %d", len(drawn), len(all))
+			t.Fatalf("got %d as all %d", len(drawn), len(all))
 		}
-		if len(drawn) > wanted.Count {
-			t.Fatalf("%d drawn, %d wanted", len(drawn), wanted.Count)
+		if len(drawn) > options.Count {
+			t.Fatalf("%d drawn, %d wanted", len(drawn), options.Count)
 		}
 		for i, entry := range drawn {
 			if !slices.Contains(all, entry) || i > 0 && drawn[i-1].ID() >= entry.ID() {
@@ -64,21 +64,22 @@
 	})
 }
 
-// TestFewBackEndsAreLookedAtWhole draws from as many as are to be looked at whole, and from one more.
-func TestFewBackEndsAreLookedAtWhole(t *testing.T) {
-	const whole = 60
+// TestSampleReturnsAllOfFew draws from the largest number of backends of which all are returned, and from one
+// more.
+func TestSampleReturnsAllOfFew(t *testing.T) {
+	const allUpTo = 60
 	g := NewWithT(t)
-	wanted := backend.SampleOptions{Service: "s", Role: backend.RoleDecode, Count: 32, AllUpTo: whole}
-	drawn, isAll := manyBackends(whole).Sample(wanted, rand.IntN)
+	options := backend.SampleOptions{Service: "s", Role: backend.RoleDecode, Count: 32, AllUpTo: allUpTo}
+	drawn, isAll := manyBackends(allUpTo).Sample(options, rand.IntN)
 	g.Expect(isAll).To(BeTrue())
-	g.Expect(drawn).To(HaveLen(whole))
-	drawn, isAll = manyBackends(whole+1).Sample(wanted, rand.IntN)
+	g.Expect(drawn).To(HaveLen(allUpTo))
+	drawn, isAll = manyBackends(allUpTo+1).Sample(options, rand.IntN)
 	g.Expect(isAll).To(BeFalse())
-	g.Expect(len(drawn)).To(BeNumerically("<=", wanted.Count))
+	g.Expect(len(drawn)).To(BeNumerically("<=", options.Count))
 }
 
-// TestASampleCostsTheSameAmongMany counts what a sample of 10,000 and of 20,000 back ends allocates.
-func TestASampleCostsTheSameAmongMany(t *testing.T) {
+// TestSampleCostIsConstant compares the allocations of a sample of 100, 10,000 and 20,000 backends.
+func TestSampleCostIsConstant(t *testing.T) {
 	g := NewWithT(t)
 	allocations := func(count int) float64 {
 		registry := manyBackends(count)
@@ -90,8 +91,8 @@
 	g.Expect(allocations(20_000)).To(BeNumerically("<=", allocations(100)))
 }
 
-// TestSamplesSpreadOverAll draws as often as a large service has requests in a minute.
-func TestSamplesSpreadOverAll(t *testing.T) {
+// TestSampleIsUniform draws as many samples as a large service has requests in a minute.
+func TestSampleIsUniform(t *testing.T) {
 	const (
 		backends = 1350
 		draws    = 20_000
