--- a/claim/client.go
+++ b/claim/client.go
@@ -11,29 +11,28 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// callTimeout bounds the wait for a claim shard's owner, and then for the node
-// that would follow it. It is above the time an owner takes to give a write up.
+// callTimeout bounds the wait for a claim shard's owner, and then for its successor. It is above the time after
+// which an owner gives up a write.
 const callTimeout = writeTimeout + 200*time.Millisecond
 
-// OwnerCaller calls the owner of a key, or the node that would follow it.
+// OwnerCaller calls the owner of a key, or its successor.
 type OwnerCaller interface {
-	CallOwnerOrSuccessor(ctx context.Context, key string, timeout time.Duration, build func(try int) *peerpb.Request) (*peerpb.Response, membership.Member, error)
+	CallOwnerOrSuccessor(ctx context.Context, key string, timeout time.Duration, build func(attempt int) *peerpb.Request) (*peerpb.Response, membership.Member, error)
 }
 
 // Client makes claims at the owners of their shards.
 type Client struct{ owners OwnerCaller }
 
-// NewClient returns a client.
+// NewClient returns a client that calls owners.
 func NewClient(owners OwnerCaller) *Client { return &Client{owners: owners} }
 
-// Claim returns the identity of the claim under which the call may run. Any
-// error means that the caller must not run it. Each node that is asked gets an
-// identity of its own: one that answers too late must not undo the claim that
-// another has made.
+// Claim returns the identifier of the claim under which the call may run. On any error the caller must not run
+// it. Each node that is asked gets an identifier of its own: one that answers too late must not undo the claim
+// that another one has made.
 func (c *Client) Claim(ctx context.Context, key Key, requestID string, body []byte) (string, error) {
 	var claimID string
-	_, _, err := c.owners.CallOwnerOrSuccessor(ctx, OwnerKey(key.shard()), callTimeout, func(try int) *peerpb.Request {
-		claimID = identity(requestID, try)
+	_, _, err := c.owners.CallOwnerOrSuccessor(ctx, OwnerKey(key.shard()), callTimeout, func(attempt int) *peerpb.Request {
+		claimID = attemptID(requestID, attempt)
 		return &peerpb.Request{Body: &peerpb.Request_Claim{Claim: &peerpb.Claim{
 			Tenant: key.Tenant, Key: key.ID.String(), BodyDigest: body, ClaimId: claimID,
 		}}}
@@ -49,8 +48,7 @@
 	return "", ErrUnavailable
 }
 
-// Withdraw removes the claim of a call that certainly did not run, so that the
-// caller can use the key again.
+// Withdraw removes the claim of a call that certainly did not run, so that the caller can use the key again.
 func (c *Client) Withdraw(ctx context.Context, key Key, claimID string) error {
 	_, _, err := c.owners.CallOwnerOrSuccessor(ctx, OwnerKey(key.shard()), callTimeout, func(int) *peerpb.Request {
 		return &peerpb.Request{Body: &peerpb.Request_ReleaseClaim{ReleaseClaim: &peerpb.ReleaseClaim{
--- a/claim/key.go
+++ b/claim/key.go
@@ -12,31 +12,30 @@
 )
 
 const (
-	// Shards is the number of claim shards of a fleet. It must be the same at
-	// every node.
+	// Shards is the number of claim shards of a fleet. It must be the same at every node.
 	Shards = 32
-	// Retention is the age beyond which a key is refused.
+	// Retention is the age beyond which a key is rejected.
 	Retention = 10 * time.Minute
-	// maxAhead is how far a key's timestamp may be ahead of the clock.
-	maxAhead = time.Minute
+	// maxFuture is how far a key's timestamp may be ahead of the clock.
+	maxFuture = time.Minute
 	// bucketLength is the span of timestamps that share an object.
 	bucketLength = time.Minute
-	// clockSlack is how far the clocks of two nodes may differ: a bucket is
-	// deleted only when it has been out of retention for this long.
-	clockSlack = 2 * time.Minute
+	// maxClockSkew is how far the clocks of two nodes may differ: a bucket is deleted only after it has been
+	// out of retention for this long.
+	maxClockSkew = 2 * time.Minute
 )
 
-// Key identifies a call that may not be repeated.
+// Key identifies a non-idempotent call.
 type Key struct {
 	Tenant string
 	ID     uuid.UUID
 }
 
-// ParseKey checks the form of an Idempotency-Key header.
+// ParseKey parses an Idempotency-Key header.
 func ParseKey(tenant, text string) (Key, error) {
 	id, err := uuid.Parse(text)
-	const timeOrderedVersion = 7
-	if err != nil || id.Version() != timeOrderedVersion {
+	const uuidVersion7 = 7
+	if err != nil || id.Version() != uuidVersion7 {
 		return Key{}, api.NewError(http.StatusBadRequest, api.CodeKeyRequired, api.OutcomeNotRun, "a call that may not be repeated needs an Idempotency-Key that is a UUIDv7")
 	}
 	return Key{Tenant: tenant, ID: id}, nil
@@ -48,14 +47,13 @@
 	return time.Unix(seconds, nanoseconds)
 }
 
-// CheckAge refuses a key whose claim may have been deleted already, or whose
-// timestamp is in the future.
+// CheckAge rejects a key whose claim may have been deleted already, or whose timestamp is in the future.
 func (k Key) CheckAge(now time.Time) error {
 	age := now.Sub(k.Time())
 	if age > Retention {
 		return api.NewError(http.StatusConflict, api.CodeKeyExpired, api.OutcomeNotRun, "the key is older than %s; this request did not run the call", Retention)
 	}
-	if age < -maxAhead {
+	if age < -maxFuture {
 		return api.NewError(http.StatusBadRequest, api.CodeInvalidRequest, api.OutcomeNotRun, "the key's timestamp is in the future")
 	}
 	return nil
--- a/claim/property_test.go
+++ b/claim/property_test.go
@@ -20,20 +20,20 @@
 	"github.com/reelrun/reelrun/sim/platformsim"
 )
 
-// try is one arrival of a call at an entry node.
-type try struct {
+// attempt is one arrival of a call at an entry node.
+type attempt struct {
 	key   int
 	pause time.Duration
 	// owners are the writers that the entry node takes for owner and successor.
 	owners [2]int
-	// slow is how long the first owner's answer is held back.
+	// slow is the delay of the first owner's answer.
 	slow time.Duration
-	// effects are what the platform does with the next calls.
+	// effects are the platform's reactions to the next calls.
 	effects []platformsim.Effect
 }
 
-func drawTry(t *rapid.T) try {
-	return try{
+func drawAttempt(t *rapid.T) attempt {
+	return attempt{
 		key:     rapid.IntRange(0, 2).Draw(t, "key"),
 		pause:   time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond,
 		owners:  [2]int{rapid.IntRange(0, 2).Draw(t, "owner"), rapid.IntRange(0, 2).Draw(t, "successor")},
@@ -42,7 +42,7 @@
 	}
 }
 
-// script hands out the drawn effects and then passes everything.
+// script returns the drawn effects and then passes everything.
 type script struct {
 	mu      sync.Mutex
 	effects []platformsim.Effect
@@ -65,20 +65,20 @@
 	return first
 }
 
-// owners sends a claim to the first writer, and to the second when the first is
-// too slow, as cluster.CallOwnerOrSuccessor does.
+// owners sends a claim to the first writer, and to the second if the first is too slow, as
+// cluster.CallOwnerOrSuccessor does.
 type owners struct {
 	writers []*Writer
-	try     try
+	attempt attempt
 	running *sync.WaitGroup
 }
 
 func (o owners) CallOwnerOrSuccessor(ctx context.Context, _ string, timeout time.Duration, build func(int) *peerpb.Request) (*peerpb.Response, membership.Member, error) {
-	for number, index := range o.try.owners {
+	for number, index := range o.attempt.owners {
 		claim := build(number).GetClaim()
 		slow := time.Duration(0)
 		if number == 0 {
-			slow = o.try.slow
+			slow = o.attempt.slow
 		}
 		answer := make(chan error, 1)
 		o.running.Add(1)
@@ -106,12 +106,12 @@
 	return nil, membership.Member{}, errors.New("no answer")
 }
 
-// atMostOnce plays arrivals of a few keys at several owners over a platform that
-// refuses calls and loses replies. Whatever happens, a key is granted at most once.
+// atMostOnce plays arrivals of a few keys at several owners over a platform that refuses calls and loses
+// replies. A key must be granted at most once.
 func atMostOnce(outer *testing.T, newWriter func(*platformsim.Flaky) *Writer) func(*rapid.T) {
 	return func(t *rapid.T) {
-		tries := rapid.SliceOfN(rapid.Custom(drawTry), 2, 25).Draw(t, "tries")
-		for key, count := range playTries(outer, tries, newWriter) {
+		attempts := rapid.SliceOfN(rapid.Custom(drawAttempt), 2, 25).Draw(t, "tries")
+		for key, count := range playAttempts(outer, attempts, newWriter) {
 			if count > 1 {
 				t.Errorf("key %d was granted %d times", key, count)
 			}
@@ -119,7 +119,7 @@
 	}
 }
 
-func playTries(t *testing.T, tries []try, newWriter func(*platformsim.Flaky) *Writer) (granted map[int]int) {
+func playAttempts(t *testing.T, attempts []attempt, newWriter func(*platformsim.Flaky) *Writer) (granted map[int]int) {
 	granted = map[int]int{}
 	synctest.Test(t, func(t *testing.T) {
 		effects := &script{}
@@ -136,7 +136,7 @@
 		body := sha256.Sum256([]byte("body"))
 		var mu sync.Mutex
 		var running sync.WaitGroup
-		for number, next := range tries {
+		for number, next := range attempts {
 			effects.add(next.effects)
 			running.Add(1)
 			go func() {
@@ -160,37 +160,37 @@
 	return granted
 }
 
-func soundWriter(flaky *platformsim.Flaky) *Writer {
+func newTestWriter(flaky *platformsim.Flaky) *Writer {
 	return NewWriter(flaky, metrics.NewSet(), time.Now)
 }
 
 func TestKeyIsGrantedAtMostOnce(t *testing.T) {
-	rapid.Check(t, atMostOnce(t, soundWriter))
+	rapid.Check(t, atMostOnce(t, newTestWriter))
 }
 
 func FuzzKeyIsGrantedAtMostOnce(f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
-		rapid.MakeFuzz(atMostOnce(t, soundWriter))(t, data)
+		rapid.MakeFuzz(atMostOnce(t, newTestWriter))(t, data)
 	})
 }
 
-// TestOracleNoticesClaimThatIsUndone gives a late owner the power to undo the
-// claim of another try, by letting all tries share an identity.
-func TestOracleNoticesClaimThatIsUndone(t *testing.T) {
-	tries := []try{
+// TestOracleDetectsUndoneClaim has a late owner undo the claim of another attempt, by letting all attempts
+// share an identifier.
+func TestOracleDetectsUndoneClaim(t *testing.T) {
+	attempts := []attempt{
 		// The first owner writes the claim and answers too late; the successor grants.
 		{key: 0, owners: [2]int{0, 1}, slow: 1800 * time.Millisecond, pause: 6 * time.Second},
 		{key: 0, owners: [2]int{0, 1}},
 	}
-	if granted := playTries(t, tries, soundWriter); granted[0] != 1 {
+	if granted := playAttempts(t, attempts, newTestWriter); granted[0] != 1 {
 		t.Fatalf("granted %d times", granted[0])
 	}
 	forgetful := func(flaky *platformsim.Flaky) *Writer {
-		writer := soundWriter(flaky)
+		writer := newTestWriter(flaky)
 		// This writer takes every claim for an abandoned one.
 		for number := range 2 {
 			for attempt := range 2 {
-				writer.abandoned[identity(fmt.Sprintf("request-%d", number), attempt)] = time.Now()
+				writer.abandoned[attemptID(fmt.Sprintf("request-%d", number), attempt)] = time.Now()
 			}
 		}
 		return writer
@@ -201,21 +201,21 @@
 		if mixed == 1 {
 			return forgetful(flaky)
 		}
-		return soundWriter(flaky)
+		return newTestWriter(flaky)
 	}
-	tries = []try{
+	attempts = []attempt{
 		{key: 0, owners: [2]int{1, 2}, pause: time.Second},
-		// The forgetful writer removes the standing claim with its next write.
+		// The forgetful writer removes the existing claim with its next write.
 		{key: 1, owners: [2]int{0, 0}, pause: time.Second},
 		{key: 0, owners: [2]int{0, 0}, pause: 3 * time.Second},
 		{key: 0, owners: [2]int{2, 1}, pause: time.Second},
 	}
-	if granted := playTries(t, tries, broken); granted[0] < 2 {
+	if granted := playAttempts(t, attempts, broken); granted[0] < 2 {
 		t.Fatalf("the broken writer granted the key %d times, so the oracle was not tried", granted[0])
 	}
 }
 
-func TestOldKeyIsRefused(t *testing.T) {
+func TestExpiredKeyIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := platformsim.NewStore(platformsim.Options{})
 		writer := NewWriter(store, metrics.NewSet(), time.Now)
@@ -227,7 +227,7 @@
 		if err := writer.Claim(context.Background(), key, "first#0", nil); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(Retention + clockSlack + 3*bucketLength)
+		time.Sleep(Retention + maxClockSkew + 3*bucketLength)
 		writer.Sweep(context.Background(), func(int) bool { return true })
 		err = writer.Claim(context.Background(), key, "second#0", nil)
 		if !api.IsCode(err, api.CodeKeyExpired) {
@@ -261,7 +261,7 @@
 	})
 }
 
-func TestOutageIsRefusedAsNotRun(t *testing.T) {
+func TestOutageIsReportedAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		flaky := platformsim.NewFlaky(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect { return platformsim.Refuse })
 		writer := NewWriter(flaky, metrics.NewSet(), time.Now)
--- a/claim/record.go
+++ b/claim/record.go
@@ -10,32 +10,32 @@
 
 // record is the stored form of one claim.
 type record struct {
-	// ClaimID identifies the try that made the claim.
+	// ClaimID identifies the attempt that made the claim.
 	ClaimID string `json:"id"`
-	// Body is the digest of the call's body, to tell another call under the same key.
+	// Body is the digest of the call's body, to detect another call with the same key.
 	Body []byte `json:"body,omitempty"`
 }
 
-// identitySeparator stands between a request and the number of its try.
-const identitySeparator = "#"
+// attemptSeparator separates a request's identifier from the number of its attempt.
+const attemptSeparator = "#"
 
-// identity names one try of a request's claim.
-func identity(requestID string, try int) string {
-	return requestID + identitySeparator + strconv.Itoa(try)
+// attemptID identifies one attempt of a request to make a claim.
+func attemptID(requestID string, attempt int) string {
+	return requestID + attemptSeparator + strconv.Itoa(attempt)
 }
 
-// supersedes reports whether a claim is a later try of the request that made the
-// standing one. The request has given the earlier try up and runs nothing under it.
-func supersedes(claimID, standing string) bool {
-	request, try, ok := splitIdentity(claimID)
-	standingRequest, standingTry, standingOK := splitIdentity(standing)
-	return ok && standingOK && request == standingRequest && try > standingTry
+// supersedes reports whether a claim is a later attempt of the request that made the existing one. The request
+// has abandoned the earlier attempt and runs nothing under it.
+func supersedes(claimID, existing string) bool {
+	request, attempt, ok := splitAttemptID(claimID)
+	existingRequest, existingAttempt, existingOK := splitAttemptID(existing)
+	return ok && existingOK && request == existingRequest && attempt > existingAttempt
 }
 
-func splitIdentity(claimID string) (string, int, bool) {
-	request, number, ok := strings.Cut(claimID, identitySeparator)
-	try, err := strconv.Atoi(number)
-	return request, try, ok && err == nil
+func splitAttemptID(claimID string) (string, int, bool) {
+	request, number, ok := strings.Cut(claimID, attemptSeparator)
+	attempt, err := strconv.Atoi(number)
+	return request, attempt, ok && err == nil
 }
 
 // bucket is the stored form of the claims of one shard and minute.
--- a/claim/writer.go
+++ b/claim/writer.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// writeInterval is the least time between two writes of a shard, which bounds
-	// the fleet's writes to Shards/writeInterval a second.
+	// writeInterval is the least time between two writes of a shard, which bounds the fleet's writes to
+	// Shards/writeInterval a second.
 	writeInterval = 150 * time.Millisecond
 	// writeTimeout is when the claims of a write are given up.
 	writeTimeout = 1500 * time.Millisecond
-	// RetryAfter is when a caller may try again after an outage.
+	// RetryAfter is when a caller may retry after an outage.
 	RetryAfter = 2 * time.Second
 )
 
-// ErrUnavailable says that the claim could not be recorded, so the call did not run.
+// ErrUnavailable is returned if the claim could not be recorded, so the call did not run.
 var ErrUnavailable = api.NewError(http.StatusServiceUnavailable, api.CodeClaimUnavailable, api.OutcomeNotRun,
 	"the claim could not be recorded").WithRetryAfter(RetryAfter)
 
@@ -39,9 +39,8 @@
 	done     chan error
 }
 
-// Writer writes the claims of the shards that the node owns. It is safe for
-// concurrent use. Two nodes that both take themselves for the owner do no harm:
-// the platform's conditional update decides.
+// Writer writes the claims of the shards that the node owns. It is safe for concurrent use. Two nodes that both
+// consider themselves the owner do no harm: the platform's conditional update decides.
 type Writer struct {
 	store   objectapi.Store
 	metrics *metrics.Set
@@ -50,9 +49,8 @@
 	mu      sync.Mutex
 	pending map[string][]*operation
 	running map[int]bool
-	// abandoned are tries that were answered as failed although their claim may
-	// have been recorded. Nothing was dispatched under them, so their claims are
-	// removed with the next write.
+	// abandoned are attempts that were answered as failed although their claim may have been recorded. Nothing
+	// was sent under them, so their claims are removed with the next write.
 	abandoned map[string]time.Time
 	writes    tasks.Group
 }
@@ -65,8 +63,8 @@
 	}
 }
 
-// Claim records that the call runs under claimID. It returns nil if the caller
-// may run the call, now and only once.
+// Claim records that the call runs under claimID. It returns nil if the caller may run the call, now and only
+// once.
 func (w *Writer) Claim(ctx context.Context, key Key, claimID string, body []byte) error {
 	if err := key.CheckAge(w.now()); err != nil {
 		return err
@@ -74,7 +72,7 @@
 	return w.submit(ctx, &operation{key: key, claimID: claimID, body: body, done: make(chan error, 1)})
 }
 
-// Withdraw removes a claim whose call certainly did not run.
+// Withdraw removes the claim of a call that certainly did not run.
 func (w *Writer) Withdraw(ctx context.Context, key Key, claimID string) error {
 	return w.submit(ctx, &operation{key: key, claimID: claimID, withdraw: true, done: make(chan error, 1)})
 }
@@ -98,16 +96,16 @@
 	}
 }
 
-func (w *Writer) abandon(given *operation) {
-	if given.withdraw {
+func (w *Writer) abandon(abandoned *operation) {
+	if abandoned.withdraw {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.abandoned[given.claimID] = w.now()
+	w.abandoned[abandoned.claimID] = w.now()
 }
 
-// drain writes what is pending for a shard, one object at a time, until nothing is.
+// drain writes the pending operations of a shard, one object at a time, until none is left.
 func (w *Writer) drain(shard int) {
 	for {
 		object, batch := w.next(shard)
@@ -119,7 +117,7 @@
 	}
 }
 
-// next takes the pending operations of one object of the shard.
+// next removes and returns the pending operations of one object of the shard.
 func (w *Writer) next(shard int) (string, []*operation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,16 +138,16 @@
 	_, err := objectapi.Modify(ctx, w.store, objectapi.Change{
 		Kind: objectapi.KindClaim, Name: object,
 		Mutate: func(current json.RawMessage) (json.RawMessage, error) {
-			standing, err := decodeBucket(current)
+			stored, err := decodeBucket(current)
 			if err != nil {
 				return nil, err
 			}
 			var changed bool
-			results, changed = w.applyAll(&standing, batch)
+			results, changed = w.applyAll(&stored, batch)
 			if !changed {
 				return nil, nil
 			}
-			return json.Marshal(standing)
+			return json.Marshal(stored)
 		},
 	})
 	w.metrics.Add("claim_writes", 1)
@@ -165,8 +163,8 @@
 	}
 }
 
-// settle looks at the key's age again: a node that was paused during the write
-// may have recorded the claim in place of a deleted one.
+// settle checks the key's age again: a node that was paused during the write may have recorded the claim in
+// place of a deleted one.
 func (w *Writer) settle(done *operation, result error) error {
 	if result != nil || done.withdraw {
 		return result
@@ -174,42 +172,42 @@
 	return done.key.CheckAge(w.now())
 }
 
-// applyAll applies the operations to a bucket. It reports whether it changed.
-func (w *Writer) applyAll(standing *bucket, batch []*operation) ([]error, bool) {
-	changed := w.removeAbandoned(standing)
+// applyAll applies the operations to a bucket. It reports whether the bucket changed.
+func (w *Writer) applyAll(stored *bucket, batch []*operation) ([]error, bool) {
+	changed := w.removeAbandoned(stored)
 	results := make([]error, len(batch))
 	for i, applied := range batch {
 		var touched bool
-		touched, results[i] = w.apply(standing, applied)
+		touched, results[i] = w.apply(stored, applied)
 		changed = changed || touched
 	}
 	return results, changed
 }
 
-func (w *Writer) removeAbandoned(standing *bucket) bool {
+func (w *Writer) removeAbandoned(stored *bucket) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	changed := false
-	for field, held := range standing.Claims {
-		if _, given := w.abandoned[held.ClaimID]; given {
-			delete(standing.Claims, field)
+	for field, existing := range stored.Claims {
+		if _, abandoned := w.abandoned[existing.ClaimID]; abandoned {
+			delete(stored.Claims, field)
 			changed = true
 		}
 	}
 	for claimID, at := range w.abandoned {
-		if w.now().Sub(at) > Retention+clockSlack {
+		if w.now().Sub(at) > Retention+maxClockSkew {
 			delete(w.abandoned, claimID)
 		}
 	}
 	return changed
 }
 
-func (w *Writer) apply(standing *bucket, applied *operation) (bool, error) {
+func (w *Writer) apply(stored *bucket, applied *operation) (bool, error) {
 	field := applied.key.field()
-	held, exists := standing.Claims[field]
+	existing, exists := stored.Claims[field]
 	if applied.withdraw {
-		if exists && held.ClaimID == applied.claimID {
-			delete(standing.Claims, field)
+		if exists && existing.ClaimID == applied.claimID {
+			delete(stored.Claims, field)
 			return true, nil
 		}
 		return false, nil
@@ -220,12 +218,12 @@
 	switch {
 	case w.isAbandoned(applied.claimID):
 		return false, ErrUnavailable
-	case !exists, supersedes(applied.claimID, held.ClaimID):
-		standing.Claims[field] = record{ClaimID: applied.claimID, Body: applied.body}
+	case !exists, supersedes(applied.claimID, existing.ClaimID):
+		stored.Claims[field] = record{ClaimID: applied.claimID, Body: applied.body}
 		return true, nil
-	case held.ClaimID == applied.claimID:
+	case existing.ClaimID == applied.claimID:
 		return false, nil
-	case !bytes.Equal(held.Body, applied.body):
+	case !bytes.Equal(existing.Body, applied.body):
 		return false, api.NewError(http.StatusConflict, api.CodeKeyConflict, api.OutcomeNotRun, "the key belongs to a call with another body")
 	default:
 		return false, api.NewError(http.StatusConflict, api.CodeAlreadyClaimed, api.OutcomeUnknown, "a call with this key has been started before")
@@ -235,11 +233,11 @@
 func (w *Writer) isAbandoned(claimID string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, given := w.abandoned[claimID]
-	return given
+	_, abandoned := w.abandoned[claimID]
+	return abandoned
 }
 
-// Wait returns when no write is under way.
+// Wait blocks until no write is in progress.
 func (w *Writer) Wait() { w.writes.Wait() }
 
 // sweepDepth is how many expired buckets a sweep looks for.
@@ -247,7 +245,7 @@
 
 // Sweep deletes the expired buckets of the shards for which owns is true.
 func (w *Writer) Sweep(ctx context.Context, owns func(shard int) bool) {
-	newest := w.now().Add(-Retention-clockSlack).UnixMilli()/bucketLength.Milliseconds() - 1
+	newest := w.now().Add(-Retention-maxClockSkew).UnixMilli()/bucketLength.Milliseconds() - 1
 	for shard := range Shards {
 		if !owns(shard) {
 			continue
