--- a/service/balancer.go
+++ b/service/balancer.go
@@ -8,11 +8,10 @@
 	"github.com/reelrun/reelrun/api"
 )
 
-// ejection is how long a replica that failed is passed over.
-const ejection = 2 * time.Second
+// ejectionTime is how long a replica that failed is avoided.
+const ejectionTime = 2 * time.Second
 
-// balancer spreads calls over replicas by the calls in flight. It is safe for
-// concurrent use.
+// balancer distributes calls over replicas by the calls in flight. It is safe for concurrent use.
 type balancer struct {
 	leaving func(machine string) bool
 	now     func() time.Time
@@ -20,25 +19,25 @@
 	mu       sync.Mutex
 	inFlight map[string]int
 	failed   map[string]time.Time
-	// backoffs is until when replicas have asked to be left alone.
+	// backoffs is until when replicas have requested backoff.
 	backoffs map[string]time.Time
-	turn     int
+	rotation int
 }
 
 func newBalancer(leaving func(string) bool, now func() time.Time) *balancer {
 	return &balancer{leaving: leaving, now: now, inFlight: map[string]int{}, failed: map[string]time.Time{}, backoffs: map[string]time.Time{}}
 }
 
-// order returns the replicas that may be called, the best first. Those that leave or asked for backoff
-// are left out; those that failed a moment ago come last.
+// order returns the replicas that may be called, the best first. Those that leave or are in backoff are
+// omitted; those that failed recently come last.
 func (b *balancer) order(backends []api.Backend) []api.Backend {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++
+	b.rotation++
 	usable := make([]api.Backend, 0, len(backends))
 	for i := range backends {
-		candidate := backends[(i+b.turn)%len(backends)]
-		if !b.leaving(candidate.Name) && b.backoffLeft(candidate.Name) == 0 {
+		candidate := backends[(i+b.rotation)%len(backends)]
+		if !b.leaving(candidate.Name) && b.backoffRemaining(candidate.Name) == 0 {
 			usable = append(usable, candidate)
 		}
 	}
@@ -54,37 +53,36 @@
 	return usable
 }
 
-// backOff leaves a replica alone for as long as it has asked for.
-func (b *balancer) backOff(name string, lasting time.Duration) {
+// backOff omits a replica for as long as it has requested.
+func (b *balancer) backOff(name string, duration time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.backoffs[name] = b.now().Add(lasting)
+	b.backoffs[name] = b.now().Add(duration)
 }
 
-// backoffLeft returns for how much longer a replica is left alone; the lock is held.
-func (b *balancer) backoffLeft(name string) time.Duration {
-	until, asked := b.backoffs[name]
-	if !asked {
+// backoffRemaining returns for how much longer a replica is in backoff; the lock is held.
+func (b *balancer) backoffRemaining(name string) time.Duration {
+	until, inBackoff := b.backoffs[name]
+	if !inBackoff {
 		return 0
 	}
-	left := until.Sub(b.now())
-	if left <= 0 {
+	remaining := until.Sub(b.now())
+	if remaining <= 0 {
 		delete(b.backoffs, name)
 		return 0
 	}
-	return left
+	return remaining
 }
 
-// firstBack returns how long it is until the first of the replicas in backoff is called again; zero where
-// none does.
-func (b *balancer) firstBack(backends []api.Backend) time.Duration {
+// shortestBackoff returns the time until the first of the replicas in backoff is called again; zero if none is.
+func (b *balancer) shortestBackoff(backends []api.Backend) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var shortest time.Duration
 	for _, candidate := range backends {
-		left := b.backoffLeft(candidate.Name)
-		if left > 0 && !b.leaving(candidate.Name) && (shortest == 0 || left < shortest) {
-			shortest = left
+		remaining := b.backoffRemaining(candidate.Name)
+		if remaining > 0 && !b.leaving(candidate.Name) && (shortest == 0 || remaining < shortest) {
+			shortest = remaining
 		}
 	}
 	return shortest
@@ -92,7 +90,7 @@
 
 func (b *balancer) isEjected(name string) bool {
 	at, ok := b.failed[name]
-	return ok && b.now().Sub(at) < ejection
+	return ok && b.now().Sub(at) < ejectionTime
 }
 
 func (b *balancer) start(backend api.Backend) {
--- a/service/doc.go
+++ b/service/doc.go
@@ -1,4 +1,3 @@
-// Package service routes calls to plain services. A call that may be repeated is
-// tried at another replica when one fails. A call that may not is claimed first
-// and sent to at most one replica.
+// Package service routes calls to plain services. An idempotent call is retried at another replica when one
+// fails. A non-idempotent call is claimed first and sent to at most one replica.
 package service
--- a/service/handler.go
+++ b/service/handler.go
@@ -26,26 +26,26 @@
 )
 
 const (
-	// headerKey names a call that may not be repeated.
+	// headerKey is the header that identifies a non-idempotent call.
 	headerKey = "Idempotency-Key"
-	// maxOnceBody bounds the body of a call that may not be repeated: it is held
-	// in memory, because its digest goes into the claim.
-	maxOnceBody = 256 << 10
-	// maxTries bounds the replicas tried for a call.
-	maxTries = 3
-	// Retries a second, and at once, that one service may cost.
+	// maxNonIdempotentBody bounds the body of a non-idempotent call: it is held in memory, because its digest
+	// is part of the claim.
+	maxNonIdempotentBody = 256 << 10
+	// maxAttempts bounds the replicas called for one call.
+	maxAttempts = 3
+	// retriesPerSecond and retryBurst bound the retries of a node's calls.
 	retriesPerSecond = 20
 	retryBurst       = 40
 	retryAfter       = time.Second
 )
 
-// Claims makes claims for calls that may not be repeated.
+// Claims makes claims for non-idempotent calls.
 type Claims interface {
 	Claim(ctx context.Context, key claim.Key, requestID string, body []byte) (string, error)
 	Withdraw(ctx context.Context, key claim.Key, claimID string) error
 }
 
-// Options are the parts of a Handler.
+// Options configures a Handler.
 type Options struct {
 	Claims    Claims
 	Transport http.RoundTripper
@@ -64,7 +64,7 @@
 	retries  *rate.Limiter
 }
 
-// NewHandler returns a handler.
+// NewHandler returns a handler with defaults applied.
 func NewHandler(options Options) *Handler {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -75,16 +75,16 @@
 	}
 }
 
-// call is one call on its way.
+// call is one call in progress.
 type call struct {
 	exchange *filter.Exchange
 	service  *api.Service
 	path     string
 	request  *http.Request
 	// body is set for a call whose body is held in memory.
-	body []byte
-	once bool
-	key  claim.Key
+	body          []byte
+	nonIdempotent bool
+	key           claim.Key
 }
 
 // ServeHTTP implements filter.Handler.
@@ -96,18 +96,18 @@
 		return api.NewError(http.StatusNotFound, api.CodeNotFound, api.OutcomeNotRun, "no such service")
 	}
 	started := &call{exchange: exchange, service: service, path: "/" + r.PathValue("path"), request: r}
-	started.once = slices.Contains(service.OnceMethods, r.Method)
+	started.nonIdempotent = slices.Contains(service.OnceMethods, r.Method)
 	ctx, cancel := context.WithTimeout(r.Context(), service.Timeout.Std())
 	defer cancel()
-	if started.once {
-		return h.serveOnce(ctx, w, started)
+	if started.nonIdempotent {
+		return h.serveNonIdempotent(ctx, w, started)
 	}
-	return h.tryReplicas(ctx, w, started)
+	return h.attemptReplicas(ctx, w, started)
 }
 
-// serveOnce claims the call and sends it to at most one replica.
-func (h *Handler) serveOnce(ctx context.Context, w http.ResponseWriter, started *call) error {
-	if err := started.readOnce(); err != nil {
+// serveNonIdempotent claims the call and sends it to at most one replica.
+func (h *Handler) serveNonIdempotent(ctx context.Context, w http.ResponseWriter, started *call) error {
+	if err := started.readNonIdempotent(); err != nil {
 		return err
 	}
 	digest := sha256.Sum256(slices.Concat([]byte(started.request.Method+" "+started.service.Name+started.path+"\n"), started.body))
@@ -115,45 +115,45 @@
 	if err != nil {
 		return err
 	}
-	err = h.tryReplicas(ctx, w, started)
+	err = h.attemptReplicas(ctx, w, started)
 	if typed := api.AsError(err, api.OutcomeUnknown); err != nil && typed.Outcome == api.OutcomeNotRun {
 		// The key stays usable, since the call certainly did not run.
-		if withdrawn := h.options.Claims.Withdraw(context.WithoutCancel(ctx), started.key, claimID); withdrawn != nil {
+		if withdrawErr := h.options.Claims.Withdraw(context.WithoutCancel(ctx), started.key, claimID); withdrawErr != nil {
 			h.options.Metrics.Add("claim_withdraw_errors", 1)
 		}
 	}
 	return err
 }
 
-func (c *call) readOnce() error {
+func (c *call) readNonIdempotent() error {
 	key, err := claim.ParseKey(c.exchange.Tenant.Name, c.request.Header.Get(headerKey))
 	if err != nil {
 		return err
 	}
 	c.key = key
-	body, err := io.ReadAll(io.LimitReader(c.request.Body, maxOnceBody+1))
+	body, err := io.ReadAll(io.LimitReader(c.request.Body, maxNonIdempotentBody+1))
 	if err != nil {
 		return api.NewError(http.StatusBadRequest, api.CodeInvalidRequest, api.OutcomeNotRun, "the body could not be read")
 	}
-	if len(body) > maxOnceBody {
-		return api.NewError(http.StatusRequestEntityTooLarge, api.CodeTooLarge, api.OutcomeNotRun, "the body of this call may have %d bytes", maxOnceBody)
+	if len(body) > maxNonIdempotentBody {
+		return api.NewError(http.StatusRequestEntityTooLarge, api.CodeTooLarge, api.OutcomeNotRun, "the body of this call may have %d bytes", maxNonIdempotentBody)
 	}
 	c.body = body
 	return nil
 }
 
-// tryReplicas sends the call to replicas in turn while that is safe.
-func (h *Handler) tryReplicas(ctx context.Context, w http.ResponseWriter, started *call) error {
+// attemptReplicas sends the call to replicas in turn while that is safe.
+func (h *Handler) attemptReplicas(ctx context.Context, w http.ResponseWriter, started *call) error {
 	replicas := h.balancer.order(started.service.Backends)
 	if len(replicas) == 0 {
 		return h.noReplica(started.service.Backends)
 	}
 	var last error
-	for tries, replica := range replicas {
-		if tries >= maxTries || (tries > 0 && !h.retries.Allow()) {
+	for attempts, replica := range replicas {
+		if attempts >= maxAttempts || (attempts > 0 && !h.retries.Allow()) {
 			break
 		}
-		err := h.try(ctx, w, started, replica)
+		err := h.attempt(ctx, w, started, replica)
 		if err == nil || !started.canRetry(ctx, err) {
 			return err
 		}
@@ -163,15 +163,14 @@
 	return last
 }
 
-// noReplica is the refusal of a call that no replica takes now. Where all are in backoff, the caller comes back
-// when the first of them is called again.
+// noReplica returns the error of a call that no replica can take now. If all are in backoff, the caller should
+// retry when the first of them is called again.
 func (h *Handler) noReplica(backends []api.Backend) error {
 	refused := api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun, "no replica can take the call")
-	return refused.WithRetryAfter(cmp.Or(h.balancer.firstBack(backends), retryAfter))
+	return refused.WithRetryAfter(cmp.Or(h.balancer.shortestBackoff(backends), retryAfter))
 }
 
-// canRetry reports whether another replica may get the call. A body that is
-// streamed can be sent only once.
+// canRetry reports whether another replica may receive the call. A streamed body can be sent only once.
 func (c *call) canRetry(ctx context.Context, err error) bool {
 	if ctx.Err() != nil {
 		return false
@@ -183,11 +182,11 @@
 	if typed.Outcome == api.OutcomeNotRun {
 		return true
 	}
-	return !c.once && c.request.ContentLength == 0 && typed.Code == api.CodeBackendFailed
+	return !c.nonIdempotent && c.request.ContentLength == 0 && typed.Code == api.CodeBackendFailed
 }
 
-// try sends the call to one replica and copies its response.
-func (h *Handler) try(ctx context.Context, w http.ResponseWriter, started *call, replica api.Backend) error {
+// attempt sends the call to one replica and copies its response.
+func (h *Handler) attempt(ctx context.Context, w http.ResponseWriter, started *call, replica api.Backend) error {
 	h.balancer.start(replica)
 	h.options.Events.Record(timeline.Event{Kind: "service-call", Request: started.exchange.RequestID, Tenant: started.exchange.Tenant.Name, Engine: replica.Name})
 	response, err := h.send(ctx, started, replica)
@@ -216,7 +215,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
-	if started.once {
+	if started.nonIdempotent {
 		outgoing.ContentLength = int64(len(started.body))
 	} else {
 		outgoing.ContentLength = started.request.ContentLength
@@ -235,11 +234,10 @@
 	}
 }
 
-// reader returns the body to send. Its type is hidden from net/http, which would
-// otherwise send a request with an Idempotency-Key a second time by itself when
-// a reused connection breaks.
+// reader returns the body to send. Its type is hidden from net/http, which would otherwise resend a request
+// with an Idempotency-Key on its own when a reused connection breaks.
 func (c *call) reader() io.Reader {
-	if c.once {
+	if c.nonIdempotent {
 		return struct{ io.Reader }{bytes.NewReader(c.body)}
 	}
 	if c.request.ContentLength == 0 {
@@ -248,7 +246,7 @@
 	return struct{ io.Reader }{c.request.Body}
 }
 
-// copyBody copies and flushes what has arrived, so that a stream stays one.
+// copyBody copies and flushes data as it arrives, so that streaming is preserved.
 func copyBody(w io.Writer, control *http.ResponseController, body io.Reader) error {
 	const bufferBytes = 32 << 10
 	buffer := make([]byte, bufferBytes)
--- a/service/handler_test.go
+++ b/service/handler_test.go
@@ -49,15 +49,15 @@
 	return nil
 }
 
-// replica is a back end that counts what it ran.
+// replica is a backend that counts the calls that it ran.
 type replica struct {
 	*httptest.Server
 	ran atomic.Int64
-	// breaks closes the connection after the call has run.
+	// breaks makes it close the connection after the call has run.
 	breaks atomic.Bool
-	// backsOff has it turn calls away and ask for a minute of backoff.
-	backsOff atomic.Bool
-	header   atomic.Value
+	// requestsBackoff makes it reject calls and request a minute of backoff.
+	requestsBackoff atomic.Bool
+	header          atomic.Value
 }
 
 func newReplica() *replica {
@@ -69,7 +69,7 @@
 		if created.breaks.Load() {
 			panic(http.ErrAbortHandler)
 		}
-		if created.backsOff.Load() {
+		if created.requestsBackoff.Load() {
 			w.Header().Set("Retry-After", "60")
 			api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun, "asks for backoff").WriteHTTP(w)
 			return
@@ -83,7 +83,7 @@
 
 func (r *replica) address() string { return r.Listener.Addr().String() }
 
-// closedAddress is an address on which nobody listens.
+// closedAddress returns an address without a listener.
 func closedAddress() string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -163,7 +163,7 @@
 		}
 	})
 
-	It("is repeated at another replica if it may be", func() {
+	It("is retried at another replica if it is idempotent", func() {
 		first.breaks.Store(true)
 		handler := newHandler()
 		for range 4 {
@@ -172,7 +172,7 @@
 		}
 	})
 
-	It("is not repeated if it may not be, and its outcome is unknown", func() {
+	It("is not retried if it is not idempotent, and its outcome is unknown", func() {
 		first.breaks.Store(true)
 		second.breaks.Store(true)
 		status, failure, _ := send(newHandler(), http.MethodPost, newKey(), "reading")
@@ -205,7 +205,7 @@
 		Expect(status).To(Equal(http.StatusOK))
 	})
 
-	It("needs a key that carries its time", func() {
+	It("needs a key with a timestamp", func() {
 		for _, key := range []string{"", "text", uuid.NewString()} {
 			_, failure, _ := send(newHandler(), http.MethodPost, key, "reading")
 			Expect(failure.Code).To(Equal(api.CodeKeyRequired))
@@ -213,7 +213,7 @@
 		Expect(runs()).To(BeZero())
 	})
 
-	It("goes past a leaving replica", func() {
+	It("is not sent to a leaving replica", func() {
 		leaving["first"] = true
 		for range 6 {
 			status, _, _ := send(newHandler(), http.MethodGet, "", "")
@@ -222,8 +222,8 @@
 		Expect(first.ran.Load()).To(BeZero())
 	})
 
-	It("leaves a replica alone that has asked for backoff", func() {
-		first.backsOff.Store(true)
+	It("is not sent to a replica that has requested backoff", func() {
+		first.requestsBackoff.Store(true)
 		now := time.Now()
 		handler := newHandler()
 		handler.balancer.now = func() time.Time { return now }
@@ -232,7 +232,7 @@
 		}
 		Expect(first.ran.Load()).To(BeEquivalentTo(1), "calls after it asked for backoff")
 		Expect(second.ran.Load()).To(BeEquivalentTo(19))
-		first.backsOff.Store(false)
+		first.requestsBackoff.Store(false)
 		now = now.Add(time.Minute)
 		for range 4 {
 			_, _, _ = send(handler, http.MethodGet, "", "")
@@ -240,9 +240,9 @@
 		Expect(first.ran.Load()).To(BeNumerically(">", 1))
 	})
 
-	It("is refused at once when every replica has asked for backoff", func() {
-		first.backsOff.Store(true)
-		second.backsOff.Store(true)
+	It("is rejected immediately when every replica has requested backoff", func() {
+		first.requestsBackoff.Store(true)
+		second.requestsBackoff.Store(true)
 		handler := newHandler()
 		for range 10 {
 			_, _, _ = send(handler, http.MethodGet, "", "")
@@ -253,7 +253,7 @@
 		Expect(failure.RetryAfter).To(BeNumerically("~", time.Minute, 5*time.Second))
 	})
 
-	It("is refused when every replica is leaving", func() {
+	It("is rejected when every replica is leaving", func() {
 		leaving["first"], leaving["second"] = true, true
 		_, failure, _ := send(newHandler(), http.MethodGet, "", "")
 		Expect(failure.Outcome).To(Equal(api.OutcomeNotRun))
