--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,9 +1,8 @@
-// Package lease gives one node at a time the right to act, through an object of
-// the platform. Each holder has a fence above that of all holders before it.
+// Package lease gives one node at a time the right to act, through an object of the platform. Each holder has a
+// higher fence than all holders before it.
 //
-// A lease does not rely on clocks that agree. A candidate measures on its own
-// monotonic clock how long it has seen the record unchanged, and takes over when
-// this exceeds the duration in the record. The holder measures its remaining
-// time from before the write that renewed the lease, so it gives up earlier than
-// any candidate takes over.
+// A lease does not rely on synchronized clocks. A candidate measures on its own monotonic clock how long the
+// record has been unchanged, and takes over when this exceeds the duration in the record. The holder measures
+// its remaining time from before the write that renewed the lease, so it gives up earlier than any candidate
+// takes over.
 package lease
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -11,28 +11,28 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// ErrHeld is returned when another node holds the lease.
+// ErrHeld is returned while another node holds the lease.
 var ErrHeld = errors.New("lease: held by another node")
 
-// ErrExpiring is returned when too little of the lease is left to act.
-var ErrExpiring = errors.New("lease: lapsed")
+// ErrExpiring is returned if too little of the lease remains to act.
+var ErrExpiring = errors.New("lease: too little time left to act")
 
 // Record is the stored form of a lease.
 type Record struct {
 	// Holder is the node and incarnation that holds the lease; empty if released.
 	Holder string `json:"holder"`
-	// Fence rises by one with each holder.
+	// Fence increases by one with each holder.
 	Fence uint64 `json:"fence"`
-	// Renewals rises with each renewal, so that a candidate sees a live holder.
+	// Renewals increases with each renewal, so that a candidate detects a live holder.
 	Renewals uint64 `json:"renewals"`
 	// DurationMillis is how long the lease lasts without renewal.
 	DurationMillis int64 `json:"duration_ms"`
-	// Idle states that the holder has nothing under way and will acquire the lease
-	// again before it acts: another one may take it at once.
+	// Idle is set if the holder has no order in flight and will acquire the lease again before it acts: another
+	// node may take it immediately.
 	Idle bool `json:"idle,omitempty"`
 }
 
-// Options describe one lease.
+// Options configures a Lease.
 type Options struct {
 	Store objectapi.Store
 	// Name is the lease object's name.
@@ -52,7 +52,7 @@
 	defaultMargin   = time.Second
 )
 
-// Lease is one node's part in a lease. It is safe for concurrent use.
+// Lease is one node's view of a lease. It is safe for concurrent use.
 type Lease struct {
 	options Options
 
@@ -62,7 +62,7 @@
 	version  int64
 	held     bool
 	until    time.Time
-	// takenOverAt is when the lease was taken from a holder that had not released it.
+	// takenOverAt is when the lease was taken from a holder that had neither released it nor marked it idle.
 	takenOverAt time.Time
 }
 
@@ -80,8 +80,8 @@
 	return &Lease{options: options}
 }
 
-// Acquire takes or renews the lease and returns its fence. It returns ErrHeld
-// while another holder may be alive.
+// Acquire takes or renews the lease and returns its fence. It returns ErrHeld while another holder may be
+// active.
 func (l *Lease) Acquire(ctx context.Context) (uint64, error) {
 	started := l.options.Now()
 	current, err := l.read(ctx)
@@ -106,7 +106,7 @@
 	return wanted.Fence, nil
 }
 
-// read fetches the record and notes when it last changed.
+// read fetches the record and tracks when it last changed.
 func (l *Lease) read(ctx context.Context) (Record, error) {
 	object, err := l.options.Store.Get(ctx, objectapi.KindLease, l.options.Name)
 	if err != nil && !errors.Is(err, objectapi.ErrNotFound) {
@@ -139,8 +139,8 @@
 	if current.Holder == l.options.Holder {
 		return wanted, true
 	}
-	lasts := time.Duration(current.DurationMillis) * time.Millisecond
-	if current.Holder != "" && !current.Idle && now.Sub(l.seenAt) <= lasts {
+	duration := time.Duration(current.DurationMillis) * time.Millisecond
+	if current.Holder != "" && !current.Idle && now.Sub(l.seenAt) <= duration {
 		return Record{}, false
 	}
 	wanted.Holder = l.options.Holder
@@ -148,8 +148,8 @@
 	return wanted, true
 }
 
-// write stores the record. A write without a definite answer does not make the
-// node the holder; the next Acquire finds its name in the record.
+// write stores the record. A write without a definite answer does not make the node the holder; the next
+// Acquire finds its name in the record.
 func (l *Lease) write(ctx context.Context, record Record) error {
 	spec, err := json.Marshal(record)
 	if err != nil {
@@ -168,30 +168,28 @@
 	return nil
 }
 
-// Check returns nil if the node holds the lease for at least the given time and
-// the margin. It is called right before an order is sent, with the longest time
-// that the order can be under way.
-func (l *Lease) Check(longest time.Duration) error {
+// Check returns nil if the node holds the lease for at least the given time and the margin. It is called right
+// before an order is sent, with the longest time that the order can be in flight.
+func (l *Lease) Check(maxDuration time.Duration) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.held || l.options.Now().Add(longest+l.options.Margin).After(l.until) {
+	if !l.held || l.options.Now().Add(maxDuration+l.options.Margin).After(l.until) {
 		return ErrExpiring
 	}
 	return nil
 }
 
-// TakeoverWaitOver reports whether the given time has passed since the lease was taken
-// from a holder that had not released it: an order of that holder may have been
-// under way. Engines that check fences need no such wait.
-func (l *Lease) TakeoverWaitOver(longest time.Duration) bool {
+// TakeoverWaitOver reports whether the given time has passed since the lease was taken from a holder that had
+// not given it up: an order of that holder may have been in flight. Engines that check fences need no such
+// wait.
+func (l *Lease) TakeoverWaitOver(maxDuration time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.takenOverAt.IsZero() || l.options.Now().Sub(l.takenOverAt) >= longest
+	return l.takenOverAt.IsZero() || l.options.Now().Sub(l.takenOverAt) >= maxDuration
 }
 
-// MarkIdle notes that nothing of this holder is under way, so that another one need not
-// wait. This node acts again only after another Acquire. It must not be called while
-// an order may be under way.
+// MarkIdle records that this holder has no order in flight, so that another one need not wait. This node acts
+// again only after another Acquire. It must not be called while an order may be in flight.
 func (l *Lease) MarkIdle(ctx context.Context) error {
 	l.mu.Lock()
 	held, record := l.held, l.observed
@@ -213,8 +211,8 @@
 	return l.write(ctx, record)
 }
 
-// Release gives the lease up, so that the next holder need not wait. It must not
-// be called while an order may be under way.
+// Release gives the lease up, so that the next holder need not wait. It must not be called while an order may
+// be in flight.
 func (l *Lease) Release(ctx context.Context) error {
 	l.mu.Lock()
 	held, record := l.held, l.observed
