--- a/service/handler_test.go
+++ b/service/handler_test.go
@@ -163,7 +163,7 @@
 		}
 	})
 
-	It("is retried at another replica if it is idempotent", func() {
+	It("is repeated at another replica if it may be", func() {
 		first.breaks.Store(true)
 		handler := newHandler()
 		for range 4 {
@@ -172,7 +172,7 @@
 		}
 	})
 
-	It("is not retried if it is not idempotent, and its outcome is unknown", func() {
+	It("is not repeated if it may not be, and its outcome is unknown", func() {
 		first.breaks.Store(true)
 		second.breaks.Store(true)
 		status, failure, _ := send(newHandler(), http.MethodPost, newKey(), "reading")
@@ -205,7 +205,7 @@
 		Expect(status).To(Equal(http.StatusOK))
 	})
 
-	It("needs a key with a timestamp", func() {
+	It("needs a key that carries its time", func() {
 		for _, key := range []string{"", "text", uuid.NewString()} {
 			_, failure, _ := send(newHandler(), http.MethodPost, key, "reading")
 			Expect(failure.Code).To(Equal(api.CodeKeyRequired))
@@ -213,7 +213,7 @@
 		Expect(runs()).To(BeZero())
 	})
 
-	It("is not sent to a leaving replica", func() {
+	It("goes past a leaving replica", func() {
 		leaving["first"] = true
 		for range 6 {
 			status, _, _ := send(newHandler(), http.MethodGet, "", "")
@@ -222,7 +222,7 @@
 		Expect(first.ran.Load()).To(BeZero())
 	})
 
-	It("is not sent to a replica that has requested backoff", func() {
+	It("leaves a replica alone that has asked for backoff", func() {
 		first.requestsBackoff.Store(true)
 		now := time.Now()
 		handler := newHandler()
@@ -240,7 +240,7 @@
 		Expect(first.ran.Load()).To(BeNumerically(">", 1))
 	})
 
-	It("is rejected immediately when every replica has requested backoff", func() {
+	It("is refused at once when every replica has asked for backoff", func() {
 		first.requestsBackoff.Store(true)
 		second.requestsBackoff.Store(true)
 		handler := newHandler()
@@ -253,7 +253,7 @@
 		Expect(failure.RetryAfter).To(BeNumerically("~", time.Minute, 5*time.Second))
 	})
 
-	It("is rejected when every replica is leaving", func() {
+	It("is refused when every replica is leaving", func() {
 		leaving["first"], leaving["second"] = true, true
 		_, failure, _ := send(newHandler(), http.MethodGet, "", "")
 		Expect(failure.Outcome).To(Equal(api.OutcomeNotRun))
