--- a/service/handler_test.go
+++ b/service/handler_test.go
@@ -49,15 +49,15 @@
 	return nil
 }
 
-// replica is a back end that counts what it ran.
+// replica is a backend that counts the calls that it ran.
 type replica struct {
 	*httptest.Server
 	ran atomic.Int64
-	// breaks closes the connection after the call has run.
+	// breaks makes it close the connection after the call has run.
 	breaks atomic.Bool
-	// backsOff has it turn calls away and ask for a minute of backoff.
-	backsOff atomic.Bool
-	header   atomic.Value
+	// requestsBackoff makes it reject calls and request a minute of backoff.
+	requestsBackoff atomic.Bool
+	header          atomic.Value
 }
 
 func newReplica() *replica {
@@ -69,7 +69,7 @@
 		if created.breaks.Load() {
 			panic(http.ErrAbortHandler)
 		}
-		if created.backsOff.Load() {
+		if created.requestsBackoff.Load() {
 			w.Header().Set("Retry-After", "60")
 			api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun, "asks for backoff").WriteHTTP(w)
 			return
@@ -83,7 +83,7 @@
 
 func (r *replica) address() string { return r.Listener.Addr().String() }
 
-// closedAddress is an address on which nobody listens.
+// closedAddress returns an address without a listener.
 func closedAddress() string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -223,7 +223,7 @@
 	})
 
 	It("leaves a replica alone that has asked for backoff", func() {
-		first.backsOff.Store(true)
+		first.requestsBackoff.Store(true)
 		now := time.Now()
 		handler := newHandler()
 		handler.balancer.now = func() time.Time { return now }
@@ -232,7 +232,7 @@
 		}
 		Expect(first.ran.Load()).To(BeEquivalentTo(1), "calls after it asked for backoff")
 		Expect(second.ran.Load()).To(BeEquivalentTo(19))
-		first.backsOff.Store(false)
+		first.requestsBackoff.Store(false)
 		now = now.Add(time.Minute)
 		for range 4 {
 			_, _, _ = send(handler, http.MethodGet, "", "")
@@ -241,8 +241,8 @@
 	})
 
 	It("is refused at once when every replica has asked for backoff", func() {
-		first.backsOff.Store(true)
-		second.backsOff.Store(true)
+		first.requestsBackoff.Store(true)
+		second.requestsBackoff.Store(true)
 		handler := newHandler()
 		for range 10 {
 			_, _, _ = send(handler, http.MethodGet, "", "")
