--- a/admission/wire.go
+++ b/admission/wire.go
@@ -10,7 +10,7 @@
 func encodeReport(report Report) *peerpb.ReportLoad {
 	encoded := &peerpb.ReportLoad{
 		Service: report.Service, Holder: report.Holder, IntervalMs: report.Interval.Milliseconds(),
-		ObjectiveMs: report.Objective.Milliseconds(), FirstTries: int64(report.FirstTries), Retries: int64(report.Retries),
+		ObjectiveMs: report.Objective.Milliseconds(), FirstTries: int64(report.FirstAttempts), Retries: int64(report.Retries),
 		Admitted: int64(report.Admitted),
 	}
 	for _, counts := range report.Backends {
@@ -25,7 +25,7 @@
 func decodeReport(encoded *peerpb.ReportLoad) Report {
 	report := Report{
 		Service: encoded.GetService(), Holder: encoded.GetHolder(), Interval: peer.Millis(encoded.GetIntervalMs()),
-		Objective: peer.Millis(encoded.GetObjectiveMs()), FirstTries: int(encoded.GetFirstTries()), Retries: int(encoded.GetRetries()),
+		Objective: peer.Millis(encoded.GetObjectiveMs()), FirstAttempts: int(encoded.GetFirstTries()), Retries: int(encoded.GetRetries()),
 		Admitted: int(encoded.GetAdmitted()),
 	}
 	for _, counts := range encoded.GetBackends() {
@@ -39,13 +39,13 @@
 
 func encodePlan(plan Plan) *peerpb.LoadPlan {
 	encoded := &peerpb.LoadPlan{
-		FirstTries: float32(plan.FirstTries), Retries: float32(plan.Retries),
+		FirstTries: float32(plan.FirstAttempts), Retries: float32(plan.Retries),
 		RetryAfterMs: plan.RetryAfter.Milliseconds(), IntervalMs: plan.Interval.Milliseconds(),
-		RestFullness: float32(plan.RestFullness),
+		RestFullness: float32(plan.RestUtilization),
 	}
 	for _, described := range plan.Backends {
 		encoded.Backends = append(encoded.Backends, &peerpb.BackendWeight{
-			Id: described.ID, Weight: float32(described.Weight), Fullness: float32(described.Fullness),
+			Id: described.ID, Weight: float32(described.Weight), Fullness: float32(described.Utilization),
 		})
 	}
 	return encoded
@@ -53,13 +53,13 @@
 
 func decodePlan(encoded *peerpb.LoadPlan) Plan {
 	plan := Plan{
-		FirstTries: float64(encoded.GetFirstTries()), Retries: float64(encoded.GetRetries()),
+		FirstAttempts: float64(encoded.GetFirstTries()), Retries: float64(encoded.GetRetries()),
 		RetryAfter: peer.Millis(encoded.GetRetryAfterMs()), Interval: peer.Millis(encoded.GetIntervalMs()),
-		RestFullness: float64(encoded.GetRestFullness()),
+		RestUtilization: float64(encoded.GetRestFullness()),
 	}
 	for _, described := range encoded.GetBackends() {
 		plan.Backends = append(plan.Backends, BackendPlan{
-			ID: described.GetId(), Weight: float64(described.GetWeight()), Fullness: float64(described.GetFullness()),
+			ID: described.GetId(), Weight: float64(described.GetWeight()), Utilization: float64(described.GetFullness()),
 		})
 	}
 	return plan
--- a/antientropy/handler.go
+++ b/antientropy/handler.go
@@ -31,7 +31,7 @@
 	isComplete := s.options.Complete()
 	compared := &peerpb.ReplicaVersions{Same: request.GetDigest() == s.options.Replica.Digest(), Whole: isComplete, ComparesParts: true, UrgentAgeMs: s.reportedUrgentAge()}
 	if !compared.GetSame() {
-		compared.Buckets = s.options.Replica.Buckets()
+		compared.Buckets = s.options.Replica.BucketDigests()
 	}
 	return &peerpb.Response{Body: &peerpb.Response_ReplicaVersions{ReplicaVersions: compared}}
 }
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -309,7 +309,7 @@
 	// A complete replica stays complete: there is nothing left to record then.
 	compared := comparison{otherComplete: versions.GetWhole() && !s.options.Complete(), supportsParts: versions.GetComparesParts(), confirmedAt: confirmedAt(began, versions)}
 	if !versions.GetSame() {
-		compared.differing = shuffled(s.options.Replica.Differing(versions.GetBuckets()))
+		compared.differing = shuffled(s.options.Replica.DifferingBuckets(versions.GetBuckets()))
 	}
 	if compared.otherComplete {
 		s.markComplete(bucketsExcept(compared.differing))
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -18,7 +18,7 @@
 func (c *Core) assembleQuarantine() {
 	origin := c.options.LeaseNow()
 	now := func() time.Duration { return c.options.LeaseNow().Sub(origin) }
-	keeper := quarantine.NewKeeper(quarantine.KeeperOptions{Announce: c.announceQuarantine, Now: now})
+	keeper := quarantine.NewCoordinator(quarantine.CoordinatorOptions{Announce: c.announceQuarantine, Now: now})
 	c.quarantines = quarantine.NewClient(quarantine.ClientOptions{
 		Coordinators: ownerChoice{c}, Peers: c.client, Local: keeper, Now: now,
 	})
@@ -36,7 +36,7 @@
 
 // keepArchive keeps the quarantines in the platform while this node is their keeper.
 func (c *Core) keepArchive(ctx context.Context) {
-	if !c.quarantines.IsKeeper() {
+	if !c.quarantines.IsCoordinator() {
 		c.quarantineArchive.Reset()
 		return
 	}
@@ -46,19 +46,19 @@
 // ownerChoice chooses who coordinates something for all nodes: the owner of its name.
 type ownerChoice struct{ core *Core }
 
-var _ coordinator.Choice = ownerChoice{}
+var _ coordinator.Locator = ownerChoice{}
 
-// Coordinator implements coordinator.Choice.
+// Coordinator implements coordinator.Locator.
 func (o ownerChoice) Coordinator(scope string) (address string, found bool) {
 	owner, err := o.core.Cluster.Owner("", scope)
 	return owner.Address, err == nil
 }
 
-// Own implements coordinator.Choice.
+// Own implements coordinator.Locator.
 func (o ownerChoice) Own() string { return o.core.options.PeerAddress }
 
-// Answered implements coordinator.Choice. Heartbeats tell who lives.
+// Answered implements coordinator.Locator. Heartbeats tell who lives.
 func (o ownerChoice) Answered(string) {}
 
-// Missed implements coordinator.Choice. Heartbeats tell who is gone.
+// Missed implements coordinator.Locator. Heartbeats tell who is gone.
 func (o ownerChoice) Missed(string, error) {}
--- a/router/engines.go
+++ b/router/engines.go
@@ -61,8 +61,8 @@
 // Own implements coordinator.Fleet.
 func (r *Router) Own() string { return r.options.Settings.PeerAddress }
 
-// Silent implements coordinator.Fleet.
-func (r *Router) Silent(address string, err error) { r.syncer.ReportFailure(address, err) }
+// Unresponsive implements coordinator.Fleet.
+func (r *Router) Unresponsive(address string, err error) { r.syncer.ReportFailure(address, err) }
 
 // shortlistSize is how many engines of each role are drawn for a request before all are looked at: so many
 // of the whole service, and so many in the zone of the request's node.
@@ -82,7 +82,7 @@
 // shortlist returns some of them for a node in a zone.
 func (r *Router) shortlist(service, zone string) coordinator.Engines {
 	return r.describeEngines(service, func(role backend.Role) ([]*backend.Entry, bool) {
-		wanted := backend.Wanted{Service: service, Role: role, Count: shortlistSize, Whole: wholeSize}
+		wanted := backend.SampleOptions{Service: service, Role: role, Count: shortlistSize, AllUpTo: wholeSize}
 		drawn, isAll := r.backends.Sample(wanted, rand.IntN)
 		if isAll || zone == "" {
 			return drawn, isAll
@@ -115,7 +115,7 @@
 			engines.Prefill = append(engines.Prefill, entry.ID())
 		}
 	}
-	engines.AreAll = allDecode && allPrefill
+	engines.Complete = allDecode && allPrefill
 	return engines
 }
 
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -10,14 +10,14 @@
 	agreement := r.syncer.SyncStatus()
 	return gateway.Freshness{
 		RevisionInForce: r.revisionInForce.Load(), RevisionKnown: r.revisionKnown(),
-		AgreedAgo: agreement.UrgentAge, Exchanges: agreement.Exchanges, OldestExchange: agreement.OldestExchange,
+		SinceInSync: agreement.UrgentAge, Exchanges: agreement.Exchanges, OldestExchange: agreement.OldestExchange,
 	}
 }
 
 // revisionKnown returns the newest revision of a configuration in the copy.
 func (r *Router) revisionKnown() int64 {
 	known := int64(0)
-	for _, object := range r.copy.Live(r.options.Backplane.ConfigurationKind) {
+	for _, object := range r.copy.Live(r.options.Environment.ConfigurationKind) {
 		known = max(known, object.Version)
 	}
 	return known
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -16,11 +16,11 @@
 // newQuarantines builds the node's part in quarantines: what it knows, the keeper in case it is
 // chosen, and the archive in the store.
 func (r *Router) newQuarantines() {
-	r.quarantineKeeper = quarantine.NewKeeper(quarantine.KeeperOptions{Announce: r.announceQuarantine, Now: r.now})
+	r.quarantineKeeper = quarantine.NewCoordinator(quarantine.CoordinatorOptions{Announce: r.announceQuarantine, Now: r.now})
 	r.quarantines = quarantine.NewClient(quarantine.ClientOptions{
-		Coordinators: r.assigner, Peers: r.client, Local: r.quarantineKeeper, BecameKeeper: r.adoptQuarantines, Now: r.now,
+		Coordinators: r.assigner, Peers: r.client, Local: r.quarantineKeeper, BecameCoordinator: r.adoptQuarantines, Now: r.now,
 	})
-	r.quarantineArchive = quarantine.NewArchive(r.options.Backplane.Store, r.quarantineKeeper, r.options.Logger, time.Now)
+	r.quarantineArchive = quarantine.NewArchive(r.options.Environment.Store, r.quarantineKeeper, r.options.Logger, time.Now)
 }
 
 // States of a request in the version of its record. Of two records that nodes in a partition made
@@ -41,7 +41,7 @@
 		r.options.Logger.Error("quarantine not announced", "error", err.Error())
 		return
 	}
-	state, cleared := stateSuspect, !told.Standing().Suspect()
+	state, cleared := stateSuspect, !told.Status().Suspect()
 	switch {
 	case cleared:
 		state = stateCleared
@@ -86,7 +86,7 @@
 // ends.
 func (r *Router) keepArchive(ctx context.Context) {
 	periodic.Run(ctx, archiveInterval, func(ctx context.Context) {
-		if !r.quarantines.IsKeeper() {
+		if !r.quarantines.IsCoordinator() {
 			r.quarantineArchive.Reset()
 			return
 		}
--- a/router/reports.go
+++ b/router/reports.go
@@ -67,16 +67,16 @@
 	var asked sync.WaitGroup
 	for _, id := range turns.take(engines, func(id string) bool { return inUse[id] }) {
 		entry := r.backends.Lookup(id)
-		if entry == nil || entry.BackoffLeft() > 0 {
+		if entry == nil || entry.BackoffRemaining() > 0 {
 			continue
 		}
 		asked.Go(func() {
-			report, err := r.options.Backplane.Dialect.Report(ctx, entry.Backend())
+			report, err := r.options.Environment.Dialect.Report(ctx, entry.Backend())
 			if err != nil {
 				r.metrics.Add("report_errors", 1)
 				return
 			}
-			r.coordinator.Reported(service, entry.Backend().ID, report.UsedTokens)
+			r.coordinator.ReportMemoryUse(service, entry.Backend().ID, report.UsedTokens)
 		})
 	}
 	asked.Wait()
--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -86,11 +86,11 @@
 // holdRetryShare puts the node's share into force, and confirms where it has become smaller.
 func (r *Router) holdRetryShare() {
 	share := r.retryShares.known.Shares[r.options.Settings.Name]
-	if share.Start != r.startName() || r.isIsolated() {
-		r.retryShares.holder.Hold(retrybudget.Share{})
+	if share.Incarnation != r.startName() || r.isIsolated() {
+		r.retryShares.holder.SetShare(retrybudget.Share{})
 		return
 	}
-	r.retryShares.holder.Hold(share)
+	r.retryShares.holder.SetShare(share)
 	if share.Unconfirmed > 0 {
 		r.confirmRetryShare()
 	}
@@ -166,11 +166,11 @@
 		return errors.Wrap(err, "encode retry shares")
 	}
 	object := objectapi.Object{Kind: kindRetryShares, Name: nameRetryShares, Version: r.retryShares.version, Spec: spec}
-	written, err := r.options.Backplane.Store.Put(ctx, object)
+	written, err := r.options.Environment.Store.Put(ctx, object)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		// Somebody has removed it; what the nodes have goes on.
 		object.Version = 0
-		written, err = r.options.Backplane.Store.Put(ctx, object)
+		written, err = r.options.Environment.Store.Put(ctx, object)
 	}
 	if errors.Is(err, objectapi.ErrConflict) {
 		r.refetch(ctx, replica.Key{Kind: kindRetryShares, Name: nameRetryShares})
@@ -203,7 +203,7 @@
 		}
 		missing[name] = since
 		if now.Sub(since) < lostAfter {
-			awaited = append(awaited, retrybudget.Member{Name: name, Start: share.Start})
+			awaited = append(awaited, retrybudget.Member{Name: name, Incarnation: share.Incarnation})
 		}
 	}
 	r.retryShares.missing = missing
@@ -223,7 +223,7 @@
 	}
 	members := r.nodes.able(abilityRetryShares)
 	for i, member := range members {
-		if told := confirmed[member.Name]; told.Start == member.Start {
+		if told := confirmed[member.Name]; told.Start == member.Incarnation {
 			members[i].Confirmed = told.Generation
 		}
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -32,8 +32,8 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// Backplane is what the daemon meets outside itself.
-type Backplane struct {
+// Environment is what the daemon meets outside itself.
+type Environment struct {
 	Store   objectapi.Store
 	Dialect Dialect
 	// ConfigurationKind and BackendKind are the kinds of the objects that hold the
@@ -48,7 +48,7 @@
 // Dialect is how callers, back ends and engines are spoken to.
 type Dialect interface {
 	gateway.Dialect
-	roles.Dialect
+	roles.EngineClient
 	// Observe has a function called with what back ends say of themselves in any of their answers.
 	// It is called once, before all other calls.
 	Observe(observer backend.Observer)
@@ -56,9 +56,9 @@
 
 // Options are the parts of a Router.
 type Options struct {
-	Settings  *settings.Router
-	Backplane Backplane
-	Logger    *slog.Logger
+	Settings    *settings.Router
+	Environment Environment
+	Logger      *slog.Logger
 	// Listen opens a port. Default net.Listen for TCP.
 	Listen func(address string) (net.Listener, error)
 	// Dial opens connections to other nodes. Default net.Dialer.
@@ -114,7 +114,7 @@
 	// quarantines knows which requests crash back ends; quarantineKeeper brings together what all
 	// nodes saw, where this one is chosen for it, and quarantineArchive keeps that in the store.
 	quarantines       *quarantine.Client
-	quarantineKeeper  *quarantine.Keeper
+	quarantineKeeper  *quarantine.Coordinator
 	quarantineArchive *quarantine.Archive
 	roles             *roles.Controller
 	// retryShares is what the node knows of how the retry budget is divided.
@@ -185,8 +185,8 @@
 	r.staleness = newStaleness()
 	r.nodesMet, r.nodesKnown = newMilestone(), newMilestone()
 	r.settings.Store(options.Settings)
-	options.Backplane.Dialect.Observe(r.heardBackend)
-	r.copy = replica.New(options.Backplane.ConfigurationKind, r.changed)
+	options.Environment.Dialect.Observe(r.heardBackend)
+	r.copy = replica.New(options.Environment.ConfigurationKind, r.changed)
 	stamps := timeline.NewClock(time.Now)
 	r.client = peer.NewClient(options.Settings.Name, options.Dial, stamps)
 	r.client.Observe(r.countCall)
@@ -202,7 +202,7 @@
 	r.admissions = admission.NewClient(r.admission, r.controller, r.client, r.assigner)
 	r.quotaKeeper = quota.NewCoordinator(quota.Options{Tenant: r.tenantNamed, Nodes: r.nodeCount, Tolerance: quota.Tolerance(options.Settings.QuotaTolerance)})
 	r.quotas = quota.NewClient(quota.ClientOptions{
-		Coordinators: r.assigner, Peers: r.client, Local: r.quotaKeeper, Alone: quota.NewAlone(r.nodeCount, rand.Float64),
+		Coordinators: r.assigner, Peers: r.client, LocalCoordinator: r.quotaKeeper, LocalLimiter: quota.NewLocalLimiter(r.nodeCount, rand.Float64),
 		Limited: r.anyTenantLimited, Now: r.now,
 	})
 	r.newQuarantines()
@@ -214,7 +214,7 @@
 	r.gateway = gateway.New(gateway.Options{
 		Clock:    options.Clock,
 		Zone:     options.Settings.Zone,
-		Dialect:  options.Backplane.Dialect,
+		Dialect:  options.Environment.Dialect,
 		Backends: r.backends,
 		Budget: retrybudget.New(retrybudget.Options{
 			Ratio:  options.Settings.RetryRatio * budgetShare,
@@ -309,9 +309,9 @@
 // backgroundTasks returns what runs beside the servers: until a planned stop begins,
 // or until the node has drained.
 func (r *Router) backgroundTasks(untilStop, untilDrained context.Context) []func() {
-	backplane := r.options.Backplane
+	environment := r.options.Environment
 	tasks := []func(){
-		func() { r.follow(untilDrained, backplane.ConfigurationKind, backplane.BackendKind, kindNode) },
+		func() { r.follow(untilDrained, environment.ConfigurationKind, environment.BackendKind, kindNode) },
 		func() { r.runSyncer(untilDrained) },
 		func() { r.assigner.Run(untilDrained) },
 		func() { r.admissions.Run(untilDrained) },
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -61,7 +61,7 @@
 // coordinated is the router's own policy: the ledger that its coordinators keep.
 type coordinated struct {
 	book    *ledger.Ledger
-	output  estimate.Output
+	output  estimate.OutputLength
 	names   map[*request]string
 	started bool
 	next    int
@@ -83,7 +83,7 @@
 	most := int(s.sheet.Events.Most) * s.sheet.EventTokens
 	expected := min(asked.hint, most)
 	return ledger.Run{
-		ID: p.names[asked], Prompt: asked.prompt, Expected: expected, Most: most,
+		ID: p.names[asked], Prompt: asked.prompt, CallerEstimate: expected, MaxOutput: most,
 		Output: p.output.Mean(expected, most), Holder: "node",
 	}
 }
@@ -112,18 +112,18 @@
 
 func (p *coordinated) ended(_ *simulation, _ *decodeEngine, over *request, took time.Duration, whole bool) {
 	if !whole {
-		p.book.End(p.names[over], ledger.Answer{})
+		p.book.End(p.names[over], ledger.AnswerTiming{})
 		return
 	}
 	// The emulator's runs begin with their first event at the guessed start.
-	answer := ledger.Answer{First: assumedStart, Duration: took, Rest: over.output}
+	answer := ledger.AnswerTiming{FirstEvent: assumedStart, Duration: took, RestTokens: over.output}
 	if run, known := p.book.End(p.names[over], answer); known {
-		p.output.Observe(run.Expected, over.output)
+		p.output.Observe(run.CallerEstimate, over.output)
 	}
 }
 
 func (p *coordinated) returnAfter(s *simulation, refused *request) time.Duration {
-	return max(shortestReturn, p.book.CapacityAfter(s.Now(), p.runOf(s, refused)))
+	return max(shortestReturn, p.book.TimeUntilCapacity(s.Now(), p.runOf(s, refused)))
 }
 
 // reserving asks the engines for the memory that the caller expects to need.
