--- a/configuration/head.go
+++ b/configuration/head.go
@@ -17,27 +17,27 @@
 // HeadName is the name of the head object.
 const HeadName = "head"
 
-// Head names the parts of one version of the configuration.
+// Head lists the parts of one version of the configuration.
 type Head struct {
 	Version uint64 `json:"version"`
-	// Change identifies the change that made this version, so that its author
-	// recognizes it after a lost reply.
+	// Change identifies the change that made this version, so that its author recognizes it after a lost
+	// response.
 	Change string `json:"change"`
-	// Recent are the newest accepted changes, this one first: a change whose reply
-	// was lost may have been followed by another before its author asks again.
+	// Recent are the most recently accepted changes, this one first: after a change whose response was lost,
+	// another may be accepted before its author asks again.
 	Recent []string `json:"recent,omitempty"`
-	// Moved names the objects that the change touched.
+	// Moved lists the objects that the change affected.
 	Moved []string `json:"moved,omitempty"`
 	// Parts are the digests of the parts, the fleet part first.
 	Parts []string `json:"parts"`
-	// Dropped are parts of the version before that this one no longer has.
+	// Dropped are parts of the previous version that this one does not have.
 	Dropped []string `json:"dropped,omitempty"`
 }
 
-// maxRecent bounds the accepted changes that a head remembers.
+// maxRecent bounds the accepted changes that a head lists.
 const maxRecent = 32
 
-// Accepted reports whether a change is among the newest accepted ones.
+// Accepted reports whether a change is among the most recently accepted ones.
 func (h Head) Accepted(change string) bool { return slices.Contains(h.Recent, change) }
 
 // Part is one immutable piece of the configuration.
@@ -62,9 +62,9 @@
 // tenantsPerPart keeps a tenant part near 100 kB.
 const tenantsPerPart = 256
 
-// Split cuts a configuration into parts: one with the classes, pools and
-// services, and as many with tenants as their number asks for. A tenant's part
-// follows from its name, so a change of one tenant changes one part.
+// Split divides a configuration into parts: one with the classes, pools and services, and as many with tenants
+// as their number requires. A tenant is assigned to a part by the hash of its name, so a change of one tenant
+// changes one part.
 func Split(configuration api.Configuration) ([]Part, error) {
 	fleet := configuration
 	fleet.Version = 0
@@ -91,53 +91,53 @@
 	}
 	groups := make([][]api.Tenant, count)
 	for _, tenant := range tenants {
-		at := xxhash.Sum64String(tenant.Name) % uint64(count)
-		groups[at] = append(groups[at], tenant)
+		group := xxhash.Sum64String(tenant.Name) % uint64(count)
+		groups[group] = append(groups[group], tenant)
 	}
 	return groups
 }
 
-// decodePart decodes a part and fills the defaults of its objects, so that the
-// snapshots which share them need not write to them.
+// decodePart decodes a part and sets the defaults of its objects, so that the snapshots which share them need
+// not write to them.
 func decodePart(data []byte) (*api.Configuration, error) {
 	part := &api.Configuration{}
 	if err := json.Unmarshal(data, part); err != nil {
 		return nil, errors.Wrap(err, "decode part")
 	}
 	part.SetDefaults()
-	shareNames(part.Tenants)
+	internNames(part.Tenants)
 	return part, nil
 }
 
-// shareNames makes tenants share the names of classes and services. A decoder
-// makes a copy of each, which would be most of the memory of thousands of tenants.
-func shareNames(tenants []api.Tenant) {
-	known := map[string]string{}
-	share := func(names []string) {
+// internNames makes tenants share the names of classes and services. A decoder allocates a copy of each, which
+// would be most of the memory of thousands of tenants.
+func internNames(tenants []api.Tenant) {
+	canonical := map[string]string{}
+	intern := func(names []string) {
 		for i, name := range names {
-			if _, ok := known[name]; !ok {
-				known[name] = name
+			if _, ok := canonical[name]; !ok {
+				canonical[name] = name
 			}
-			names[i] = known[name]
+			names[i] = canonical[name]
 		}
 	}
 	for i := range tenants {
-		share(tenants[i].Classes)
-		share(tenants[i].Services)
+		intern(tenants[i].Classes)
+		intern(tenants[i].Services)
 	}
 }
 
 // Join builds the configuration of a version from its decoded parts.
 func Join(version uint64, parts []*api.Configuration) *api.Configuration {
-	whole := &api.Configuration{Version: version}
+	joined := &api.Configuration{Version: version}
 	for _, part := range parts {
-		whole.Tenants = append(whole.Tenants, part.Tenants...)
-		whole.Classes = append(whole.Classes, part.Classes...)
-		whole.Pools = append(whole.Pools, part.Pools...)
-		whole.Services = append(whole.Services, part.Services...)
+		joined.Tenants = append(joined.Tenants, part.Tenants...)
+		joined.Classes = append(joined.Classes, part.Classes...)
+		joined.Pools = append(joined.Pools, part.Pools...)
+		joined.Services = append(joined.Services, part.Services...)
 	}
-	Sort(whole)
-	return whole
+	Sort(joined)
+	return joined
 }
 
 // Sort orders the objects of a configuration by name.
@@ -172,11 +172,11 @@
 	return objects, failed
 }
 
-// ErrConflict says that the configuration moved since a plan was made.
+// ErrConflict reports that the configuration has changed since a plan was made.
 type ErrConflict struct {
 	// Planned and Current are the versions.
 	Planned, Current uint64
-	// Moved names the objects that the newest change touched.
+	// Moved lists the objects that the newest change affected.
 	Moved []string
 }
 
--- a/configuration/holder.go
+++ b/configuration/holder.go
@@ -11,16 +11,16 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// ErrNoPart is returned when a node or the platform lacks a part.
+// ErrNoPart is returned when a node or the platform does not have a part.
 var ErrNoPart = errors.New("configuration: part not found")
 
 // FetchPart fetches a part by its digest.
 type FetchPart func(ctx context.Context, digest string) ([]byte, error)
 
-// Holder holds the configuration in force at a node. The version only rises.
-// It is safe for concurrent use.
+// Holder holds the configuration in force at a node. Its version never decreases. It is safe for concurrent
+// use.
 type Holder struct {
-	// advancing holds one token, so that one version is fetched at a time.
+	// advancing is a semaphore with one token, so that one version is fetched at a time.
 	advancing chan struct{}
 
 	mu      sync.Mutex
@@ -56,14 +56,14 @@
 	return stored.data, ok
 }
 
-// storedPart is a part in its stored form, for other nodes, and decoded.
+// storedPart is a part in its stored form, for other nodes, and in decoded form.
 type storedPart struct {
 	data    []byte
 	decoded *api.Configuration
 }
 
-// Advance puts a newer head in force, with missing parts from fetch. An older or
-// equal head changes nothing.
+// Advance puts a newer head in force, and calls fetch for missing parts. An older or equal head changes
+// nothing.
 func (h *Holder) Advance(ctx context.Context, head Head, fetch FetchPart) error {
 	select {
 	case h.advancing <- struct{}{}:
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// part returns a part that the node holds, or fetches and decodes it. A change
-// of one tenant therefore costs the decoding of one part.
+// part returns a part that the node holds, or fetches and decodes it. A change of one tenant therefore requires
+// decoding only one part.
 func (h *Holder) part(ctx context.Context, digest string, fetch FetchPart) (storedPart, error) {
 	h.mu.Lock()
 	stored, ok := h.parts[digest]
@@ -102,7 +102,7 @@
 		return storedPart{}, errors.Wrapf(err, "fetch part %s", digest)
 	}
 	if digestOf(data) != digest {
-		return storedPart{}, errors.Newf("part %s has another digest", digest)
+		return storedPart{}, errors.Newf("content of part %s does not match its digest", digest)
 	}
 	decoded, err := decodePart(data)
 	return storedPart{data: data, decoded: decoded}, err
@@ -119,7 +119,7 @@
 	}
 }
 
-// FromStore returns a FetchPart that reads from the platform.
+// FromStore returns a FetchPart that reads from the platform's store.
 func FromStore(store objectapi.Store) FetchPart {
 	return func(ctx context.Context, digest string) ([]byte, error) {
 		object, err := store.Get(ctx, KindPart, digest)
--- a/configuration/property_test.go
+++ b/configuration/property_test.go
@@ -17,12 +17,12 @@
 	"github.com/reelrun/reelrun/sim/platformsim"
 )
 
-// change is one operator's confirmation.
+// change is one confirmation by an operator.
 type change struct {
 	// behind is how many versions the operator's plan is behind, usually none.
 	behind int
 	pause  time.Duration
-	// effects are what the platform does with the next calls.
+	// effects are how the platform handles the next calls.
 	effects []platformsim.Effect
 }
 
@@ -34,19 +34,19 @@
 	}
 }
 
-// oneWinnerAVersion lets operators race over a platform that refuses calls and
-// loses replies: each version has at most one change that was reported accepted,
-// the versions rise one by one, and a holder that follows never goes back.
+// oneWinnerAVersion runs concurrent changes against a platform that rejects calls and loses responses: each
+// version has at most one change that was reported as accepted, versions increase one by one, and the version
+// of a holder that follows never decreases.
 func oneWinnerAVersion(outer *testing.T) func(*rapid.T) {
 	return func(t *rapid.T) {
 		changes := rapid.SliceOfN(rapid.Custom(drawChange), 2, 15).Draw(t, "changes")
-		for _, violation := range race(outer, changes) {
+		for _, violation := range runConcurrently(outer, changes) {
 			t.Errorf("%s", violation)
 		}
 	}
 }
 
-func race(t *testing.T, changes []change) (violations []string) {
+func runConcurrently(t *testing.T, changes []change) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		var effects []platformsim.Effect
@@ -103,7 +103,7 @@
 	if err != nil {
 		return
 	}
-	// A node may be asked to go back by a peer that lags.
+	// A lagging peer may offer an older version.
 	old := head
 	old.Version = before / 2
 	_ = holder.Advance(context.Background(), old, FromStore(store))
@@ -130,7 +130,7 @@
 	if !errors.As(err, &conflict) || conflict.Current != 1 || len(conflict.Moved) != 1 || conflict.Moved[0] != "tenants/a" {
 		t.Fatalf("got %v", err)
 	}
-	// The loser of a race that asks again, after its reply was lost, learns that it won.
+	// A repeated publication of a change whose response was lost reports that the change was accepted.
 	head, err := Publish(ctx, store, 0, "first", []string{"tenants/a"}, api.Configuration{})
 	if err != nil || head.Version != 1 {
 		t.Fatalf("got version %d and %v", head.Version, err)
@@ -178,7 +178,7 @@
 	head := Head{Version: 1, Parts: []string{parts[0].Digest}}
 	err = holder.Advance(context.Background(), head, func(context.Context, string) ([]byte, error) { return []byte(`{"tenants":[]}`), nil })
 	if err == nil || holder.Current().Version() != 0 {
-		t.Fatalf("an altered part was put in force: %v", err)
+		t.Fatalf("an altered part was accepted: %v", err)
 	}
 }
 
--- a/configuration/publish.go
+++ b/configuration/publish.go
@@ -10,11 +10,11 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// KindPart is the platform's kind for parts. They are kept apart from the head,
-// so that a watch of the head does not carry them.
+// KindPart is the platform's kind for parts. They are stored apart from the head, so that a watch of the head
+// does not return them.
 const KindPart objectapi.Kind = "configurationparts"
 
-// maxMoved bounds the references that a head carries.
+// maxMoved bounds the object references in a head.
 const maxMoved = 32
 
 // ReadHead returns the newest accepted head, or an empty one if there is none.
@@ -29,7 +29,7 @@
 	return DecodeHead(object.Spec)
 }
 
-// DecodeHead reads the stored form of a head.
+// DecodeHead decodes the stored form of a head.
 func DecodeHead(spec []byte) (Head, error) {
 	var head Head
 	if len(spec) == 0 {
@@ -39,9 +39,9 @@
 	return head, errors.Wrap(err, "decode head")
 }
 
-// Publish makes configuration the successor of version base. It returns an
-// *ErrConflict if another change was accepted first. When it returns another
-// error, the change may be accepted; Publish with the same change tells.
+// Publish makes configuration the successor of version base. It returns an *ErrConflict if another change was
+// accepted first. If it returns another error, the change may have been accepted; calling Publish again with
+// the same change determines that.
 func Publish(ctx context.Context, store objectapi.Store, base uint64, change string, moved []string, configuration api.Configuration) (Head, error) {
 	parts, err := Split(configuration)
 	if err != nil {
@@ -58,26 +58,26 @@
 	_, err = objectapi.Modify(ctx, store, objectapi.Change{
 		Kind: objectapi.KindConfiguration, Name: HeadName,
 		Mutate: func(current json.RawMessage) (json.RawMessage, error) {
-			standing, err := DecodeHead(current)
+			latest, err := DecodeHead(current)
 			if err != nil {
 				return nil, err
 			}
-			if standing.Accepted(change) {
+			if latest.Accepted(change) {
 				return nil, nil
 			}
-			if standing.Version != base {
-				return nil, &ErrConflict{Planned: base, Current: standing.Version, Moved: standing.Moved}
+			if latest.Version != base {
+				return nil, &ErrConflict{Planned: base, Current: latest.Version, Moved: latest.Moved}
 			}
-			superseded = standing.Dropped
-			head.Recent = append([]string{change}, standing.Recent[:min(len(standing.Recent), maxRecent-1)]...)
-			head.Dropped = without(standing.Parts, head.Parts)
+			superseded = latest.Dropped
+			head.Recent = append([]string{change}, latest.Recent[:min(len(latest.Recent), maxRecent-1)]...)
+			head.Dropped = without(latest.Parts, head.Parts)
 			return json.Marshal(head)
 		},
 	})
 	if err != nil {
 		return Head{}, err
 	}
-	// A racing change may have collected a part that this one found in place.
+	// A concurrent change may have deleted a part that this one found in place.
 	if err := storeParts(ctx, store, parts); err != nil {
 		return Head{}, err
 	}
@@ -85,7 +85,7 @@
 	return head, nil
 }
 
-// storeParts writes the parts that the platform lacks.
+// storeParts writes the parts that the platform does not have.
 func storeParts(ctx context.Context, store objectapi.Store, parts []Part) error {
 	for _, part := range parts {
 		_, err := objectapi.Modify(ctx, store, objectapi.Change{
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// collect deletes parts that neither the newest head nor the one before needs.
-// A part left behind by a failure costs room and nothing else.
+// collect deletes parts that neither the newest head nor the previous one lists. A part that is left after a
+// failure only uses storage.
 func collect(ctx context.Context, store objectapi.Store, digests []string) {
 	for _, digest := range digests {
 		object, err := store.Get(ctx, KindPart, digest)
@@ -121,11 +121,11 @@
 	for _, name := range other {
 		present[name] = true
 	}
-	var left []string
+	var remaining []string
 	for _, name := range list {
 		if !present[name] {
-			left = append(left, name)
+			remaining = append(remaining, name)
 		}
 	}
-	return left
+	return remaining
 }
--- a/configuration/snapshot.go
+++ b/configuration/snapshot.go
@@ -16,9 +16,9 @@
 	Pool   *api.Pool
 }
 
-// Snapshot is one version of the configuration with its indexes. It never
-// changes. Versions share the decoded parts that they have in common: the tenants
-// of a large fleet stand in memory once, and not once for each version.
+// Snapshot is one version of the configuration with its indexes. It is immutable. Versions share the decoded
+// parts that they have in common: the tenants of a large fleet are in memory once, and not once for each
+// version.
 type Snapshot struct {
 	Head Head
 
@@ -32,7 +32,7 @@
 	services map[string]*api.Service
 }
 
-// NewSnapshot indexes the decoded parts of a version. It fills their defaults.
+// NewSnapshot indexes the decoded parts of a version. It sets their defaults.
 func NewSnapshot(head Head, parts ...*api.Configuration) *Snapshot {
 	s := &Snapshot{
 		Head: head, parts: parts,
@@ -82,9 +82,8 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// TenantByToken returns the tenant of a bearer token. The look-up goes by the
-// token's digest, whose timing tells nothing of a stored token, and the digests
-// are then compared in constant time.
+// TenantByToken returns the tenant of a bearer token. The lookup uses the token's digest, so its timing reveals
+// nothing about a stored token, and the digests are then compared in constant time.
 func (s *Snapshot) TenantByToken(token string) (*api.Tenant, bool) {
 	digest := HashToken(token)
 	tenant, ok := s.tokens[digest]
@@ -98,11 +97,11 @@
 	return tenant, match == 1
 }
 
-// Merged returns all objects, ordered by name, in a copy of their lists. It costs
-// memory for every tenant and is meant for operators' calls.
+// Merged returns all objects, ordered by name, in newly allocated lists. It uses memory for every tenant and is
+// meant for operators' calls.
 func (s *Snapshot) Merged() *api.Configuration { return Join(s.Head.Version, s.parts) }
 
-// PoolNames returns the names of all pools, in no order.
+// PoolNames returns the names of all pools, in no particular order.
 func (s *Snapshot) PoolNames() []string { return slices.Collect(maps.Keys(s.pools)) }
 
 // Tenant returns a tenant by name.
@@ -123,7 +122,7 @@
 	return pool, ok
 }
 
-// PoolsOf returns the pools that hold a model.
+// PoolsOf returns the pools that serve a model.
 func (s *Snapshot) PoolsOf(model string) []*api.Pool { return s.models[model] }
 
 // Engine returns an engine by name.
--- a/configuration/syncer.go
+++ b/configuration/syncer.go
@@ -18,14 +18,14 @@
 	// watchersPerZone is the number of nodes of a zone that watch the head.
 	watchersPerZone = 2
 	watcherKey      = "configuration-watcher"
-	// roleInterval is how often a node looks whether it is to watch.
-	roleInterval = time.Second
-	// pullTimeout bounds the fetch of a version from a peer.
+	// watchCheckInterval is the interval at which a node checks whether it has to watch.
+	watchCheckInterval = time.Second
+	// pullTimeout bounds fetching a version from a peer.
 	pullTimeout = 5 * time.Second
 )
 
-// Placement tells whether the node is one of the first of its zone for a key,
-// and where the other nodes of its zone are.
+// Placement reports whether the node is one of the first of its zone for a key, and the addresses of the other
+// nodes of its zone.
 type Placement interface {
 	IsAmongTop(key string, count int) bool
 	// ZonePeers returns the peer addresses of live nodes of the zone.
@@ -47,16 +47,16 @@
 	now       func() time.Time
 
 	mu sync.Mutex
-	// asked states that the platform or a peer has answered since the start, and
-	// newest is the highest version that one of them has named.
-	asked   bool
-	newest  uint64
-	started time.Time
-	pulling map[string]bool
-	pulls   tasks.Group
+	// confirmed is set once the platform or a peer has answered since the start, and newest is the highest
+	// version that any of them has reported.
+	confirmed bool
+	newest    uint64
+	started   time.Time
+	pulling   map[string]bool
+	pulls     tasks.Group
 }
 
-// NewSyncer returns a syncer that does nothing until Run.
+// NewSyncer returns a syncer that is idle until Run.
 func NewSyncer(holder *Holder, store objectapi.Store, placement Placement, caller PeerCaller, set *metrics.Set, now func() time.Time) *Syncer {
 	return &Syncer{
 		holder: holder, store: store, placement: placement, caller: caller,
@@ -64,19 +64,18 @@
 	}
 }
 
-// Run asks the platform once, and then watches it whenever the node is chosen
-// to, until the context ends.
+// Run reads the head from the platform once, and then watches it whenever the node is selected to, until the
+// context ends.
 func (s *Syncer) Run(ctx context.Context) {
 	defer s.pulls.Close()
-	periodic.RunNow(ctx, roleInterval, func(ctx context.Context) {
+	periodic.RunNow(ctx, watchCheckInterval, func(ctx context.Context) {
 		if !s.Synced() || s.placement.IsAmongTop(watcherKey, watchersPerZone) {
 			s.watch(ctx)
 		}
 	})
 }
 
-// watch reads the head and follows it until the watch ends or the node is no
-// longer chosen.
+// watch reads the head and follows it until the watch ends or the node is no longer selected.
 func (s *Syncer) watch(ctx context.Context) {
 	objects, revision, err := s.store.List(ctx, objectapi.KindConfiguration)
 	if err != nil {
@@ -103,9 +102,9 @@
 	}
 }
 
-// resign ends the watch when another node has taken the node's place.
+// resign ends the watch when another node has taken over.
 func (s *Syncer) resign(ctx context.Context, cancel context.CancelFunc) {
-	periodic.Run(ctx, roleInterval, func(context.Context) {
+	periodic.Run(ctx, watchCheckInterval, func(context.Context) {
 		if !s.placement.IsAmongTop(watcherKey, watchersPerZone) {
 			cancel()
 		}
@@ -117,7 +116,7 @@
 		return
 	}
 	head, err := DecodeHead(object.Spec)
-	s.name(head.Version)
+	s.noteVersion(head.Version)
 	if !s.mayRead() {
 		return
 	}
@@ -129,24 +128,22 @@
 	}
 }
 
-// peersFirst is how long a starting node that does not watch leaves it to its
-// peers to bring the configuration. When a whole fleet starts, only the
-// watchers read the parts from the platform.
-const peersFirst = 3 * time.Second
+// peerGracePeriod is how long a starting node that does not watch waits for its peers to provide the configuration.
+// When a whole fleet starts, only the watchers read the parts from the platform.
+const peerGracePeriod = 3 * time.Second
 
 func (s *Syncer) mayRead() bool {
-	return s.placement.IsAmongTop(watcherKey, watchersPerZone) || len(s.placement.ZonePeers()) == 0 || s.now().Sub(s.started) > peersFirst
+	return s.placement.IsAmongTop(watcherKey, watchersPerZone) || len(s.placement.ZonePeers()) == 0 || s.now().Sub(s.started) > peerGracePeriod
 }
 
-// neighbourTries is how many neighbours are asked for a part before the platform.
-const neighbourTries = 2
+// neighbourAttempts is the number of neighbours that are asked for a part before the platform.
+const neighbourAttempts = 2
 
-// fromNeighbours fetches parts from nodes of the zone, and from the platform if
-// they lack them.
+// fromNeighbours fetches parts from nodes of the zone, and from the platform if they do not have them.
 func (s *Syncer) fromNeighbours() FetchPart {
 	return func(ctx context.Context, digest string) ([]byte, error) {
 		neighbours := s.placement.ZonePeers()
-		for _, address := range neighbours[:min(len(neighbours), neighbourTries)] {
+		for _, address := range neighbours[:min(len(neighbours), neighbourAttempts)] {
 			if data, err := s.partFrom(ctx, address, digest); err == nil {
 				return data, nil
 			}
@@ -161,8 +158,8 @@
 	return response.GetContent().GetData(), err
 }
 
-// name notes a version that the platform or a peer has named.
-func (s *Syncer) name(version uint64) {
+// noteVersion records a version that the platform or a peer has reported.
+func (s *Syncer) noteVersion(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.newest = max(s.newest, version)
@@ -171,23 +168,22 @@
 func (s *Syncer) confirm() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = true
+	s.confirmed = true
 }
 
-// Synced reports whether the platform or a peer has told the newest version
-// since the start of the node, and the node has it.
+// Synced reports whether the platform or a peer has reported the newest version since the start of the node,
+// and the node has it.
 func (s *Syncer) Synced() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked && s.holder.Current().Version() >= s.newest
+	return s.confirmed && s.holder.Current().Version() >= s.newest
 }
 
-// Observe learns from a heartbeat which version its sender has in force, and
-// fetches it if it is newer.
+// Observe processes the version that a heartbeat's sender has in force, and fetches it if it is newer.
 func (s *Syncer) Observe(address string, version uint64) {
-	s.name(version)
+	s.noteVersion(version)
 	if version <= s.holder.Current().Version() {
-		s.heardFromPeer(version)
+		s.confirmFromPeer(version)
 		return
 	}
 	s.mu.Lock()
@@ -200,14 +196,14 @@
 	s.pulls.Go(func() { s.pull(address) })
 }
 
-// heardFromPeer notes that a peer which has a configuration has nothing newer.
-func (s *Syncer) heardFromPeer(version uint64) {
+// confirmFromPeer records that a peer which has a configuration has nothing newer.
+func (s *Syncer) confirmFromPeer(version uint64) {
 	if version == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = true
+	s.confirmed = true
 }
 
 func (s *Syncer) pull(address string) {
@@ -232,11 +228,10 @@
 		return
 	}
 	s.metrics.Add("configuration_pulls", 1)
-	s.heardFromPeer(head.Version)
+	s.confirmFromPeer(head.Version)
 }
 
-// fromPeer fetches parts from a peer, and from the platform if the peer has
-// moved on meanwhile.
+// fromPeer fetches parts from a peer, and from the platform if the peer has replaced them meanwhile.
 func (s *Syncer) fromPeer(address string) FetchPart {
 	return func(ctx context.Context, digest string) ([]byte, error) {
 		data, err := s.partFrom(ctx, address, digest)
@@ -247,7 +242,7 @@
 	}
 }
 
-// Probe asks the platform for the head, which shows whether it can be reached.
+// Probe reads the head from the platform, which shows whether the platform is reachable.
 func (s *Syncer) Probe(ctx context.Context) {
 	head, err := ReadHead(ctx, s.store)
 	if err != nil {
