--- a/directory/directory.go
+++ b/directory/directory.go
@@ -12,7 +12,7 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// retention is how long an ended request is remembered.
+// retention is how long the record of an ended request is kept.
 const retention = time.Minute
 
 // Key returns the key whose owner holds the record of a request.
@@ -24,8 +24,7 @@
 	touched time.Time
 }
 
-// Directory is the part of the directory that one node holds. It is safe for
-// concurrent use.
+// Directory holds the records for which one node is responsible. It is safe for concurrent use.
 type Directory struct {
 	now func() time.Time
 
@@ -46,21 +45,21 @@
 	return len(d.entries)
 }
 
-// Register applies a report and returns what stood before.
+// Register applies a report and returns the previous record.
 func (d *Directory) Register(register *peerpb.Register) (*peerpb.Registered, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sweep()
-	// A caller on this node goes on using its message.
+	// A caller on this node may still use its message.
 	running := proto.CloneOf(register.GetRunning())
 	key := Key(running.GetTenant(), running.GetKey())
-	standing, exists := d.entries[key]
+	existing, exists := d.entries[key]
 	switch register.GetMode() {
 	case peerpb.RegisterMode_REGISTER_MODE_ARRIVE:
-		return d.arrive(key, standing, running)
+		return d.arrive(key, existing, running)
 	case peerpb.RegisterMode_REGISTER_MODE_UPDATE, peerpb.RegisterMode_REGISTER_MODE_RESTORE:
-		if exists && !precedes(standing.running, running) {
-			return &peerpb.Registered{Previous: standing.running}, nil
+		if exists && !precedes(existing.running, running) {
+			return &peerpb.Registered{Previous: existing.running}, nil
 		}
 		d.entries[key] = &entry{running: running, touched: d.now()}
 		return &peerpb.Registered{}, nil
@@ -69,25 +68,24 @@
 	}
 }
 
-// precedes reports whether a report is newer than the standing record. Of two
-// records with one turn, which two nodes have given while their views differed,
-// the one that came first stays.
-func precedes(standing, running *peerpb.Running) bool {
-	if standing.GetTurn() != running.GetTurn() {
-		return standing.GetTurn() < running.GetTurn()
+// precedes reports whether a report is newer than the existing record. If two records have the same turn, which
+// two nodes may have assigned while their views differed, the first one is kept.
+func precedes(existing, running *peerpb.Running) bool {
+	if existing.GetTurn() != running.GetTurn() {
+		return existing.GetTurn() < running.GetTurn()
 	}
-	return proto.Equal(standing.GetHolder(), running.GetHolder())
+	return proto.Equal(existing.GetHolder(), running.GetHolder())
 }
 
-// arrive gives the next turn to an arriving request.
-func (d *Directory) arrive(key string, standing *entry, running *peerpb.Running) (*peerpb.Registered, error) {
-	if standing == nil {
+// arrive assigns the next turn to a request.
+func (d *Directory) arrive(key string, existing *entry, running *peerpb.Running) (*peerpb.Registered, error) {
+	if existing == nil {
 		running.Turn = 1
 		running.State = peerpb.RunState_RUN_STATE_RUNNING
 		d.entries[key] = &entry{running: running, touched: d.now()}
 		return &peerpb.Registered{Turn: running.GetTurn()}, nil
 	}
-	previous := standing.running
+	previous := existing.running
 	if !bytes.Equal(previous.GetBodyDigest(), running.GetBodyDigest()) {
 		return nil, api.NewError(http.StatusConflict, api.CodeKeyConflict, api.OutcomeNotRun, "the key belongs to a request with another body")
 	}
@@ -106,8 +104,8 @@
 	return &peerpb.Registered{Previous: previous, Turn: running.GetTurn()}, nil
 }
 
-// sweep forgets ended requests, and running ones whose holder has not reported
-// for long, at most once a second.
+// sweep removes ended requests, and running ones whose holder has not reported for a long time, at most once a
+// second.
 func (d *Directory) sweep() {
 	const sweepInterval = time.Second
 	const runningRetention = 10 * retention
@@ -116,12 +114,12 @@
 		return
 	}
 	d.swept = now
-	for key, held := range d.entries {
+	for key, record := range d.entries {
 		limit := retention
-		if held.running.GetState() == peerpb.RunState_RUN_STATE_RUNNING {
+		if record.running.GetState() == peerpb.RunState_RUN_STATE_RUNNING {
 			limit = runningRetention
 		}
-		if now.Sub(held.touched) > limit {
+		if now.Sub(record.touched) > limit {
 			delete(d.entries, key)
 		}
 	}
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -15,15 +15,15 @@
 	return &peerpb.Register{Mode: mode, Running: &peerpb.Running{Tenant: "t", Key: "k", BodyDigest: []byte(body), Turn: turn, State: state}}
 }
 
-// TestTurnsRise lets arrivals and late reports come in any order: each arrival
-// gets a turn of its own, and a report of an earlier turn changes nothing.
+// TestTurnsRise registers requests and late reports in any order: each request must get a turn of its own, and
+// a report of an earlier turn must change nothing.
 func TestTurnsRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		held := New(time.Now)
+		directory := New(time.Now)
 		var newest uint64
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "arrive") {
-				registered, err := held.Register(register(peerpb.RegisterMode_REGISTER_MODE_ARRIVE, 0, 0, "body"))
+				registered, err := directory.Register(register(peerpb.RegisterMode_REGISTER_MODE_ARRIVE, 0, 0, "body"))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -37,7 +37,7 @@
 			if late == newest {
 				continue
 			}
-			if _, err := held.Register(register(peerpb.RegisterMode_REGISTER_MODE_UPDATE, late, peerpb.RunState_RUN_STATE_ANSWERED, "body")); err != nil {
+			if _, err := directory.Register(register(peerpb.RegisterMode_REGISTER_MODE_UPDATE, late, peerpb.RunState_RUN_STATE_ANSWERED, "body")); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -47,17 +47,17 @@
 func TestAnsweredRequestIsNotRunAgain(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	held := New(func() time.Time { return now })
-	_, err := held.Register(register(peerpb.RegisterMode_REGISTER_MODE_ARRIVE, 0, 0, "body"))
+	directory := New(func() time.Time { return now })
+	_, err := directory.Register(register(peerpb.RegisterMode_REGISTER_MODE_ARRIVE, 0, 0, "body"))
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = held.Register(register(peerpb.RegisterMode_REGISTER_MODE_UPDATE, 1, peerpb.RunState_RUN_STATE_ANSWERED, "body"))
+	_, err = directory.Register(register(peerpb.RegisterMode_REGISTER_MODE_UPDATE, 1, peerpb.RunState_RUN_STATE_ANSWERED, "body"))
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = held.Register(register(peerpb.RegisterMode_REGISTER_MODE_ARRIVE, 0, 0, "body"))
+	_, err = directory.Register(register(peerpb.RegisterMode_REGISTER_MODE_ARRIVE, 0, 0, "body"))
 	g.Expect(api.IsCode(err, api.CodeAlreadyClaimed)).To(BeTrue())
-	_, err = held.Register(register(peerpb.RegisterMode_REGISTER_MODE_ARRIVE, 0, 0, "other"))
+	_, err = directory.Register(register(peerpb.RegisterMode_REGISTER_MODE_ARRIVE, 0, 0, "other"))
 	g.Expect(api.IsCode(err, api.CodeKeyConflict)).To(BeTrue())
 	now = now.Add(2 * retention)
-	_, err = held.Register(register(peerpb.RegisterMode_REGISTER_MODE_ARRIVE, 0, 0, "other"))
+	_, err = directory.Register(register(peerpb.RegisterMode_REGISTER_MODE_ARRIVE, 0, 0, "other"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(held.Len()).To(Equal(1))
+	g.Expect(directory.Len()).To(Equal(1))
 }
--- a/directory/doc.go
+++ b/directory/doc.go
@@ -1,7 +1,6 @@
-// Package directory remembers which node serves each running request that
-// carries an Idempotency-Key, so that a second arrival takes the stream over
-// instead of running the request again.
+// Package directory records which node serves each running request that carries an Idempotency-Key, so that a
+// repeated request takes over the stream instead of running again.
 //
-// A request's directory node follows from its tenant and key. The directory is
-// soft state: the holders report again when the directory node changes.
+// The directory node of a request is determined by its tenant and key. The directory is soft state: the holders
+// report their requests again when the directory node changes.
 package directory
--- a/directory/ownership_test.go
+++ b/directory/ownership_test.go
@@ -11,9 +11,8 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// TestRegisterLeavesItsArgumentAlone registers a message that a caller on the same
-// node goes on using.
-func TestRegisterLeavesItsArgumentAlone(t *testing.T) {
+// TestRegisterDoesNotModifyItsArgument registers a message that a caller on the same node still uses.
+func TestRegisterDoesNotModifyItsArgument(t *testing.T) {
 	g := NewWithT(t)
 	register := &peerpb.Register{
 		Mode:    peerpb.RegisterMode_REGISTER_MODE_ARRIVE,
