--- a/machines/list.go
+++ b/machines/list.go
@@ -10,17 +10,16 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// State is whether a machine stays.
+// State is the state of a machine.
 type State string
 
-// The states of a machine.
+// States of machines.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
 )
 
-// Machine is one entry of the platform's list. Engines and back ends of services
-// are found by their names.
+// Machine is one entry of the platform's list. Engines and backends of services are matched by name.
 type Machine struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone,omitempty"`
@@ -50,8 +49,8 @@
 	return &List{now: now, machines: map[string]Machine{}}
 }
 
-// Replace puts a view in force unless it is older than the one held. Age is how
-// long ago the view was known to be the newest.
+// Replace installs a view unless it is older than the current one. Age is the time since the view was known to
+// be the newest. It reports whether the view was installed.
 func (l *List) Replace(view View, age time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,7 +66,7 @@
 	return true
 }
 
-// Refresh notes that a view of the given revision was the newest some time ago.
+// Refresh records that, the given age ago, a view of the given revision was the newest.
 func (l *List) Refresh(revision int64, age time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +80,7 @@
 	}
 }
 
-// apply changes one machine.
+// apply applies a change of one machine.
 func (l *List) apply(object objectapi.Object, deleted bool) error {
 	var machine Machine
 	if !deleted {
@@ -122,7 +121,7 @@
 	return l.now().Sub(l.fresh)
 }
 
-// View returns the view.
+// View returns the current view.
 func (l *List) View() View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/machines/syncer.go
+++ b/machines/syncer.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	watchersPerZone = 2
-	watcherKey      = "machine-watcher"
-	roleInterval    = time.Second
-	// watchLength bounds one watch, after which the list is read anew: a frozen
-	// platform must not pass for one without news.
+	watchersPerZone    = 2
+	watcherKey         = "machine-watcher"
+	watchCheckInterval = time.Second
+	// watchLength bounds one watch, after which the list is read again: otherwise a platform that has stopped
+	// responding could not be distinguished from one without changes.
 	watchLength = 5 * time.Second
-	// maxAge is the age from which an owner asks the platform itself.
+	// maxAge is the age of the view from which an owner reads it from the platform itself.
 	maxAge = 8 * time.Second
-	// askInterval is the least time between two such questions.
-	askInterval = 2 * time.Second
-	pullTimeout = 2 * time.Second
+	// readInterval is the minimum time between two such reads.
+	readInterval = 2 * time.Second
+	pullTimeout  = 2 * time.Second
 )
 
-// Placement tells whether the node is one of the first of its zone for a key.
+// Placement reports whether the node is one of the first of its zone for a key.
 type Placement interface {
 	IsAmongTop(key string, count int) bool
 }
@@ -48,10 +48,10 @@
 	metrics   *metrics.Set
 	changed   func()
 
-	mu      sync.Mutex
-	pulling bool
-	asked   time.Time
-	pulls   tasks.Group
+	mu       sync.Mutex
+	pulling  bool
+	lastRead time.Time
+	pulls    tasks.Group
 }
 
 // NewSyncer returns a syncer that calls changed when the view changes.
@@ -59,10 +59,10 @@
 	return &Syncer{list: list, store: store, placement: placement, caller: caller, metrics: set, changed: changed}
 }
 
-// Run watches the list whenever the node is chosen to, until the context ends.
+// Run watches the list whenever the node is selected to, until the context ends.
 func (s *Syncer) Run(ctx context.Context) {
 	defer s.pulls.Close()
-	periodic.RunNow(ctx, roleInterval, func(ctx context.Context) {
+	periodic.RunNow(ctx, watchCheckInterval, func(ctx context.Context) {
 		if s.placement.IsAmongTop(watcherKey, watchersPerZone) {
 			s.watch(ctx)
 		}
@@ -89,7 +89,7 @@
 	}
 }
 
-// read replaces the view by the platform's list.
+// read replaces the view with the platform's list.
 func (s *Syncer) read(ctx context.Context) (int64, error) {
 	objects, revision, err := s.store.List(ctx, objectapi.KindMachine)
 	if err != nil {
@@ -108,15 +108,15 @@
 	return revision, nil
 }
 
-// EnsureFresh asks the platform if the view is too old to grant work by.
+// EnsureFresh reads the list from the platform if the view is too old to grant work on its basis.
 func (s *Syncer) EnsureFresh(ctx context.Context) {
 	if s.list.Age() < maxAge {
 		return
 	}
 	s.mu.Lock()
-	recent := time.Since(s.asked) < askInterval
+	recent := time.Since(s.lastRead) < readInterval
 	if !recent {
-		s.asked = time.Now()
+		s.lastRead = time.Now()
 	}
 	s.mu.Unlock()
 	if recent {
@@ -128,7 +128,8 @@
 	}
 }
 
-// Observe learns from a heartbeat which view its sender holds.
+// Observe processes the revision of the view that a heartbeat's sender holds, and fetches the view if it is
+// newer.
 func (s *Syncer) Observe(address string, revision int64, age time.Duration) {
 	if revision <= s.list.Revision() {
 		s.list.Refresh(revision, age)
