--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -184,7 +184,7 @@
 	if err != nil || assignment.Decode != "" || assignment.RetryAfter > 0 || !request.Probe {
 		return assignment, err
 	}
-	request.Probe, request.Again = false, true
+	request.Probe, request.AfterProbe = false, true
 	return c.call(ctx, node.Address, &request, request.Wait+firstAnswerTimeout)
 }
 
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -163,7 +163,7 @@
 	defer c.mu.Unlock()
 	current, now := c.state(request.Service), c.options.Now()
 	queued := &waiter{request: request, since: now, assigned: make(chan Assignment, 1)}
-	if !request.Late && !request.Again {
+	if !request.Late && !request.AfterProbe {
 		current.arrivals.add(now)
 	}
 	others := current.waiting
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -24,8 +24,8 @@
 	// for it is not accepted.
 	Objective time.Duration
 	// Probe is set if the sender asks again when no capacity is free now: the request does not
-	// wait, and Wait is how long it will wait when repeated. Again is set in that repetition.
-	Probe, Again bool
+	// wait, and Wait is how long it will wait when repeated. AfterProbe is set in that repetition.
+	Probe, AfterProbe bool
 	// Late is set for a request that misses its objective in any case: a client retry after a
 	// refusal, or the rest of an interrupted stream.
 	Late bool
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -48,7 +48,7 @@
 	encoded := &peerpb.AssignEngines{
 		Service: request.Service, Run: encodeRun(request.Run, now), WaitMs: request.Wait.Milliseconds(),
 		Avoid: request.Avoid, Returning: request.Late, WithinMs: request.Objective.Milliseconds(), Probe: request.Probe,
-		Priority: int32(request.Priority), Again: request.Again,
+		Priority: int32(request.Priority), Again: request.AfterProbe,
 		TenantPriority: int32(request.TenantPriority), AboveUsual: request.AboveUsual,
 	}
 	if request.Probe {
@@ -62,7 +62,7 @@
 	return &Request{
 		Service: encoded.GetService(), Run: decodeRun(encoded.GetRun(), now), Wait: peer.Millis(encoded.GetWaitMs() + encoded.GetLaterWaitMs()),
 		Avoid: encoded.GetAvoid(), Late: encoded.GetReturning(), Objective: peer.Millis(encoded.GetWithinMs()), Probe: encoded.GetProbe(),
-		Priority: int(encoded.GetPriority()), Again: encoded.GetAgain(),
+		Priority: int(encoded.GetPriority()), AfterProbe: encoded.GetAgain(),
 		TenantPriority: int(encoded.GetTenantPriority()), AboveUsual: encoded.GetAboveUsual(),
 	}
 }
