--- a/completion/quarantine.go
+++ b/completion/quarantine.go
@@ -24,11 +24,11 @@
 // checkQuarantine returns the rejection of a request that has crashed too many
 // engines. It is called before each attempt.
 func (r *run) checkQuarantine() error {
-	judge := r.service.options.Quarantine
-	if judge == nil || judge.Empty() {
+	tracker := r.service.options.Quarantine
+	if tracker == nil || tracker.Empty() {
 		return nil
 	}
-	left := judge.Status(r.fingerprint()).Quarantined
+	left := tracker.Status(r.fingerprint()).Quarantined
 	if left == 0 {
 		return nil
 	}
@@ -42,9 +42,9 @@
 // not be reached had terminated before. Engines do not report their incarnation:
 // the attempt is used in its place.
 func (r *run) recordEngineFailure(ctx context.Context, name string) {
-	judge := r.service.options.Quarantine
+	tracker := r.service.options.Quarantine
 	ref, err := r.engineOf(name)
-	if judge == nil || err != nil {
+	if tracker == nil || err != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, exitCheckTimeout)
@@ -53,12 +53,12 @@
 		return
 	}
 	r.event("engine-ended", name, r.fingerprint().String())
-	judge.Crashed(ctx, r.fingerprint(), name+"/"+r.engineAttempt().String())
+	tracker.Crashed(ctx, r.fingerprint(), name+"/"+r.engineAttempt().String())
 }
 
 // recordAnswered records a complete answer.
 func (r *run) recordAnswered() {
-	if judge := r.service.options.Quarantine; judge != nil && !judge.Empty() {
-		judge.Answered(r.fingerprint())
+	if tracker := r.service.options.Quarantine; tracker != nil && !tracker.Empty() {
+		tracker.Answered(r.fingerprint())
 	}
 }
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -13,7 +13,7 @@
 const exitCheckTimeout = 100 * time.Millisecond
 
 // fingerprint identifies the content of the request. It is computed once, and only after a failure or while
-// crashes of any request are recorded: 5 KB take 5 microseconds (quarantine.BenchmarkOf).
+// crashes of any request are recorded: 5 KB take 5 microseconds (quarantine.BenchmarkNewFingerprint).
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if x.content == nil {
 		fingerprint := quarantine.NewFingerprint(quarantine.Content{
@@ -37,11 +37,11 @@
 
 // checkQuarantine returns the rejection of a request that has crashed too many backends.
 func (x *exchange) checkQuarantine() error {
-	judge := x.handler.options.Quarantine
-	if judge == nil || judge.Empty() {
+	tracker := x.handler.options.Quarantine
+	if tracker == nil || tracker.Empty() {
 		return nil
 	}
-	if left := judge.Status(x.fingerprint()).Quarantined; left > 0 {
+	if left := tracker.Status(x.fingerprint()).Quarantined; left > 0 {
 		return notRun(ReasonQuarantined, left, nil)
 	}
 	return nil
@@ -56,7 +56,7 @@
 		return
 	}
 	broken := brokenRequest{request: x.request.ID, service: x.service, content: x.fingerprint(), backend: entry.Backend(), age: age}
-	if judge := x.handler.options.Quarantine; judge != nil && judge.Status(broken.content).Crashes > 0 {
+	if tracker := x.handler.options.Quarantine; tracker != nil && tracker.Status(broken.content).Crashes > 0 {
 		x.handler.recordBreak(ctx, broken)
 		return
 	}
@@ -78,8 +78,8 @@
 	defer cancel()
 	var quarantineStatus quarantine.Status
 	crashed := h.options.Dialect.Ended(ctx, broken.backend)
-	if judge := h.options.Quarantine; crashed && judge != nil {
-		quarantineStatus = judge.Crashed(ctx, broken.content, broken.backend.ID)
+	if tracker := h.options.Quarantine; crashed && tracker != nil {
+		quarantineStatus = tracker.Crashed(ctx, broken.content, broken.backend.ID)
 	}
 	h.logBreak(broken, crashed, quarantineStatus)
 }
@@ -88,9 +88,9 @@
 // backend itself is no evidence: a backend that fails a share of its requests may not have started this
 // one.
 func (x *exchange) recordAnswered() {
-	judge := x.handler.options.Quarantine
-	if judge == nil || judge.Empty() {
+	tracker := x.handler.options.Quarantine
+	if tracker == nil || tracker.Empty() {
 		return
 	}
-	judge.Answered(x.fingerprint())
+	tracker.Answered(x.fingerprint())
 }
