--- a/router/doc.go
+++ b/router/doc.go
@@ -1,7 +1,7 @@
-// Package router assembles a daemon that serves callers by routes: it opens the
-// ports, follows the store for the configuration and the back ends, and stops
-// without cutting a request off.
+// Package router assembles the router daemon: it opens the ports, watches the
+// store for the configuration and the backends, exchanges both with other
+// nodes, and drains before it stops.
 //
-// What the store's objects look like and how back ends are spoken to comes from
-// outside, as a Environment.
+// The format of the store's objects and the protocols of backends come from the
+// caller, as an Environment.
 package router
--- a/router/engines.go
+++ b/router/engines.go
@@ -13,10 +13,10 @@
 	"github.com/reelrun/reelrun/placement"
 )
 
-// now reads the clock by which runs, limits and crashes are counted.
+// now returns the time by which runs, limits and crashes are measured.
 func (r *Router) now() time.Duration { return r.options.Clock.Since(r.origin) }
 
-// handlePeer answers another node.
+// handlePeer answers the calls of other nodes.
 func (r *Router) handlePeer(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 	switch request.GetBody().(type) {
 	case *peerpb.Request_CompareReplicas, *peerpb.Request_CompareParts, *peerpb.Request_ExchangeObjects,
@@ -36,7 +36,7 @@
 	}
 }
 
-// plainSlots returns how many requests each back end of a plain service works on at once.
+// plainSlots returns the number of concurrent requests of each backend of a plain service.
 func (r *Router) plainSlots(service string) map[string]int {
 	slots := map[string]int{}
 	for _, entry := range r.backends.Ready(service, backend.RoleNone) {
@@ -45,17 +45,15 @@
 	return slots
 }
 
-// strongShare is the share of the strongest node's capacity from which a node
-// coordinates.
-const strongShare = 0.75
+// minCapacityShare is the share of the strongest node's capacity that a node needs to coordinate.
+const minCapacityShare = 0.75
 
-// Candidates implements coordinator.Fleet. A node coordinates as long as it has an
-// object in the store, as the others see it as well: not before it has registered,
-// and no longer once it has withdrawn. Weak nodes do not, and there is no candidate
-// where less than half of the fleet answers: the greater part has another one. Nor do nodes whose
-// build does not know the role.
+// Candidates implements coordinator.Fleet. A node is a candidate while it has an object in the store, so that all
+// nodes agree: not before it has registered, and no longer once it has withdrawn. Nodes with little capacity are
+// no candidates, nor are nodes whose build lacks the capability. Where less than half of the fleet is responsive
+// there is no candidate, because the larger part of the fleet has another one.
 func (r *Router) Candidates(scope string) []coordinator.Node {
-	return r.fleet().candidates[abilityFor(scope)]
+	return r.fleet().candidates[capabilityFor(scope)]
 }
 
 // Own implements coordinator.Fleet.
@@ -64,36 +62,37 @@
 // Unresponsive implements coordinator.Fleet.
 func (r *Router) Unresponsive(address string, err error) { r.syncer.ReportFailure(address, err) }
 
-// shortlistSize is how many engines of each role are drawn for a request before all are looked at: so many
-// of the whole service, and so many in the zone of the request's node.
+// shortlistSize is the number of engines of each role that are sampled for a request before all engines are
+// considered: so many of the whole service, and so many in the zone of the request's node.
 const shortlistSize = 48
 
-// wholeSize is up to how many engines of a role all are looked at. When they are full, what was drawn is tried for
-// nothing and all are looked at besides, and the coordinator of a service has the least time for that.
-const wholeSize = 160
+// fullScanLimit is the number of engines of a role up to which all are considered. When they are full, a sample
+// would fail and all would be considered anyway, and a coordinator of a full service has the least time for that.
+const fullScanLimit = 160
 
-// engines returns the engines of a service that take new work.
+// engines returns the engines of a service that accept new work.
 func (r *Router) engines(service string) coordinator.Engines {
 	return r.describeEngines(service, func(role backend.Role) ([]*backend.Entry, bool) {
 		return r.backends.Ready(service, role), true
 	})
 }
 
-// shortlist returns some of them for a node in a zone.
+// shortlist returns a sample of them for a node in a zone.
 func (r *Router) shortlist(service, zone string) coordinator.Engines {
 	return r.describeEngines(service, func(role backend.Role) ([]*backend.Entry, bool) {
-		wanted := backend.SampleOptions{Service: service, Role: role, Count: shortlistSize, AllUpTo: wholeSize}
-		drawn, isAll := r.backends.Sample(wanted, rand.IntN)
-		if isAll || zone == "" {
-			return drawn, isAll
+		wanted := backend.SampleOptions{Service: service, Role: role, Count: shortlistSize, AllUpTo: fullScanLimit}
+		drawn, isComplete := r.backends.Sample(wanted, rand.IntN)
+		if isComplete || zone == "" {
+			return drawn, isComplete
 		}
 		wanted.Zone = zone
-		near, _ := r.backends.Sample(wanted, rand.IntN)
-		return backend.Union(drawn, near), false
+		sameZone, _ := r.backends.Sample(wanted, rand.IntN)
+		return backend.Union(drawn, sameZone), false
 	})
 }
 
-// describeEngines describes engines of a service, given back ends of each role and whether these are all.
+// describeEngines describes engines of a service, given the backends of each role and whether these are all of
+// them.
 func (r *Router) describeEngines(service string, readyIn func(role backend.Role) ([]*backend.Entry, bool)) coordinator.Engines {
 	engines := coordinator.Engines{ZoneOf: r.zoneOfBackend}
 	configuration := r.gateway.Configuration()
@@ -119,7 +118,7 @@
 	return engines
 }
 
-// zoneOfBackend returns the zone of a back end by its identifier, empty where that is not known.
+// zoneOfBackend returns the zone of a backend, or "" if it is not known.
 func (r *Router) zoneOfBackend(id string) string {
 	entry := r.backends.Lookup(id)
 	if entry == nil {
@@ -128,8 +127,8 @@
 	return entry.Backend().Zone
 }
 
-// assignable reports whether an engine is given new work. Which engines fail, the
-// coordinator knows from all nodes.
+// assignable reports whether an engine may be given new work. Failing engines are excluded by the coordinator,
+// which has the failures that all nodes report.
 func (r *Router) assignable(entry *backend.Entry) bool {
 	return !r.roles.Changing(entry.Backend().ID)
 }
@@ -149,7 +148,7 @@
 	return services
 }
 
-// coordinatedServices returns the services of engines that this node coordinates.
+// coordinatedServices returns the engine services that this node coordinates.
 func (r *Router) coordinatedServices() []string {
 	var services []string
 	for _, name := range r.Services() {
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -15,28 +15,28 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// kindNode is the kind of the objects by which nodes find each other.
+// kindNode is the kind of the objects by which nodes discover each other.
 const kindNode objectapi.Kind = "nodes"
 
 // nodeSpec is the content of a node's object.
 type nodeSpec struct {
-	// Address is where the node answers other nodes.
+	// Address is the address for calls from other nodes.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	// Started tells one start of a node from another.
+	// Started identifies one start of a node.
 	Started int64 `json:"started"`
-	// Capacity is the node's share of a core.
+	// Capacity is the node's processor capacity in cores.
 	Capacity float64 `json:"capacity"`
-	// LinkBytes is what the node's link carries, in bytes a second; zero if it is not known.
+	// LinkBytes is the capacity of the node's link in bytes a second; zero if it is not known.
 	LinkBytes float64 `json:"linkBytes"`
-	// Abilities are the roles that the node's build can take; builds that list none are older.
-	Abilities []ability `json:"abilities,omitempty"`
+	// Capabilities are the roles that the node's build can take; older builds list none.
+	Capabilities []capability `json:"abilities,omitempty"`
 	// Build is the commit that the node's build was made from.
 	Build string `json:"build,omitempty"`
 }
 
-// otherNodes returns the other nodes that are known: those with an object in the
-// store, or the seeds where there is none.
+// otherNodes returns the other known nodes: those with an object in the store, or the seeds if there are
+// none.
 func (r *Router) otherNodes() []knownNode {
 	if others := r.nodes.others(r.Own()); len(others) > 0 {
 		return others
@@ -44,13 +44,13 @@
 	var seeds []knownNode
 	for _, seed := range r.settings.Load().Seeds {
 		if seed != r.Own() {
-			seeds = append(seeds, knownNode{Node: coordinator.Node{Address: seed}, addressHash: hashOf(seed), abilities: abilitiesOf(nil)})
+			seeds = append(seeds, knownNode{Node: coordinator.Node{Address: seed}, addressHash: hashOf(seed), capabilities: capabilitiesOf(nil)})
 		}
 	}
 	return seeds
 }
 
-// peers returns the addresses of the other nodes that are known.
+// peers returns the addresses of the other known nodes.
 func (r *Router) peers() []string { return r.fleet().addresses }
 
 // ownNode returns this start of this node, and whether its object is in the store.
@@ -59,11 +59,11 @@
 	return own, found && own.Incarnation == r.startName()
 }
 
-// nodeCount returns how many nodes are known, this one included.
+// nodeCount returns the number of known nodes, including this one.
 func (r *Router) nodeCount() int { return max(1, r.nodes.count()) }
 
-// stayRegistered writes the node's object, so that others find it, and again if
-// another node has taken this one for lost and removed it.
+// stayRegistered writes the node's object, so that others discover it, and again if another node considered
+// this one lost and removed it.
 func (r *Router) stayRegistered(ctx context.Context) {
 	if !r.options.Settings.FirstStart {
 		r.awaitNodes(ctx)
@@ -73,36 +73,37 @@
 		select {
 		case <-ctx.Done():
 		case <-r.removed:
-			r.options.Logger.Warn("node registers again")
+			r.options.Logger.Warn("node object was removed by another node; registering again")
 		}
 	}
 }
 
-// listPatience is how long after its start a node waits for the list of nodes before it registers. The
-// list tells the version of the object that an earlier start of it has left, which saves two calls. On a
+// nodeListTimeout is how long after its start a node waits for the list of nodes before it registers. The
+// list contains the version of the object that an earlier start of the node left, which saves two calls. On a
 // link of 20 Mbit/s, with a fifth of a core, a list of 350 nodes takes two nodes in three over 100 ms.
-const listPatience = time.Second
+const nodeListTimeout = time.Second
 
 // awaitNodes waits until this node knows some others, for a bounded time.
 func (r *Router) awaitNodes(ctx context.Context) {
-	r.nodesMet.await(ctx, r.started.Add(r.joinTime()+listPatience))
+	r.nodesMet.await(ctx, r.started.Add(r.joinTime()+nodeListTimeout))
 }
 
-// onceNodesKnown does what one node does for all, once this one has had the time to know them. Each node of a
-// fleet that starts would take itself for that one otherwise, and call the store for it.
-func (r *Router) onceNodesKnown(ctx context.Context, run func(ctx context.Context)) {
+// afterNodesKnown starts a task that one node performs for the fleet, after this node has had time to
+// discover the others. Otherwise each node of a starting fleet would consider itself that node, and call the
+// store.
+func (r *Router) afterNodesKnown(ctx context.Context, run func(ctx context.Context)) {
 	r.nodesKnown.await(ctx, r.nodesKnownBy())
 	run(ctx)
 }
 
-// runSyncer compares copies with other nodes, once the list of nodes is known. Nodes that start together
-// would tell each other of one new node after the other otherwise.
+// runSyncer runs the anti-entropy exchange with other nodes after the list of nodes is known. Otherwise nodes
+// that start together would push each new node to each other separately.
 func (r *Router) runSyncer(ctx context.Context) {
 	r.awaitNodes(ctx)
 	r.syncer.Run(ctx)
 }
 
-// ownObjectRemoved notes that the node's object is gone.
+// ownObjectRemoved records that the node's object was removed.
 func (r *Router) ownObjectRemoved() {
 	if r.withdrawn.Load() {
 		return
@@ -116,18 +117,18 @@
 const (
 	// lostAfter is how long a node is silent before its object is removed.
 	lostAfter = time.Minute
-	// removeInterval is how often a node looks for such nodes.
+	// removeInterval is the interval between checks for such nodes.
 	removeInterval = 10 * time.Second
 )
 
-// removeLost removes the objects of nodes that are gone for good, until the context
-// ends. One watcher does it; a node that lives after all registers again.
+// removeLost removes the objects of lost nodes until the context ends. A single watcher does so; a node that
+// is still live registers again.
 func (r *Router) removeLost(ctx context.Context) {
 	periodic.Run(ctx, removeInterval, func(ctx context.Context) {
 		if !r.isFirst() {
 			return
 		}
-		for _, object := range r.copy.Live(kindNode) {
+		for _, object := range r.replica.Live(kindNode) {
 			r.removeIfLost(ctx, object)
 		}
 	})
@@ -139,7 +140,7 @@
 		return
 	}
 	err := r.options.Environment.Store.Delete(ctx, kindNode, object.Name, object.Version)
-	r.options.Logger.Info("lost node removed", "name", object.Name, "address", node.Address, "error", logging.ErrorText(err))
+	r.options.Logger.Info("object of lost node removed", "name", object.Name, "address", node.Address, "error", logging.ErrorText(err))
 }
 
 // register writes the node's object.
@@ -147,7 +148,7 @@
 	spec, err := json.Marshal(nodeSpec{
 		Address: r.options.Settings.PeerAddress, Zone: r.options.Settings.Zone, Started: r.started.UnixNano(),
 		Capacity: r.options.Settings.Capacity, LinkBytes: r.options.Settings.LinkBytes,
-		Abilities: ownAbilities(), Build: buildName(),
+		Capabilities: ownCapabilities(), Build: buildName(),
 	})
 	if err != nil {
 		r.options.Logger.Error("node not registered", "error", err.Error())
@@ -160,22 +161,22 @@
 	}
 }
 
-// tryRegister writes the object in the place of the one that an earlier start has left, if the
-// copy knows one. Where it does not know the newest version, the store is asked for that.
+// tryRegister replaces the object that an earlier start has left, if the replica has one. If its version is
+// outdated, the newest one is read from the store.
 func (r *Router) tryRegister(ctx context.Context, spec json.RawMessage) error {
 	store, name := r.options.Environment.Store, r.options.Settings.Name
-	version := r.copy.Version(replica.Key{Kind: kindNode, Name: name})
+	version := r.replica.Version(replica.Key{Kind: kindNode, Name: name})
 	written, err := store.Put(ctx, objectapi.Object{Kind: kindNode, Name: name, Version: version, Spec: spec})
 	if errors.Is(err, objectapi.ErrConflict) || errors.Is(err, objectapi.ErrNotFound) {
 		written, err = r.registerAnew(ctx, spec)
 	}
 	if err == nil {
-		r.copy.Apply(replica.SourceStore, replica.Record{Object: written})
+		r.replica.Apply(replica.SourceStore, replica.Record{Object: written})
 	}
 	return err
 }
 
-// registerAnew writes the object in the place of the one that the store has, if any.
+// registerAnew replaces the object that the store has, if any.
 func (r *Router) registerAnew(ctx context.Context, spec json.RawMessage) (objectapi.Object, error) {
 	store, name := r.options.Environment.Store, r.options.Settings.Name
 	known, err := store.Get(ctx, kindNode, name)
@@ -185,10 +186,10 @@
 	return store.Put(ctx, objectapi.Object{Kind: kindNode, Name: name, Version: known.Version, Spec: spec})
 }
 
-// withdraw removes the node's object, so that others stop asking it.
+// withdraw removes the node's object, so that others stop calling the node.
 func (r *Router) withdraw(ctx context.Context) {
 	r.withdrawn.Store(true)
-	for _, object := range r.copy.Live(kindNode) {
+	for _, object := range r.replica.Live(kindNode) {
 		if object.Name != r.options.Settings.Name {
 			continue
 		}
--- a/router/fleetview.go
+++ b/router/fleetview.go
@@ -9,143 +9,147 @@
 	"github.com/reelrun/reelrun/settings"
 )
 
-// bridgesPerZone is how many nodes of a zone exchange objects with other zones. All others have them
-// from their neighbours. With one or two, the loss of a machine would part a zone until that is known.
-const bridgesPerZone = 4
-
-// fleetView is what this node knows of the fleet at a moment. It is read only, and computed once for
-// many decisions: in a fleet of a thousand nodes each of them would look at all nodes otherwise.
+// relaysPerZone is the number of zone relays of a zone: nodes that exchange objects with other zones.
+// The other nodes receive objects from nodes of their own zone. With one or two relays, the loss of a
+// machine would partition a zone until it is detected.
+const relaysPerZone = 4
+
+// fleetView is what this node knows of the fleet at one moment. It is read-only, and computed once for
+// many decisions: otherwise each decision would look at all nodes, of which a fleet may have a
+// thousand.
 type fleetView struct {
-	// others are the other nodes that are known, and addresses theirs.
+	// others are the other known nodes, and addresses their addresses.
 	others    []knownNode
 	addresses []string
-	// responsiveCount is how many nodes answer, this one included, and position that of this one among
-	// them, in the order in which they follow the store.
+	// responsiveCount is the number of responsive nodes, including this one, and position the rank of this
+	// one among them in the order in which they watch the store.
 	responsiveCount, position int
-	// watchers are the other nodes that follow the store: the first of those that answer.
+	// watchers are the other nodes that watch the store: the first responsive nodes in that order.
 	watchers []knownNode
-	// bridges are the first nodes of each zone that answer, this one perhaps among them.
-	bridges map[string][]knownNode
-	// candidates are the nodes that may coordinate, by what their builds must be able to do.
-	candidates map[ability][]coordinator.Node
+	// zoneRelays are the first responsive nodes of each zone, possibly including this one.
+	zoneRelays map[string][]knownNode
+	// candidates are the nodes that may coordinate, by the capability that their builds need.
+	candidates map[capability][]coordinator.Node
 }
 
-// fleetSources is what a view is computed from.
-type fleetSources struct {
+// fleetInputs are the data from which a view is computed.
+type fleetInputs struct {
 	own knownNode
-	// registered is set while the own object is in the store.
+	// registered is set while the node's own object is in the store.
 	registered bool
 	others     []knownNode
-	// nodeCount is how many nodes are known, this one included.
+	// nodeCount is the number of known nodes, including this one.
 	nodeCount int
-	// isResponsive reports whether the node at an address answers.
+	// isResponsive reports whether the node at an address is responsive.
 	isResponsive func(address string) bool
 }
 
-// newFleetView computes a view, with one look at each node.
-func newFleetView(from fleetSources) *fleetView {
+// newFleetView computes a view in one pass over the nodes.
+func newFleetView(inputs fleetInputs) *fleetView {
 	view := &fleetView{
-		others: from.others, addresses: make([]string, len(from.others)),
-		bridges: map[string][]knownNode{}, candidates: map[ability][]coordinator.Node{},
+		others: inputs.others, addresses: make([]string, len(inputs.others)),
+		zoneRelays: map[string][]knownNode{}, candidates: map[capability][]coordinator.Node{},
 	}
-	var heard []knownNode
-	if from.registered {
-		heard = append(heard, from.own)
+	var responsive []knownNode
+	if inputs.registered {
+		responsive = append(responsive, inputs.own)
 	}
-	view.addBridge(from.own)
-	for i, node := range from.others {
+	view.addZoneRelay(inputs.own)
+	for i, node := range inputs.others {
 		view.addresses[i] = node.Address
-		if !from.isResponsive(node.Address) {
+		if !inputs.isResponsive(node.Address) {
 			continue
 		}
-		heard = append(heard, node)
+		responsive = append(responsive, node)
 		view.responsiveCount++
-		if compareWatchers(node, from.own) < 0 {
+		if compareWatchers(node, inputs.own) < 0 {
 			view.position++
 		}
-		view.watchers = withFirst(view.watchers, node, maxWatchers)
-		view.addBridge(node)
+		view.watchers = insertRanked(view.watchers, node, maxWatchers)
+		view.addZoneRelay(node)
 	}
 	view.responsiveCount++
-	if 2*len(heard) >= from.nodeCount {
-		for _, wanted := range ownAbilities() {
-			view.candidates[wanted] = strongest(heard, wanted)
+	if 2*len(responsive) >= inputs.nodeCount {
+		for _, wanted := range ownCapabilities() {
+			view.candidates[wanted] = strongest(responsive, wanted)
 		}
 	}
 	return view
 }
 
-// addBridge takes a node into account that answers. One whose zone is not known is no bridge.
-func (v *fleetView) addBridge(node knownNode) {
+// addZoneRelay adds a responsive node to the zone relays if it ranks high enough. A node whose zone is
+// not known is no zone relay.
+func (v *fleetView) addZoneRelay(node knownNode) {
 	if node.zone != "" {
-		v.bridges[node.zone] = withFirst(v.bridges[node.zone], node, bridgesPerZone)
+		v.zoneRelays[node.zone] = insertRanked(v.zoneRelays[node.zone], node, relaysPerZone)
 	}
 }
 
-// withFirst adds a node to a list of the first ones, of which at most so many are kept.
-func withFirst(first []knownNode, node knownNode, most int) []knownNode {
-	at, _ := slices.BinarySearchFunc(first, node, compareWatchers)
-	if at >= most {
+// insertRanked inserts a node into a ranked list that keeps at most the given number of nodes.
+func insertRanked(first []knownNode, node knownNode, limit int) []knownNode {
+	position, _ := slices.BinarySearchFunc(first, node, compareWatchers)
+	if position >= limit {
 		return first
 	}
-	first = slices.Insert(first, at, node)
-	return first[:min(len(first), most)]
+	first = slices.Insert(first, position, node)
+	return first[:min(len(first), limit)]
 }
 
-// isBridge reports whether a node is among the bridges of a zone.
-func (v *fleetView) isBridge(zone, address string) bool {
-	return slices.ContainsFunc(v.bridges[zone], func(node knownNode) bool { return node.Address == address })
+// isZoneRelay reports whether a node is a zone relay of a zone.
+func (v *fleetView) isZoneRelay(zone, address string) bool {
+	return slices.ContainsFunc(v.zoneRelays[zone], func(node knownNode) bool { return node.Address == address })
 }
 
-// strongest returns the nodes with an ability, but for those that are much weaker than the strongest.
-func strongest(heard []knownNode, wanted ability) []coordinator.Node {
+// strongest returns the nodes with a capability, except those with much less processor capacity than
+// the strongest.
+func strongest(responsive []knownNode, wanted capability) []coordinator.Node {
 	greatest := 0.0
-	for _, node := range heard {
-		if node.isAble(wanted) {
+	for _, node := range responsive {
+		if node.hasCapability(wanted) {
 			greatest = max(greatest, node.capacity)
 		}
 	}
 	var strong []coordinator.Node
-	for _, node := range heard {
-		if node.isAble(wanted) && node.capacity >= strongShare*greatest {
+	for _, node := range responsive {
+		if node.hasCapability(wanted) && node.capacity >= minCapacityShare*greatest {
 			strong = append(strong, node.Node)
 		}
 	}
 	return strong
 }
 
-// compareWatchers orders nodes: those with the widest links follow the store first, because it
-// sends objects whole, whatever changed in them. Among equals a hash of their addresses decides,
-// so that the zones mix.
+// compareWatchers ranks nodes: those with the widest links watch the store first, because it sends
+// whole objects for any change in them. Nodes with equal links are ranked by a hash of their addresses,
+// which mixes the zones.
 func compareWatchers(a, b knownNode) int {
 	return cmp.Or(cmp.Compare(b.linkBytes, a.linkBytes), cmp.Compare(a.addressHash, b.addressHash))
 }
 
-// fleetViewVersion tells whether a view still holds.
+// fleetViewVersion identifies the state from which a view was computed.
 type fleetViewVersion struct {
 	nodes, contacts uint64
-	// settings have the seeds, which count while no node is known.
+	// settings contain the seeds, which are used while no node is known.
 	settings *settings.Router
 }
 
-// heldFleetView keeps the newest view. It is safe for concurrent use.
-type heldFleetView struct {
+// cachedFleetView holds the latest view. It is safe for concurrent use.
+type cachedFleetView struct {
 	mu      sync.Mutex
 	view    *fleetView
 	version fleetViewVersion
 }
 
-// get returns the view of a version, computed anew where the kept one is of another.
-func (h *heldFleetView) get(version fleetViewVersion, compute func() *fleetView) *fleetView {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.view == nil || h.version != version {
-		h.view, h.version = compute(), version
+// get returns the view of a version, and computes it if the cached one has another version.
+func (c *cachedFleetView) get(version fleetViewVersion, compute func() *fleetView) *fleetView {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.view == nil || c.version != version {
+		c.view, c.version = compute(), version
 	}
-	return h.view
+	return c.view
 }
 
-// fleet returns what this node knows of the fleet now.
+// fleet returns the current view of the fleet.
 func (r *Router) fleet() *fleetView {
 	version := fleetViewVersion{nodes: r.nodes.changes(), contacts: r.syncer.ResponsivenessChanges(), settings: r.settings.Load()}
 	return r.view.get(version, func() *fleetView {
@@ -153,14 +157,14 @@
 		if !registered {
 			own = ownDescription(r.options.Settings)
 		}
-		return newFleetView(fleetSources{
+		return newFleetView(fleetInputs{
 			own: own, registered: registered, others: r.otherNodes(), nodeCount: r.nodeCount(), isResponsive: r.syncer.Responsive,
 		})
 	})
 }
 
-// ownDescription describes this node as far as the order of watchers and bridges goes, while its object
-// is not in the store.
+// ownDescription describes this node for the ranking of watchers and zone relays while its object is
+// not in the store.
 func ownDescription(own *settings.Router) knownNode {
 	described := knownNode{Node: coordinator.Node{Address: own.PeerAddress}, zone: own.Zone, linkBytes: own.LinkBytes}
 	described.addressHash = hashOf(own.PeerAddress)
--- a/router/fleetview_test.go
+++ b/router/fleetview_test.go
@@ -12,12 +12,12 @@
 	"github.com/reelrun/reelrun/coordinator"
 )
 
-// viewedNode is one of the nodes of a drawn fleet.
+// viewedNode returns a node of a generated fleet.
 func viewedNode(index int, zone string, linkBytes, capacity float64) knownNode {
 	address := fmt.Sprintf("10.0.%d.%d:80", index/250, index%250)
 	return knownNode{
 		Node: coordinator.Node{Address: address, Incarnation: strconv.Itoa(index)}, zone: zone,
-		linkBytes: linkBytes, capacity: capacity, addressHash: hashOf(address), abilities: abilitiesOf(ownAbilities()),
+		linkBytes: linkBytes, capacity: capacity, addressHash: hashOf(address), capabilities: capabilitiesOf(ownCapabilities()),
 	}
 }
 
@@ -30,8 +30,8 @@
 	return nodes
 }
 
-// TestAViewIsThatOfAllNodes compares a view with a look at all nodes in their order.
-func TestAViewIsThatOfAllNodes(t *testing.T) {
+// TestViewMatchesFullScan compares a view with a scan of all nodes in their ranking order.
+func TestViewMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
 		own, others := nodes[0], nodes[1:]
@@ -39,7 +39,7 @@
 		for _, node := range others {
 			silent[node.Address] = rapid.Bool().Draw(t, "silent")
 		}
-		view := newFleetView(fleetSources{
+		view := newFleetView(fleetInputs{
 			own: own, registered: true, others: others, nodeCount: len(nodes),
 			isResponsive: func(address string) bool { return !silent[address] },
 		})
@@ -47,12 +47,12 @@
 		slices.SortFunc(answering, compareWatchers)
 		position := slices.IndexFunc(answering, func(node knownNode) bool { return node.Address == own.Address })
 		if view.responsiveCount != len(answering) || view.position != position {
-			t.Fatalf("%d of %d in place of %d of %d", view.position, view.responsiveCount, position, len(answering))
+			t.Fatalf("position %d of %d, want %d of %d", view.position, view.responsiveCount, position, len(answering))
 		}
 		zones := map[string][]string{}
 		var watchers []string
 		for i, node := range answering {
-			if len(zones[node.zone]) < bridgesPerZone {
+			if len(zones[node.zone]) < relaysPerZone {
 				zones[node.zone] = append(zones[node.zone], node.Address)
 			}
 			if i != position && len(watchers) < maxWatchers {
@@ -60,34 +60,35 @@
 			}
 		}
 		if !slices.Equal(addressesOf(view.watchers), watchers) {
-			t.Fatalf("watchers %v in place of %v", addressesOf(view.watchers), watchers)
+			t.Fatalf("watchers %v, want %v", addressesOf(view.watchers), watchers)
 		}
-		for zone, bridges := range zones {
-			if !slices.Equal(addressesOf(view.bridges[zone]), bridges) {
-				t.Fatalf("bridges %v in place of %v", addressesOf(view.bridges[zone]), bridges)
+		for zone, zoneRelays := range zones {
+			if !slices.Equal(addressesOf(view.zoneRelays[zone]), zoneRelays) {
+				t.Fatalf("zone relays %v, want %v", addressesOf(view.zoneRelays[zone]), zoneRelays)
 			}
 		}
 		checkCandidates(t, view, answering, len(nodes))
 	})
 }
 
-// checkCandidates wants the strong ones of those that answer, where these are half of the fleet.
+// checkCandidates checks that the candidates are the strong responsive nodes, provided that half of the
+// fleet is responsive.
 func checkCandidates(t *rapid.T, view *fleetView, answering []knownNode, known int) {
 	greatest := 0.0
 	for _, node := range answering {
 		greatest = max(greatest, node.capacity)
 	}
 	for _, node := range answering {
-		isStrong := 2*len(answering) >= known && node.capacity >= strongShare*greatest
-		if slices.Contains(view.candidates[abilityServices], node.Node) != isStrong {
+		isStrong := 2*len(answering) >= known && node.capacity >= minCapacityShare*greatest
+		if slices.Contains(view.candidates[capabilityServices], node.Node) != isStrong {
 			t.Fatalf("candidate %s is %v", node.Address, isStrong)
 		}
 	}
 }
 
-// TestDecisionsLookAtTheFleetOnce counts how often a view is computed, and what a decision by a kept one
-// allocates in fleets of 1,000 and 2,000 nodes.
-func TestDecisionsLookAtTheFleetOnce(t *testing.T) {
+// TestViewIsComputedOnce counts how often a view is computed, and the allocations of a decision by a
+// cached view in fleets of 1,000 and 2,000 nodes.
+func TestViewIsComputedOnce(t *testing.T) {
 	for _, size := range []int{1000, 2000} {
 		g := NewWithT(t)
 		nodes := make([]knownNode, size)
@@ -97,11 +98,11 @@
 		computed := 0
 		compute := func() *fleetView {
 			computed++
-			return newFleetView(fleetSources{
+			return newFleetView(fleetInputs{
 				own: nodes[0], registered: true, others: nodes[1:], nodeCount: size, isResponsive: func(string) bool { return true },
 			})
 		}
-		var held heldFleetView
+		var held cachedFleetView
 		version := fleetViewVersion{nodes: 1}
 		g.Expect(testing.AllocsPerRun(100, func() { held.get(version, compute) })).To(BeZero())
 		g.Expect(computed).To(Equal(1))
--- a/router/follow.go
+++ b/router/follow.go
@@ -13,140 +13,141 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// follower feeds the copy of one kind from the store.
-type follower struct {
-	kind    objectapi.Kind
-	copy    *replica.Replica
-	contact *contact
-	// listed is called after a whole list; it may be nil.
-	listed func()
-	// longList is called after each page but the last, once the pages have brought longFrom objects; it may be
-	// nil.
-	longList func(ctx context.Context)
-	longFrom int
-	// paged is how many objects the pages of the present list have brought.
-	paged int
+// storeFeed updates the replica's objects of one kind from the store.
+type storeFeed struct {
+	kind        objectapi.Kind
+	replica     *replica.Replica
+	storeHealth *storeHealth
+	// onListed is called after a complete list; it may be nil.
+	onListed func()
+	// onLongList is called after each page but the last, once the pages contained at least longListSize objects; it may
+	// be nil.
+	onLongList   func(ctx context.Context)
+	longListSize int
+	// pagedCount is the number of objects in the pages of the current list.
+	pagedCount int
 	// beforeWatch is called before the first watch; it may block until the context ends.
 	beforeWatch func(ctx context.Context)
 }
 
 // Replace implements objectapi.Follower.
-func (f *follower) Replace(objects []objectapi.Object, revision int64) {
-	f.paged = 0
+func (f *storeFeed) Replace(objects []objectapi.Object, revision int64) {
+	f.pagedCount = 0
 	for _, object := range objects {
-		f.copy.Apply(replica.SourceStore, replica.Record{Object: object})
+		f.replica.Apply(replica.SourceStore, replica.Record{Object: object})
 	}
-	f.whenLapsed(func() { f.copy.Replace(f.kind, objects, revision) })
-	if f.listed != nil {
-		f.listed()
+	f.deferIfDisturbed(func() { f.replica.Replace(f.kind, objects, revision) })
+	if f.onListed != nil {
+		f.onListed()
 	}
 }
 
 // Apply implements objectapi.Follower.
-func (f *follower) Apply(event objectapi.Event) {
+func (f *storeFeed) Apply(event objectapi.Event) {
 	record := replica.Record{Object: event.Object, Deleted: event.Deleted}
 	if !event.Deleted {
-		f.copy.Apply(replica.SourceStore, record)
+		f.replica.Apply(replica.SourceStore, record)
 		return
 	}
-	f.whenLapsed(func() { f.copy.Apply(replica.SourceStore, record) })
+	f.deferIfDisturbed(func() { f.replica.Apply(replica.SourceStore, record) })
 }
 
 const (
-	// lapseWindow is how long after a failure of the store an entry that is gone
-	// may only have lapsed, because its back end could not renew it.
+	// lapseWindow is the time after a failed store call in which a missing entry may merely have expired because its
+	// backend could not renew it.
 	lapseWindow = 4 * time.Second
-	// lapseGrace is how long such an entry is still kept. Those of live back ends are
-	// back in the store about two seconds after it.
+	// lapseGrace is how long such an entry is still kept. Entries of live backends are back in the store about two
+	// seconds after the failure.
 	lapseGrace = 1800 * time.Millisecond
 )
 
-// whenLapsed takes a deletion over, at once or, where the entry may only have
-// lapsed, a little later: what has been written again by then is newer and stays.
-func (f *follower) whenLapsed(takeOver func()) {
-	if f.contact.disturbed(lapseWindow) {
-		time.AfterFunc(lapseGrace, takeOver)
+// deferIfDisturbed applies a deletion, at once or, if the entry may merely have expired, after lapseGrace: an entry
+// that was written again by then has a newer version and is kept.
+func (f *storeFeed) deferIfDisturbed(apply func()) {
+	if f.storeHealth.failedWithin(lapseWindow) {
+		time.AfterFunc(lapseGrace, apply)
 		return
 	}
-	takeOver()
+	apply()
 }
 
-// MorePages implements objectapi.Follower. What a page holds is used before the whole list is in.
-func (f *follower) MorePages(ctx context.Context, page []objectapi.Object) {
+// MorePages implements objectapi.Follower. The objects of a page are applied before the list is complete.
+func (f *storeFeed) MorePages(ctx context.Context, page []objectapi.Object) {
 	for _, object := range page {
-		f.copy.Apply(replica.SourceStore, replica.Record{Object: object})
+		f.replica.Apply(replica.SourceStore, replica.Record{Object: object})
 	}
-	f.paged += len(page)
-	if f.paged >= f.longFrom && f.longList != nil {
-		f.longList(ctx)
+	f.pagedCount += len(page)
+	if f.pagedCount >= f.longListSize && f.onLongList != nil {
+		f.onLongList(ctx)
 	}
 }
 
-// longNodeList is how many nodes a node reads when it starts before it leaves the rest to others: where a
-// thousand nodes start together and each lists all, the answers are a quarter of a gigabyte. Lists of back ends
-// are left to others after their first page.
+// longNodeList is the number of nodes that a starting node lists before it leaves the rest to others: if a thousand
+// nodes start together and each lists all, the answers take a quarter of a gigabyte. Lists of backends are left to
+// others after the first page.
 const longNodeList = 150
 
 // Contact implements objectapi.Follower.
-func (f *follower) Contact(err error) { f.contact.observe(f.kind, err) }
+func (f *storeFeed) Contact(err error) { f.storeHealth.observe(f.kind, err) }
 
-// firstWatchDelay is how long after it has listed the others a node first watches the store. By then it knows
-// them, and most nodes leave the watches to a few: where all lose power at once, each that
-// watches at once costs three calls for nothing. What changes meanwhile comes with the watch or
-// from other nodes, well within the time that a configuration has.
+// firstWatchDelay is the time from listing the other nodes to a node's first watch of the store. By then it knows
+// them, and most nodes leave the watches to a few: after a power failure of the whole fleet, each node that starts
+// watches at once makes three unnecessary calls. Changes in the meantime arrive with the watch or from other nodes,
+// well within the time that a configuration may take.
 const firstWatchDelay = 1200 * time.Millisecond
 
 // BeforeWatch implements objectapi.Follower.
-func (f *follower) BeforeWatch(ctx context.Context) { f.beforeWatch(ctx) }
+func (f *storeFeed) BeforeWatch(ctx context.Context) { f.beforeWatch(ctx) }
 
-// awaitFirstWatch waits until this node knows whether it follows the store.
+// awaitFirstWatch waits until this node can determine whether it must watch the store.
 func (r *Router) awaitFirstWatch(ctx context.Context) {
 	r.nodesKnown.await(ctx, r.nodesKnownBy())
-	_ = periodic.Pause(ctx, time.Until(r.started.Add(r.joinTime()+firstWatchDelay))) // Follow looks at the context.
+	_ = periodic.Pause(ctx, time.Until(r.started.Add(r.joinTime()+firstWatchDelay))) // Follow checks the context.
 }
 
-// watcherInterval is how often a node looks whether it is to follow the store.
+// watcherInterval is the interval between checks whether a node must watch the store.
 const watcherInterval = 500 * time.Millisecond
 
-// copyPatience is how long a node that does not follow the store waits until other nodes have brought it
-// all back ends, before it lists them itself. A neighbour has them within a second or two, or within some
-// more where all nodes have lost power.
-const copyPatience = 6 * time.Second
+// replicaTimeout is how long a node that does not watch the store waits for all backends from other nodes before it
+// lists them itself. A neighbour has them within a second or two, or a few seconds more after a power failure of the
+// whole fleet.
+const replicaTimeout = 6 * time.Second
 
-// followsStore reports whether this node is to follow the store: it is chosen to, or hears nothing of those that are.
-func (r *Router) followsStore() bool { return r.isChosenToFollow() || r.isStale() }
+// mustWatchStore reports whether this node must watch the store: it is selected to, or receives nothing from the
+// watchers.
+func (r *Router) mustWatchStore() bool { return r.isSelectedToWatch() || r.isStale() }
 
-// isChosenToFollow reports whether this node is to follow the store whatever it hears: it does not know the others
-// yet, it is a watcher, or no other node has brought it a whole copy in time.
-func (r *Router) isChosenToFollow() bool {
+// isSelectedToWatch reports whether this node must watch the store regardless of what it receives: it does not know
+// the other nodes yet, it is a watcher, or no other node has sent it a complete replica in time.
+func (r *Router) isSelectedToWatch() bool {
 	knowsNodes := r.nodesKnown.isSet() || !time.Now().Before(r.nodesKnownBy())
-	return !knowsNodes || r.isWatcher() || !r.backends.Synced() && time.Since(r.started) > r.joinTime()+copyPatience
+	return !knowsNodes || r.isWatcher() || !r.backends.Synced() && time.Since(r.started) > r.joinTime()+replicaTimeout
 }
 
-// follow keeps the copies of the given kinds up to date until the context ends,
-// from the store while this node follows it, and from other nodes otherwise.
-func (r *Router) follow(ctx context.Context, kinds ...objectapi.Kind) {
+// watchStore keeps the replica's objects of the given kinds up to date until the context ends, from the store while
+// this node watches it, and otherwise from other nodes.
+func (r *Router) watchStore(ctx context.Context, kinds ...objectapi.Kind) {
 	ticker := time.NewTicker(watcherInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		watching, stop := context.WithCancel(ctx)
-		r.following.Store(true)
-		allKinds := r.followsAllKinds()
-		var following sync.WaitGroup
+		r.watching.Store(true)
+		allKinds := r.watchesAllKinds()
+		var watches sync.WaitGroup
 		for _, kind := range kinds {
 			if allKinds || kind == r.options.Environment.ConfigurationKind {
-				following.Go(func() { r.followKind(watching, kind) })
+				watches.Go(func() { r.watchKind(watching, kind) })
 			}
 		}
-		r.waitFor(ctx, ticker, func() bool { return !r.followsStore() || r.followsAllKinds() != allKinds })
+		r.waitFor(ctx, ticker, func() bool { return !r.mustWatchStore() || r.watchesAllKinds() != allKinds })
 		stop()
-		following.Wait()
-		if r.followsStore() {
+		watches.Wait()
+		if r.mustWatchStore() {
 			continue
 		}
-		r.following.Store(false)
-		r.options.Logger.Info("store followed by others")
-		r.waitFor(ctx, ticker, r.followsStore)
+		r.watching.Store(false)
+		r.options.Logger.Info("store is watched by other nodes")
+		r.waitFor(ctx, ticker, r.mustWatchStore)
 	}
 }
 
@@ -160,39 +161,39 @@
 	}
 }
 
-func (r *Router) followKind(ctx context.Context, kind objectapi.Kind) {
-	fed := &follower{kind: kind, copy: r.copy, contact: r.contact, beforeWatch: r.awaitFirstWatch}
+func (r *Router) watchKind(ctx context.Context, kind objectapi.Kind) {
+	feed := &storeFeed{kind: kind, replica: r.replica, storeHealth: r.storeHealth, beforeWatch: r.awaitFirstWatch}
 	switch kind {
 	case r.options.Environment.BackendKind:
 		r.nodesKnown.await(ctx, r.nodesKnownBy())
-		if r.inLargeFleet.Load() && !r.followsStore() {
+		if r.inLargeFleet.Load() && !r.mustWatchStore() {
 			return
 		}
-		fed.listed, fed.longList = r.backendsWhole, r.awaitFollowing
+		feed.onListed, feed.onLongList = r.backendsComplete, r.awaitWatching
 	case kindNode:
-		_ = periodic.Pause(ctx, time.Until(r.started.Add(r.joinTime()))) // Follow looks at the context.
-		fed.longList, fed.longFrom = r.meetNeighbours, longNodeList
-		fed.listed = func() {
+		_ = periodic.Pause(ctx, time.Until(r.started.Add(r.joinTime()))) // Follow checks the context.
+		feed.onLongList, feed.longListSize = r.listNeighbours, longNodeList
+		feed.onListed = func() {
 			r.nodesMet.set()
 			r.nodesKnown.set()
 		}
 	}
-	objectapi.Follow(ctx, r.options.Environment.Store, kind, fed)
+	objectapi.Follow(ctx, r.options.Environment.Store, kind, feed)
 }
 
-// meetingTime is how long, at the first start of a large fleet, a node waits until it knows the others from the
-// part of them that it has listed: some comparisons. Later starts do not wait, since the store has the objects
-// of the starts before, and those with the widest links are among the parts that nodes list.
-const meetingTime = 1500 * time.Millisecond
+// discoveryTime is how long, at the first start of a large fleet, a node waits to learn of the others by anti-entropy
+// exchanges after it has listed a part of them. Later starts do not wait, since the store has the objects of earlier
+// starts, and the nodes with the widest links are among the parts that nodes list.
+const discoveryTime = 1500 * time.Millisecond
 
-// nodesKnownBy is when this node acts by the nodes that it knows, whatever these are.
+// nodesKnownBy is the time from which this node relies on the nodes that it knows, however many these are.
 func (r *Router) nodesKnownBy() time.Time {
-	return r.started.Add(r.joinTime() + listPatience + meetingTime)
+	return r.started.Add(r.joinTime() + nodeListTimeout + discoveryTime)
 }
 
-// meetNeighbours reads on in a long list of nodes with those whose names come next after the own one, and leaves
-// the rest to these.
-func (r *Router) meetNeighbours(ctx context.Context) {
+// listNeighbours continues a long list of nodes with those whose names follow the node's own, and leaves the rest to
+// those nodes.
+func (r *Router) listNeighbours(ctx context.Context) {
 	if r.nodesMet.isSet() {
 		return
 	}
@@ -201,30 +202,30 @@
 	if pager, hasPages := r.options.Environment.Store.(objectapi.Pager); hasPages {
 		page, err := pager.ListPage(ctx, kindNode, name[:len(name)-1])
 		if err != nil {
-			r.options.Logger.Warn("neighbours not listed", "error", err.Error())
+			r.options.Logger.Warn("nodes after the own name not listed", "error", err.Error())
 		}
 		for _, object := range page.Objects {
-			r.copy.Apply(replica.SourceStore, replica.Record{Object: object})
+			r.replica.Apply(replica.SourceStore, replica.Record{Object: object})
 		}
 	}
 	r.nodesMet.set()
-	if r.options.Settings.FirstStart && periodic.Pause(ctx, meetingTime) != nil {
+	if r.options.Settings.FirstStart && periodic.Pause(ctx, discoveryTime) != nil {
 		return
 	}
 	r.nodesKnown.set()
-	r.awaitFollowing(ctx)
+	r.awaitWatching(ctx)
 }
 
-// awaitFollowing returns where this node follows the store, or the context ends: what the rest of a long list
-// holds comes from other nodes.
-func (r *Router) awaitFollowing(ctx context.Context) {
-	for ctx.Err() == nil && !r.followsStore() {
-		_ = periodic.Pause(ctx, watcherInterval) // The context is looked at above.
+// awaitWatching returns when this node must watch the store or the context ends. Until then the rest of a long list
+// comes from other nodes.
+func (r *Router) awaitWatching(ctx context.Context) {
+	for ctx.Err() == nil && !r.mustWatchStore() {
+		_ = periodic.Pause(ctx, watcherInterval) // The loop checks the context.
 	}
 }
 
-// registrationTime is how long after the first start of all machines a node lists the others. They start
-// within less than that, so that the list is about whole, and each node knows whether it follows the store.
+// registrationTime is how long after the first start of the fleet a node lists the others. All machines start within
+// less than that, so that the list is nearly complete, and each node can determine whether it must watch the store.
 const registrationTime = time.Second
 
 // joinTime is how long after its start this node lists the others.
@@ -235,8 +236,8 @@
 	return 0
 }
 
-// backendsWhole notes that this node knows all back ends.
-func (r *Router) backendsWhole() {
+// backendsComplete records that this node has all backends.
+func (r *Router) backendsComplete() {
 	if r.backends.Synced() {
 		return
 	}
@@ -248,65 +249,64 @@
 	r.options.Logger.Info("back ends known", counts...)
 }
 
-// refetch reads one object from the store, for a node that gets it from no other node.
+// refetch reads one object from the store, for a node that receives it from no other node.
 func (r *Router) refetch(ctx context.Context, key replica.Key) {
 	object, err := r.options.Environment.Store.Get(ctx, key.Kind, key.Name)
 	if err != nil {
 		r.options.Logger.Warn("object not fetched from the store", "kind", string(key.Kind), "name", key.Name, "error", err.Error())
 		return
 	}
-	r.copy.Apply(replica.SourceStore, replica.Record{Object: object})
+	r.replica.Apply(replica.SourceStore, replica.Record{Object: object})
 }
 
-// contact knows whether the store answers, and logs when it is lost and when it
-// is back.
-type contact struct {
+// storeHealth tracks whether the store answers, and logs when contact is lost and regained.
+type storeHealth struct {
 	logger *slog.Logger
 	clock  *clock.Clock
 
-	mu   sync.Mutex
-	lost map[objectapi.Kind]bool
-	// disturbedAt is when a call last failed.
-	disturbedAt time.Time
-	// answeredAt is when the store last answered.
-	answeredAt time.Time
+	mu      sync.Mutex
+	failing map[objectapi.Kind]bool
+	// lastFailure is when a call last failed.
+	lastFailure time.Time
+	// lastAnswer is when the store last answered.
+	lastAnswer time.Time
 }
 
-func newContact(logger *slog.Logger, counting *clock.Clock) *contact {
-	return &contact{logger: logger, clock: counting, lost: map[objectapi.Kind]bool{}}
+func newStoreHealth(logger *slog.Logger, counting *clock.Clock) *storeHealth {
+	return &storeHealth{logger: logger, clock: counting, failing: map[objectapi.Kind]bool{}}
 }
 
-func (c *contact) observe(kind objectapi.Kind, err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (h *storeHealth) observe(kind objectapi.Kind, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	switch {
-	case err != nil && !c.lost[kind]:
-		c.logger.Warn("store lost", "kind", string(kind), "error", err.Error())
-	case err == nil && c.lost[kind]:
-		c.logger.Info("store back", "kind", string(kind))
+	case err != nil && !h.failing[kind]:
+		h.logger.Warn("store lost", "kind", string(kind), "error", err.Error())
+	case err == nil && h.failing[kind]:
+		h.logger.Info("store back", "kind", string(kind))
 	}
-	c.lost[kind] = err != nil
+	h.failing[kind] = err != nil
 	if err == nil {
-		c.answeredAt = c.clock.Now()
+		h.lastAnswer = h.clock.Now()
 	}
 	if err != nil {
-		c.disturbedAt = c.clock.Now()
+		h.lastFailure = h.clock.Now()
 	}
 }
 
-// disturbed reports whether the store has failed in the time that has just passed.
-func (c *contact) disturbed(lately time.Duration) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return !c.disturbedAt.IsZero() && c.clock.Since(c.disturbedAt) < lately
+// failedWithin reports whether a call to the store has failed in the given time.
+func (h *storeHealth) failedWithin(window time.Duration) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return !h.lastFailure.IsZero() && h.clock.Since(h.lastFailure) < window
 }
 
-// age returns how long ago the store answered; zero if it never has.
-func (c *contact) age() time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.answeredAt.IsZero() {
+// sinceAnswer returns the time since the store's last answer, or zero if it has never answered.
+func (h *storeHealth) sinceAnswer() time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.lastAnswer.IsZero() {
 		return 0
 	}
-	return c.clock.Since(c.answeredAt)
+	return h.clock.Since(h.lastAnswer)
 }
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -5,7 +5,7 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// freshness returns how new the configuration of this node may be.
+// freshness returns bounds on the age of this node's configuration.
 func (r *Router) freshness() gateway.Freshness {
 	agreement := r.syncer.SyncStatus()
 	return gateway.Freshness{
@@ -14,16 +14,16 @@
 	}
 }
 
-// revisionKnown returns the newest revision of a configuration in the copy.
+// revisionKnown returns the newest revision of a configuration in the replica.
 func (r *Router) revisionKnown() int64 {
 	known := int64(0)
-	for _, object := range r.copy.Live(r.options.Environment.ConfigurationKind) {
+	for _, object := range r.replica.Live(r.options.Environment.ConfigurationKind) {
 		known = max(known, object.Version)
 	}
 	return known
 }
 
-// publishFreshness adds the gauges of it.
+// publishFreshness registers the gauges of the configuration's age.
 func (r *Router) publishFreshness() {
 	r.metrics.Gauge("configuration_revision_in_force", func() float64 { return float64(r.revisionInForce.Load()) })
 	r.metrics.Gauge("configuration_revision_known", func() float64 { return float64(r.revisionKnown()) })
@@ -31,5 +31,5 @@
 	r.metrics.Gauge("copy_exchanges_under_way", func() float64 { return float64(r.syncer.SyncStatus().Exchanges) })
 }
 
-// noteInForce notes the object whose configuration is in force now.
+// noteInForce records the object whose configuration is now in force.
 func (r *Router) noteInForce(object objectapi.Object) { r.revisionInForce.Store(object.Version) }
--- a/router/log.go
+++ b/router/log.go
@@ -5,6 +5,6 @@
 	"log"
 )
 
-// discardLog drops what the HTTP server says of broken connections of callers:
-// the gateway logs each decision itself.
+// discardLog drops the HTTP server's messages about callers' broken
+// connections: the gateway logs each decision itself.
 func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -8,7 +8,8 @@
 	"github.com/reelrun/reelrun/backend"
 )
 
-// publishGauges adds what is read when somebody asks.
+// publishGauges registers the gauges, whose values are computed when they are
+// read.
 func (r *Router) publishGauges() {
 	r.metrics.Gauge("uptime_seconds", func() float64 { return time.Since(r.started).Seconds() })
 	r.metrics.Gauge("configuration_version", func() float64 {
@@ -17,7 +18,7 @@
 		}
 		return 0
 	})
-	r.metrics.Gauge("store_answer_age_seconds", func() float64 { return r.contact.age().Seconds() })
+	r.metrics.Gauge("store_answer_age_seconds", func() float64 { return r.storeHealth.sinceAnswer().Seconds() })
 	r.metrics.Gauge("nodes_known", func() float64 { return float64(r.nodeCount()) })
 	r.metrics.Gauge("nodes_responsive", func() float64 { return float64(r.responsiveCount()) })
 	r.metrics.Gauge("nodes_of_other_builds", func() float64 { return float64(r.nodes.countOtherBuilds(buildName())) })
@@ -28,7 +29,7 @@
 	}
 }
 
-// roleName names a role in metrics and log lines.
+// roleName returns the name of a role in metrics and log lines.
 func roleName(role backend.Role) string {
 	if role == backend.RoleNone {
 		return "plain"
@@ -40,6 +41,6 @@
 func (r *Router) metricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = io.WriteString(w, r.metrics.String()) // The reader may have left.
+		_, _ = io.WriteString(w, r.metrics.String()) // The client may have disconnected.
 	})
 }
--- a/router/nodes.go
+++ b/router/nodes.go
@@ -16,45 +16,44 @@
 	"github.com/reelrun/reelrun/retrybudget"
 )
 
-// knownNode is a node as its object tells of it.
+// knownNode is a node as described by its object.
 type knownNode struct {
 	coordinator.Node
 	zone     string
 	capacity float64
-	// linkBytes is what its link carries, in bytes a second; zero if it is not known.
+	// linkBytes is the capacity of its link in bytes a second; zero if it is not known.
 	linkBytes float64
-	// addressHash is that of the address, by which nodes with equal links are ordered.
+	// addressHash is the hash of the address, by which nodes with equal links are ranked.
 	addressHash uint64
-	// abilities are the roles that its build can take.
-	abilities abilitySet
+	// capabilities are the roles that its build can take.
+	capabilities capabilitySet
 }
 
-// nodeList holds the nodes that have an object, decoded once. It is safe for
-// concurrent use.
+// nodeList holds the nodes that have an object, in decoded form. It is safe for concurrent use.
 type nodeList struct {
 	mu     sync.RWMutex
 	byName map[string]knownNode
-	// zones are those of the nodes by their addresses.
+	// zones holds the zones of nodes by address.
 	zones map[string]string
-	// builds are the commits of the nodes' builds by the names of their objects; empty where a node
-	// does not say. They are beside the nodes, whose descriptions are copied at each choice.
+	// builds holds the commits of the nodes' builds by object name, or "" if a node does not report
+	// it. They are not part of knownNode because that is copied for each decision.
 	builds map[string]string
-	// changeCount counts what was taken.
+	// changeCount is the number of applied changes.
 	changeCount uint64
 }
 
-// hashOf is the hash of an address by which nodes are ordered.
+// hashOf returns the hash of an address by which nodes are ranked.
 func hashOf(address string) uint64 { return xxhash.Sum64String(address) }
 
-// changes counts the changes of the list so far.
+// changes returns the number of changes so far.
 func (l *nodeList) changes() uint64 {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.changeCount
 }
 
-// take puts a newer version of a node's object into the list.
-func (l *nodeList) take(record replica.Record) error {
+// apply adds a newer version of a node's object.
+func (l *nodeList) apply(record replica.Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changeCount++
@@ -68,13 +67,14 @@
 	}
 	spec, err := decodeNode(record.Object.Spec)
 	if err != nil {
-		// Another writer may have made the entry, or spoilt it: it names no node.
+		// The object may have been written or corrupted by something other than a node: it describes no
+		// node.
 		delete(l.byName, record.Object.Name)
 		return err
 	}
 	l.byName[record.Object.Name] = knownNode{
 		Node: coordinator.Node{Address: spec.Address, Incarnation: strconv.FormatInt(spec.Started, 10)},
-		zone: spec.Zone, capacity: spec.Capacity, linkBytes: spec.LinkBytes, addressHash: hashOf(spec.Address), abilities: abilitiesOf(spec.Abilities),
+		zone: spec.Zone, capacity: spec.Capacity, linkBytes: spec.LinkBytes, addressHash: hashOf(spec.Address), capabilities: capabilitiesOf(spec.Capabilities),
 	}
 	l.builds[record.Object.Name] = spec.Build
 	l.zones[spec.Address] = spec.Zone
@@ -104,8 +104,8 @@
 	return node, found
 }
 
-// zoneOf returns the zone of the node at an address. One that is gone keeps its zone: whoever comes
-// to its address is as far away.
+// zoneOf returns the zone of the node at an address. The zone is kept when a node is removed: a new
+// node at the same address is in the same zone.
 func (l *nodeList) zoneOf(address string) (zone string, known bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -113,7 +113,7 @@
 	return zone, known
 }
 
-// others returns the nodes at other addresses than the given one.
+// others returns the nodes at addresses other than the given one.
 func (l *nodeList) others(own string) []knownNode {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -133,7 +133,7 @@
 	return l.builds[name]
 }
 
-// countOtherBuilds returns how many nodes run another build than the given one.
+// countOtherBuilds returns the number of nodes that run a build other than the given one.
 func (l *nodeList) countOtherBuilds(own string) int {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -146,17 +146,17 @@
 	return others
 }
 
-// able returns the nodes whose builds have an ability, by name.
-func (l *nodeList) able(wanted ability) []retrybudget.Member {
+// withCapability returns the nodes whose builds have a capability, sorted by name.
+func (l *nodeList) withCapability(wanted capability) []retrybudget.Member {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	var able []retrybudget.Member
+	var members []retrybudget.Member
 	for _, name := range slices.Sorted(maps.Keys(l.byName)) {
-		if node := l.byName[name]; node.isAble(wanted) {
-			able = append(able, retrybudget.Member{Name: name, Incarnation: node.Incarnation})
+		if node := l.byName[name]; node.hasCapability(wanted) {
+			members = append(members, retrybudget.Member{Name: name, Incarnation: node.Incarnation})
 		}
 	}
-	return able
+	return members
 }
 
 func (l *nodeList) count() int {
--- a/router/refused.go
+++ b/router/refused.go
@@ -2,17 +2,18 @@
 
 import "sync"
 
-// maxRefused bounds the remembered names. Beyond it refusals are logged again.
+// maxRefused bounds the remembered names. Beyond it, entries are logged again.
 const maxRefused = 4096
 
-// refusedEntries remembers which entries of back ends were refused, so that a writer that repeats
-// itself costs one line of the log. It is safe for concurrent use.
+// refusedEntries remembers the backend entries that were rejected, so that a writer that repeats
+// itself causes a single log line. It is safe for concurrent use.
 type refusedEntries struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
-// first notes a refusal and reports whether it is the first since the entry was last accepted.
+// first records a rejection and reports whether it is the first since the entry was last
+// accepted.
 func (r *refusedEntries) first(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -26,7 +27,7 @@
 	return true
 }
 
-// accepted notes that an entry is good, or gone.
+// accepted records that an entry is valid or was removed.
 func (r *refusedEntries) accepted(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/router/reload.go
+++ b/router/reload.go
@@ -6,8 +6,8 @@
 	"github.com/reelrun/reelrun/settings"
 )
 
-// Reload puts settings in force while the node runs: its seeds and the bounds of
-// retries. Names and addresses need another start.
+// Reload applies settings while the node runs: its seeds and the bounds of
+// upstream retries. Names and addresses require a restart.
 func (r *Router) Reload(reloaded *settings.Router) {
 	before := r.settings.Swap(reloaded)
 	if reflect.DeepEqual(before, reloaded) {
--- a/router/reports.go
+++ b/router/reports.go
@@ -10,24 +10,26 @@
 )
 
 const (
-	// reportInterval is how often a coordinator asks its decode engines for their use.
+	// reportInterval is the interval at which a coordinator polls its decode engines for their
+	// usage.
 	reportInterval = time.Second
-	// reportTimeout bounds one such call.
+	// reportTimeout bounds the calls of one round.
 	reportTimeout = 300 * time.Millisecond
-	// idleReports is how many engines without a run a coordinator asks in one round. All of some
-	// thousand engines cost 800 calls a second, most of them across zones, and as many
-	// connections. An engine that is given a run is asked from then on.
+	// idleReports is the number of engines without a run that a coordinator polls in one round.
+	// Polling all of some thousand engines takes 800 calls a second, most of them across zones,
+	// and as many connections. An engine that is given a run is polled from then on.
 	idleReports = 64
 )
 
-// reportTurns chooses which engines a coordinator asks in a round.
-type reportTurns struct {
-	// next is where the turn of the engines without a run stands.
-	next int
+// reportRotation selects the engines that a coordinator polls in a round.
+type reportRotation struct {
+	// offset is the position of the rotation through the engines without a run.
+	offset int
 }
 
-// take returns the engines to ask: all for which isBusy holds, and some of the others in turn.
-func (t *reportTurns) take(engines []string, isBusy func(engine string) bool) []string {
+// next returns the engines to poll: all for which isBusy holds, and some of the others in
+// rotation.
+func (t *reportRotation) next(engines []string, isBusy func(engine string) bool) []string {
 	var asked, idle []string
 	for _, engine := range engines {
 		if isBusy(engine) {
@@ -38,25 +40,24 @@
 	}
 	count := min(idleReports, len(idle))
 	for i := range count {
-		asked = append(asked, idle[(t.next+i)%len(idle)])
+		asked = append(asked, idle[(t.offset+i)%len(idle)])
 	}
-	t.next += count
+	t.offset += count
 	return asked
 }
 
-// followReports asks the decode engines that this node coordinates for the memory
-// they use, until the context ends. After nodes were lost, engines still run what
-// these had begun.
-func (r *Router) followReports(ctx context.Context) {
-	var turns reportTurns
+// pollReports polls the decode engines that this node coordinates for the memory they use,
+// until the context ends. It covers runs that were started by nodes that are lost.
+func (r *Router) pollReports(ctx context.Context) {
+	var rotation reportRotation
 	periodic.Run(ctx, reportInterval, func(ctx context.Context) {
 		for _, service := range r.coordinatedServices() {
-			r.askReports(ctx, service, &turns)
+			r.pollService(ctx, service, &rotation)
 		}
 	})
 }
 
-func (r *Router) askReports(ctx context.Context, service string, turns *reportTurns) {
+func (r *Router) pollService(ctx context.Context, service string, rotation *reportRotation) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var engines []string
@@ -65,7 +66,7 @@
 	}
 	inUse := r.coordinator.InUse(service)
 	var asked sync.WaitGroup
-	for _, id := range turns.take(engines, func(id string) bool { return inUse[id] }) {
+	for _, id := range rotation.next(engines, func(id string) bool { return inUse[id] }) {
 		entry := r.backends.Lookup(id)
 		if entry == nil || entry.BackoffRemaining() > 0 {
 			continue
--- a/router/reports_test.go
+++ b/router/reports_test.go
@@ -7,8 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestBusyEnginesAreAskedEachRoundAndOthersInTurn has 300 engines, ten of them busy.
-func TestBusyEnginesAreAskedEachRoundAndOthersInTurn(t *testing.T) {
+// TestIdleEnginesArePolledInRotation has 300 engines, ten of them busy, which must
+// be polled in each round.
+func TestIdleEnginesArePolledInRotation(t *testing.T) {
 	g := NewWithT(t)
 	const engines, busy = 300, 10
 	var ids []string
@@ -17,11 +18,11 @@
 		ids = append(ids, fmt.Sprintf("e%03d", i))
 		isBusy[ids[i]] = i%(engines/busy) == 0
 	}
-	var turns reportTurns
+	var rotation reportRotation
 	counts := map[string]int{}
 	const rounds = 5
 	for range rounds {
-		asked := turns.take(ids, func(id string) bool { return isBusy[id] })
+		asked := rotation.next(ids, func(id string) bool { return isBusy[id] })
 		g.Expect(asked).To(HaveLen(busy + idleReports))
 		for _, id := range asked {
 			counts[id]++
@@ -34,6 +35,6 @@
 			g.Expect(counts[id]).To(BeNumerically(">=", 1), id)
 		}
 	}
-	few := turns.take(ids[:40], func(string) bool { return false })
+	few := rotation.next(ids[:40], func(string) bool { return false })
 	g.Expect(few).To(ConsistOf(ids[:40]), "a small fleet is asked whole")
 }
--- a/router/rolechange.go
+++ b/router/rolechange.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// leaseRoles names the lease under which roles are ordered.
+	// leaseRoles is the name of the lease that is required to order role changes.
 	leaseRoles = "roles"
-	// leaseFactor is how much longer the lease lasts than engines ask for.
+	// leaseFactor is the lease's duration as a multiple of the duration that engines
+	// require.
 	leaseFactor = 2
 )
 
@@ -28,8 +29,8 @@
 			Store: r.options.Environment.Store, Name: leaseRoles,
 			Holder:   r.options.Settings.Name + "/" + strconv.FormatInt(r.started.UnixNano(), 10),
 			Duration: leaseFactor * r.options.Settings.LeaseDuration,
-			// A holder that was suspended finds its lease lapsed as it wakes, and sends no order
-			// beside the next holder's.
+			// After a suspension, a holder finds its lease expired as soon as it resumes, and
+			// sends no order that competes with the next holder's.
 			Now: r.options.Clock.Exact,
 		}),
 		Holder:   r.options.Settings.Name,
@@ -52,8 +53,8 @@
 	return &roles.Demand{Prefill: measured.Prefill, Decode: measured.Decode, DecodeUtilization: measured.DecodeUtilization}, runs
 }
 
-// kindRoleChange is the kind of the records by which nodes tell each other of
-// orders. They are not in the store.
+// kindRoleChange is the kind of the records by which nodes announce orders to each
+// other. They are not kept in the store.
 const kindRoleChange objectapi.Kind = "rolechanges"
 
 // roleChangeSpec is the content of such a record.
@@ -62,7 +63,7 @@
 	Role   backend.Role `json:"role"`
 }
 
-// announceRole tells all nodes that an engine is about to change its role.
+// announceRole announces to all nodes that an engine is about to change its role.
 func (r *Router) announceRole(change roles.Change, fence uint64) {
 	spec, err := json.Marshal(roleChangeSpec{Engine: change.Engine, Role: change.Role})
 	if err != nil {
@@ -72,7 +73,7 @@
 	record := replica.Record{Object: objectapi.Object{
 		Kind: kindRoleChange, Name: roleChangeName(change, fence), Version: versionAnnounced, Spec: spec,
 	}}
-	r.copy.Apply(replica.SourceStore, record)
+	r.replica.Apply(replica.SourceStore, record)
 }
 
 // Versions of the record of one order.
@@ -81,19 +82,19 @@
 	versionWithdrawn = 2
 )
 
-// roleChangeName names the record of an order; the names of two orders differ.
+// roleChangeName returns the name of an order's record, which is unique to the order.
 func roleChangeName(change roles.Change, fence uint64) string {
 	return change.Engine + "/" + strconv.FormatUint(fence, 10) + "/" + string(change.Role)
 }
 
-// withdrawRole tells all nodes that an announced order is not given.
+// withdrawRole announces to all nodes that an announced order will not be given.
 func (r *Router) withdrawRole(change roles.Change, fence uint64) {
 	object := objectapi.Object{Kind: kindRoleChange, Name: roleChangeName(change, fence), Version: versionWithdrawn}
-	r.copy.Apply(replica.SourceStore, replica.Record{Object: object, Deleted: true})
+	r.replica.Apply(replica.SourceStore, replica.Record{Object: object, Deleted: true})
 }
 
-// roleAnnounced takes note of another node's order.
-func (r *Router) roleAnnounced(change replica.Change) {
+// handleRoleChange applies another node's announcement of an order.
+func (r *Router) handleRoleChange(change replica.Change) {
 	if change.Record.Deleted {
 		engine, _, _ := strings.Cut(change.Record.Object.Name, "/")
 		r.roles.ClearChanging(engine)
@@ -102,7 +103,7 @@
 	}
 	var spec roleChangeSpec
 	if err := json.Unmarshal(change.Record.Object.Spec, &spec); err != nil {
-		r.options.Logger.Error("role change refused", "error", err.Error())
+		r.options.Logger.Error("role change record rejected", "error", err.Error())
 		return
 	}
 	r.roles.MarkChanging(roles.Change{Engine: spec.Engine, Role: spec.Role})
--- a/router/router.go
+++ b/router/router.go
@@ -32,29 +32,29 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// Environment is what the daemon meets outside itself.
+// Environment is what the router needs from its surroundings.
 type Environment struct {
 	Store   objectapi.Store
 	Dialect Dialect
-	// ConfigurationKind and BackendKind are the kinds of the objects that hold the
-	// configuration and one back end each.
+	// ConfigurationKind and BackendKind are the kinds of the objects that hold the configuration and one backend
+	// each.
 	ConfigurationKind objectapi.Kind
 	BackendKind       objectapi.Kind
-	// DecodeConfiguration and DecodeBackend read these objects.
+	// DecodeConfiguration and DecodeBackend decode these objects.
 	DecodeConfiguration func(objectapi.Object) (*routing.Configuration, error)
 	DecodeBackend       func(objectapi.Object) (backend.Backend, error)
 }
 
-// Dialect is how callers, back ends and engines are spoken to.
+// Dialect implements the protocols of callers, backends and engines.
 type Dialect interface {
 	gateway.Dialect
 	roles.EngineClient
-	// Observe has a function called with what back ends say of themselves in any of their answers.
-	// It is called once, before all other calls.
+	// Observe sets a function that is called with the notices in the backends' answers. It is called once, before all
+	// other calls.
 	Observe(observer backend.Observer)
 }
 
-// Options are the parts of a Router.
+// Options are the parameters of a Router.
 type Options struct {
 	Settings    *settings.Router
 	Environment Environment
@@ -63,24 +63,24 @@
 	Listen func(address string) (net.Listener, error)
 	// Dial opens connections to other nodes. Default net.Dialer.
 	Dial peer.DialFunc
-	// Clock is what this node decides by. Default: the runtime's, which stands still while the
-	// machine is suspended.
+	// Clock is the clock for this node's decisions. Default: the runtime's, which stops while the machine is
+	// suspended.
 	Clock *clock.Clock
-	// Placement is how engines are chosen. Default PlacementCoordinator.
+	// Placement selects how engines are chosen. Default PlacementCoordinator.
 	Placement Placement
-	// KeepRoles leaves the roles of engines as they are.
+	// KeepRoles disables changes of the engines' roles.
 	KeepRoles bool
 }
 
-// Placement is how engines are chosen.
+// Placement is a way to choose engines.
 type Placement string
 
 // The placements.
 const (
-	// PlacementCoordinator lets one node a service assign its engines.
+	// PlacementCoordinator has one node per service assign its engines.
 	PlacementCoordinator Placement = "coordinator"
-	// PlacementReservation lets each node ask the engines for room. It is the
-	// simplest way, and the baseline of every comparison.
+	// PlacementReservation has each node reserve capacity at the engines. It is the simplest placement, and the
+	// baseline of comparisons.
 	PlacementReservation Placement = "reservation"
 )
 
@@ -90,85 +90,83 @@
 	backends *backend.Registry
 	gateway  *gateway.Handler
 	metrics  *metrics.Set
-	// copy is what this node knows of the store's objects.
-	copy    *replica.Replica
-	contact *contact
-	nodes   nodeList
-	view    heldFleetView
-	syncer  *antientropy.Syncer
-	client  *peer.Client
-	server  *peer.Server
+	// replica holds this node's replica of the store's objects.
+	replica     *replica.Replica
+	storeHealth *storeHealth
+	nodes       nodeList
+	view        cachedFleetView
+	syncer      *antientropy.Syncer
+	client      *peer.Client
+	server      *peer.Server
 	// coordinator assigns the engines of the services that this node coordinates.
 	coordinator *coordinator.Coordinator
-	// assigner asks the coordinators of all services.
+	// assigner calls the coordinators of all services.
 	assigner *coordinator.Client
-	// admission decides on plain services by the plans that admissions brings, from the
-	// controllers of the nodes that coordinate them.
+	// admission decides on requests to plain services, by the plans that admissions receives from the controllers on
+	// the nodes that coordinate these services.
 	admission  *admission.Node
 	controller *admission.Controller
 	admissions *admission.Client
-	// quotas charges requests of this node, and quotaKeeper those of all nodes where this one
-	// coordinates.
-	quotas      *quota.Client
-	quotaKeeper *quota.Coordinator
-	// quarantines knows which requests crash back ends; quarantineKeeper brings together what all
-	// nodes saw, where this one is chosen for it, and quarantineArchive keeps that in the store.
-	quarantines       *quarantine.Client
-	quarantineKeeper  *quarantine.Coordinator
-	quarantineArchive *quarantine.Archive
-	roles             *roles.Controller
-	// retryShares is what the node knows of how the retry budget is divided.
+	// quotas charges the requests of this node, and quotaCoordinator those of all nodes while this one coordinates.
+	quotas           *quota.Client
+	quotaCoordinator *quota.Coordinator
+	// quarantines holds the quarantine status of requests that crash backends; quarantineCoordinator combines the
+	// reports of all nodes while this one is selected for it, and quarantineArchive writes them to the store.
+	quarantines           *quarantine.Client
+	quarantineCoordinator *quarantine.Coordinator
+	quarantineArchive     *quarantine.Archive
+	roles                 *roles.Controller
+	// retryShares is the state of the retry budget's allocation.
 	retryShares retryShares
-	// started names this start of the node, and origin is the time from which now counts.
+	// started identifies this start of the node, and origin is the zero point of now.
 	started time.Time
 	origin  time.Time
-	// storeCalls are those since the last summary.
+	// storeCalls counts calls to the store since the last summary.
 	storeCalls callCounts
-	// heardAgain counts by back end what was said again since the last summary.
-	heardAgain callCounts
+	// repeatedNotices counts repeated notices by backend since the last summary.
+	repeatedNotices callCounts
 	// traffic counts the bytes of calls to other nodes.
 	traffic nodeTraffic
 	refused refusedEntries
-	// following is set while this node follows the store, and staleness decides when it does so without being chosen.
-	following atomic.Bool
+	// watching is set while this node watches the store, and staleness decides whether it must without being
+	// selected.
+	watching  atomic.Bool
 	staleness *staleness
-	// revisionInForce is that of the object whose configuration is in force.
+	// revisionInForce is the revision of the object whose configuration is in force.
 	revisionInForce atomic.Int64
 	// withdrawn is set once the node has removed its own object.
 	withdrawn atomic.Bool
-	// removed tells that another one has.
+	// removed signals that another node has removed it.
 	removed chan struct{}
-	// nodesMet is set once this node knows some others: all of a small fleet, or its neighbours by name in a
-	// large one. nodesKnown is set once it has had the time to know all.
-	nodesMet, nodesKnown *milestone
-	// inLargeFleet is set where a list of nodes was long.
+	// nodesMet is set once this node knows some others: all nodes of a small fleet, or its neighbours by name in a
+	// large one. nodesKnown is set once it has had the time to learn of all.
+	nodesMet, nodesKnown *latch
+	// inLargeFleet is set if a list of nodes was long.
 	inLargeFleet atomic.Bool
-	// settings may be replaced while the node runs; those of listeners are only
-	// read at the start.
+	// settings may be replaced while the node runs; the addresses of listeners are only read at the start.
 	settings atomic.Pointer[settings.Router]
 }
 
 const (
-	// headerTimeout and idleTimeout bound a caller's connection. They are above
-	// what configurations allow callers.
+	// headerTimeout and idleTimeout bound a caller's connection. They exceed the timeouts that configurations grant
+	// callers.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// maxHeaderBytes bounds the head of a caller's request.
+	// maxHeaderBytes bounds the header of a caller's request.
 	maxHeaderBytes = 32 << 10
-	// readyDelay is how long the balancer may still send new connections after the
-	// node has become unready.
+	// readyDelay is how long the load balancer may still send new connections after the node has become unready.
 	readyDelay = 2500 * time.Millisecond
-	// stopMargin is kept at the end of the grace period.
+	// stopMargin is reserved at the end of the grace period.
 	stopMargin = 300 * time.Millisecond
-	// idleSession is how long a connection to another node is kept unused, and sessionCheck
-	// how often this is looked at.
+	// idleSession is how long an unused connection to another node is kept, and sessionCheck the interval between
+	// checks for these.
 	idleSession  = 20 * time.Second
 	sessionCheck = 5 * time.Second
-	// budgetShare is the part of the retry budget that is used.
+	// budgetShare is the share of the configured retry budget that is used.
 	budgetShare = 0.8
 )
 
-// New returns a router that does nothing until Run.
+// New returns a router that does nothing until Run is called.
 func New(options Options) *Router {
 	if options.Listen == nil {
 		options.Listen = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
@@ -180,19 +178,19 @@
 	}
 	r := &Router{
 		options: options, metrics: metrics.NewSet(), started: time.Now(), origin: options.Clock.Now(), removed: make(chan struct{}, 1),
-		backends: backend.NewRegistry(options.Clock.Now), contact: newContact(options.Logger, options.Clock),
+		backends: backend.NewRegistry(options.Clock.Now), storeHealth: newStoreHealth(options.Logger, options.Clock),
 	}
 	r.staleness = newStaleness()
-	r.nodesMet, r.nodesKnown = newMilestone(), newMilestone()
+	r.nodesMet, r.nodesKnown = newLatch(), newLatch()
 	r.settings.Store(options.Settings)
-	options.Environment.Dialect.Observe(r.heardBackend)
-	r.copy = replica.New(options.Environment.ConfigurationKind, r.changed)
+	options.Environment.Dialect.Observe(r.handleNotice)
+	r.replica = replica.New(options.Environment.ConfigurationKind, r.changed)
 	stamps := timeline.NewClock(time.Now)
 	r.client = peer.NewClient(options.Settings.Name, options.Dial, stamps)
 	r.client.Observe(r.countCall)
 	r.syncer = antientropy.New(antientropy.Options{
-		Replica: r.copy, Peers: r.peers, Monitored: r.sources, SameZone: r.isNear, RemoteRelays: r.relays, IsZoneRelay: r.isBridge, Client: r.client, Logger: options.Logger,
-		WatchesStore: r.following.Load, Complete: r.backends.Synced, OnComplete: r.backendsWhole,
+		Replica: r.replica, Peers: r.peers, Monitored: r.monitored, SameZone: r.isSameZone, RemoteRelays: r.remoteRelays, IsZoneRelay: r.isZoneRelay, Client: r.client, Logger: options.Logger,
+		WatchesStore: r.watching.Load, Complete: r.backends.Synced, OnComplete: r.backendsComplete,
 		Address: options.Settings.PeerAddress, LinkBytes: options.Settings.LinkBytes, Refetch: r.refetch,
 	})
 	r.coordinator = coordinator.New(coordinator.Options{Engines: r.engines, Shortlist: r.shortlist, ZoneOf: r.zoneOf, Nodes: r.responsiveCount, Now: r.now})
@@ -200,9 +198,9 @@
 	r.admission = admission.NewNode(r.Own(), r.now)
 	r.controller = admission.NewController(admission.Options{Slots: r.plainSlots, Nodes: r.responsiveCount})
 	r.admissions = admission.NewClient(r.admission, r.controller, r.client, r.assigner)
-	r.quotaKeeper = quota.NewCoordinator(quota.Options{Tenant: r.tenantNamed, Nodes: r.nodeCount, Tolerance: quota.Tolerance(options.Settings.QuotaTolerance)})
+	r.quotaCoordinator = quota.NewCoordinator(quota.Options{Tenant: r.tenantNamed, Nodes: r.nodeCount, Tolerance: quota.Tolerance(options.Settings.QuotaTolerance)})
 	r.quotas = quota.NewClient(quota.ClientOptions{
-		Coordinators: r.assigner, Peers: r.client, LocalCoordinator: r.quotaKeeper, LocalLimiter: quota.NewLocalLimiter(r.nodeCount, rand.Float64),
+		Coordinators: r.assigner, Peers: r.client, LocalCoordinator: r.quotaCoordinator, LocalLimiter: quota.NewLocalLimiter(r.nodeCount, rand.Float64),
 		Limited: r.anyTenantLimited, Now: r.now,
 	})
 	r.newQuarantines()
@@ -234,7 +232,7 @@
 	return r
 }
 
-// gatewayCoordinator returns who assigns engines; nil lets each node choose.
+// gatewayCoordinator returns the coordinator that assigns engines, or nil if each node chooses them itself.
 func (r *Router) gatewayCoordinator() gateway.Coordinator {
 	if r.options.Placement == PlacementReservation {
 		return nil
@@ -242,7 +240,7 @@
 	return r.assigner
 }
 
-// listeners are the ports of a running router.
+// listeners are the open ports of a running router.
 type listeners struct {
 	callers, ready, peers, metrics net.Listener
 }
@@ -268,8 +266,8 @@
 	return opened, nil
 }
 
-// Run serves until the context ends, and then until the requests under way have
-// ended or the grace period is over.
+// Run serves until the context ends, and then until the requests in progress have ended or the grace period is
+// over.
 func (r *Router) Run(ctx context.Context) error {
 	r.options.Logger.Info("start", "build", buildName(), "zone", r.options.Settings.Zone, "metrics", r.options.Settings.MetricsAddress)
 	ports, err := r.listen()
@@ -282,20 +280,20 @@
 	}
 	metricsServer := &http.Server{Handler: r.metricsHandler(), ReadHeaderTimeout: headerTimeout, ErrorLog: discardLog()}
 	readyServer := &http.Server{Handler: r.readiness(), ReadHeaderTimeout: headerTimeout, ErrorLog: discardLog()}
-	// While the node drains it goes on to follow the store and the other nodes.
-	following, stopFollowing := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopFollowing()
+	// While it drains, the node continues to watch the store and to exchange objects with other nodes.
+	watching, stopWatching := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopWatching()
 	group, _ := errgroup.WithContext(ctx)
 	group.Go(func() error { return serve(callerServer, ports.callers) })
 	group.Go(func() error { return serve(readyServer, ports.ready) })
 	group.Go(func() error { return serve(metricsServer, ports.metrics) })
 	group.Go(func() error { return servePeers(r.server, ports.peers) })
-	for _, run := range r.backgroundTasks(ctx, following) {
+	for _, run := range r.backgroundTasks(ctx, watching) {
 		group.Go(func() error { run(); return nil })
 	}
 	<-ctx.Done()
 	r.stop(ctx, callerServer)
-	stopFollowing()
+	stopWatching()
 	_ = readyServer.Close()
 	_ = metricsServer.Close()
 	_ = ports.peers.Close()
@@ -306,20 +304,20 @@
 	return err
 }
 
-// backgroundTasks returns what runs beside the servers: until a planned stop begins,
-// or until the node has drained.
+// backgroundTasks returns the tasks that run beside the servers: until a planned stop begins, or until the node
+// has drained.
 func (r *Router) backgroundTasks(untilStop, untilDrained context.Context) []func() {
 	environment := r.options.Environment
 	tasks := []func(){
-		func() { r.follow(untilDrained, environment.ConfigurationKind, environment.BackendKind, kindNode) },
+		func() { r.watchStore(untilDrained, environment.ConfigurationKind, environment.BackendKind, kindNode) },
 		func() { r.runSyncer(untilDrained) },
 		func() { r.assigner.Run(untilDrained) },
 		func() { r.admissions.Run(untilDrained) },
 		func() { r.quotas.Run(untilDrained) },
 		func() { r.quarantines.Run(untilDrained) },
-		func() { r.onceNodesKnown(untilStop, r.keepArchive) },
-		func() { r.onceNodesKnown(untilStop, r.keepRetryShares) },
-		func() { r.followReports(untilDrained) },
+		func() { r.afterNodesKnown(untilStop, r.reconcileArchive) },
+		func() { r.afterNodesKnown(untilStop, r.maintainRetryShares) },
+		func() { r.pollReports(untilDrained) },
 		func() { r.logSummaries(untilDrained) },
 		func() { r.stayRegistered(untilStop) },
 		func() { r.removeLost(untilStop) },
@@ -333,13 +331,13 @@
 	return tasks
 }
 
-// stop drains: callers stay served until the balancer has turned away, then idle
-// connections are closed and the requests under way run to their end.
+// stop drains the node: callers are served until the load balancer sends no more, then idle connections are closed
+// and the requests in progress are completed.
 func (r *Router) stop(ctx context.Context, callerServer *http.Server) {
 	started := time.Now()
 	r.options.Logger.Info("stop", "grace_ms", r.options.Settings.Grace.Milliseconds())
 	r.gateway.Drain()
-	// The other nodes may get this one's share once it has withdrawn.
+	// Other nodes may receive this node's share as soon as it has withdrawn.
 	r.retryShares.holder.Close()
 	go r.withdraw(context.WithoutCancel(ctx))
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), started.Add(r.options.Settings.Grace-stopMargin))
@@ -348,7 +346,7 @@
 	defer timer.Stop()
 	<-timer.C
 	if err := callerServer.Shutdown(ctx); err != nil {
-		r.options.Logger.Warn("stop cut requests off", "error", err.Error())
+		r.options.Logger.Warn("grace period over, requests in progress cut off", "error", err.Error())
 		_ = callerServer.Close()
 	}
 }
@@ -367,7 +365,7 @@
 	return nil
 }
 
-// readiness answers the balancer.
+// readiness answers the load balancer's health checks.
 func (r *Router) readiness() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !r.gateway.Ready() {
--- a/router/staleness.go
+++ b/router/staleness.go
@@ -7,60 +7,60 @@
 )
 
 const (
-	// staleAfter is how old a node's configuration may become, by what other nodes tell, before the node follows the
-	// store itself. It compares with about four nodes in that time, and a configuration has 2 to 4 s to reach all.
+	// staleAfter is the age of a node's configuration, according to other nodes, from which the node watches the store
+	// itself. It exchanges with about four nodes in that time, and a configuration may take 2 to 4 s to reach all nodes.
 	staleAfter = 1500 * time.Millisecond
-	// staleSpread is by how much nodes differ in that, so that of many which are cut off together the first ones
-	// follow the store and the others hear from them.
-	staleSpread = 600 * time.Millisecond
-	// followStaleFor is how long such a node follows the store at least. What others tell it meanwhile may be its own
-	// word.
-	followStaleFor = 15 * time.Second
+	// staleJitter is the range by which the limits of nodes differ, so that of many nodes that are partitioned together
+	// the first watch the store and the others receive changes from them.
+	staleJitter = 600 * time.Millisecond
+	// staleWatchTime is the shortest time for which such a node watches the store. What it receives from others in that
+	// time may be its own changes.
+	staleWatchTime = 15 * time.Second
 )
 
-// staleness decides when a node that leaves the store to others follows it all the same: the nodes that follow it may
-// be out of reach while the store and callers are not. It is safe for concurrent use.
+// staleness decides whether a node that is not a watcher must watch the store nevertheless: the watchers may be
+// unreachable while the store and the callers are reachable. It is safe for concurrent use.
 type staleness struct {
-	// limit is how old the configuration may become.
+	// limit is the highest acceptable age of the configuration.
 	limit time.Duration
 
 	mu sync.Mutex
-	// until is when the node last found itself stale, and followStaleFor later.
+	// until is the time of the last stale observation plus staleWatchTime.
 	until time.Time
 }
 
-// newStaleness returns the decision of a node that is not stale, with its part of the spread.
+// newStaleness returns the staleness of a node that is not stale, with jitter.
 func newStaleness() *staleness {
-	return &staleness{limit: staleAfter + time.Duration((rand.Float64()-0.5)*float64(staleSpread))}
+	return &staleness{limit: staleAfter + time.Duration((rand.Float64()-0.5)*float64(staleJitter))}
 }
 
-// observe takes note of the age of the configuration. It reports whether the node is to follow the store, and whether
-// that has begun now.
-func (s *staleness) observe(now time.Time, age time.Duration) (follows, began bool) {
+// observe records the age of the configuration. It reports whether the node must watch the store, and whether that
+// has just begun.
+func (s *staleness) observe(now time.Time, age time.Duration) (watches, began bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	followed := now.Before(s.until)
+	watched := now.Before(s.until)
 	if age > s.limit {
-		s.until = now.Add(followStaleFor)
+		s.until = now.Add(staleWatchTime)
 	}
-	follows = now.Before(s.until)
-	return follows, follows && !followed
+	watches = now.Before(s.until)
+	return watches, watches && !watched
 }
 
-// isStale reports whether this node has to follow the store because no other node tells of a configuration that is
-// new enough.
+// isStale reports whether this node must watch the store because no other node confirms a recent enough
+// configuration.
 func (r *Router) isStale() bool {
 	age := r.syncer.SyncStatus().UrgentAge
-	follows, began := r.staleness.observe(time.Now(), age)
+	watches, began := r.staleness.observe(time.Now(), age)
 	if began {
 		r.metrics.Add("followed_store_as_stale", 1)
-		r.options.Logger.Warn("stale, follows the store", "age_ms", age.Milliseconds(),
+		r.options.Logger.Warn("configuration is stale, watching the store", "age_ms", age.Milliseconds(),
 			"nodes_known", r.nodeCount(), "nodes_responsive", r.responsiveCount())
 	}
-	return follows
+	return watches
 }
 
-// followsAllKinds reports whether this node, while it follows the store, follows all kinds. A stale node of a large
-// fleet follows the configuration alone: where hundreds are cut off together, their lists of all nodes and back ends
-// would hold the store up.
-func (r *Router) followsAllKinds() bool { return r.isChosenToFollow() || !r.inLargeFleet.Load() }
+// watchesAllKinds reports whether this node, while it watches the store, watches all kinds. A stale node of a large
+// fleet watches the configuration only: if hundreds of nodes are partitioned together, their lists of all nodes and
+// backends would overload the store.
+func (r *Router) watchesAllKinds() bool { return r.isSelectedToWatch() || !r.inLargeFleet.Load() }
--- a/router/storecalls.go
+++ b/router/storecalls.go
@@ -6,8 +6,8 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// callCounts are counts since the last summary, by a name: of calls to the store by operation and kind,
-// of answers by back end. It is safe for concurrent use.
+// callCounts counts events by name since the last summary: calls to the store by operation and kind, or
+// answers by backend. It is safe for concurrent use.
 type callCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -22,7 +22,7 @@
 	c.counts[name]++
 }
 
-// take returns the counts and begins anew.
+// take returns the counts and resets them.
 func (c *callCounts) take() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +37,7 @@
 	r.storeCalls.add(operation + " " + string(kind))
 }
 
-// logStoreCalls writes how often this node has called the store since the last summary, if at all.
+// logStoreCalls logs the calls of this node to the store since the last summary, if any.
 func (r *Router) logStoreCalls() {
 	if counts := r.storeCalls.take(); len(counts) > 0 {
 		r.options.Logger.Info("store calls", "calls", counts)
--- a/router/summary.go
+++ b/router/summary.go
@@ -7,12 +7,12 @@
 	"github.com/reelrun/reelrun/periodic"
 )
 
-// summaryInterval is how often a node writes how requests ended and how the engines of the
-// services that it coordinates stand. A few lines a second are far below the log's bound.
+// summaryInterval is the interval at which a node logs the outcomes of requests and the state of
+// the engines of services that it coordinates. A few lines a second are far below the log's limit.
 const summaryInterval = time.Second
 
-// longSummaries is how many summaries pass between two of the calls to other nodes and of tenants,
-// which are of interest as sums.
+// longSummaries is the number of summaries between two summaries of the calls to other nodes and
+// of tenants, which are only of interest as sums.
 const longSummaries = 5
 
 // logSummaries writes summaries until the context ends.
@@ -30,7 +30,7 @@
 		}
 		r.logLoads()
 		r.logStoreCalls()
-		r.logHeardAgain()
+		r.logRepeatedNotices()
 	})
 }
 
@@ -42,7 +42,7 @@
 		"prefill_demand", state.Demand.Prefill, "decode_demand", state.Demand.Decode)
 }
 
-// logLoads writes how the plain services stand that are under load.
+// logLoads logs the state of the plain services that are under load.
 func (r *Router) logLoads() {
 	for service, state := range r.controller.States(r.now()) {
 		r.options.Logger.Info("load", "service", service, "offered", int(state.Offered), "capacity", int(state.Capacity),
--- a/router/view.go
+++ b/router/view.go
@@ -7,8 +7,7 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// changed puts a newer version of an object into force. It is called by the copy,
-// one change at a time.
+// changed puts a newer version of an object into force. The replica calls it, one change at a time.
 func (r *Router) changed(change replica.Change) {
 	switch change.Record.Object.Kind {
 	case r.options.Environment.ConfigurationKind:
@@ -19,25 +18,25 @@
 		if change.Record.Deleted && change.Record.Object.Name == r.options.Settings.Name {
 			r.ownObjectRemoved()
 		}
-		if err := r.nodes.take(change.Record); err != nil {
+		if err := r.nodes.apply(change.Record); err != nil {
 			r.metrics.Add("nodes_refused", 1)
-			r.options.Logger.Error("node refused", "name", change.Record.Object.Name, "error", err.Error())
+			r.options.Logger.Error("node object rejected", "name", change.Record.Object.Name, "error", err.Error())
 		}
 		r.logOtherBuild(change.Record.Object.Name)
 	case quarantine.Kind:
-		r.quarantineAnnounced(change)
+		r.handleQuarantine(change)
 	case kindRoleChange:
-		r.roleAnnounced(change)
+		r.handleRoleChange(change)
 	}
-	if r.isNews(change.Record.Key()) {
+	if r.mustPush(change.Record.Key()) {
 		r.syncer.Changed(change)
 	}
 }
 
-// isNews reports whether a change is to be brought to other nodes. What a node takes over while it starts they
-// have, or get at the same time: where all start together, each would bring each object to others. The
-// configuration is brought all the same, and the node's own object.
-func (r *Router) isNews(changed replica.Key) bool {
+// mustPush reports whether a change must be pushed to other nodes. They already have what a node applies while
+// it starts, or receive it at the same time: if all nodes start together, each would push each object to others.
+// The configuration and the node's own object are pushed in any case.
+func (r *Router) mustPush(changed replica.Key) bool {
 	switch {
 	case r.syncer == nil:
 		return false
@@ -69,8 +68,8 @@
 	}
 }
 
-// isNotable reports whether a change of a back end is worth a line. A node that starts takes over thousands, and
-// writes how many once it has all; of a new one those write that hear of it from the store.
+// isNotable reports whether a change of a backend is logged. A starting node applies thousands, and logs their
+// number once it has all; a new backend is logged by the nodes that receive it from the store.
 func (r *Router) isNotable(isNew bool, source replica.Source) bool {
 	return r.backends.Synced() && (!isNew || source == replica.SourceStore)
 }
@@ -86,7 +85,7 @@
 	}
 	decoded, err := r.options.Environment.DecodeBackend(object)
 	if err != nil {
-		// It may have been one that is known: no new work goes to what the entry does not describe.
+		// The entry may describe a known backend, which must receive no new work while its entry is invalid.
 		r.backends.RemoveRegistered(object.Name)
 		r.metrics.Add("backends_refused", 1)
 		if r.refused.first(object.Name) {
--- a/router/watchers.go
+++ b/router/watchers.go
@@ -10,98 +10,97 @@
 )
 
 const (
-	// watchInterval is how often, over the whole fleet, a watch of a kind begins
-	// anew. A watch that the store has silently forgotten is noticed then, and the
-	// other nodes are told.
+	// watchInterval is the interval, over the whole fleet, at which a watch of a kind is restarted. A watch that
+	// the store has silently dropped is then detected, and the changes that it missed are pushed to the other
+	// nodes.
 	watchInterval = 800 * time.Millisecond
-	// shortestWatch bounds the wait of one watch from below: a node whose turn comes
-	// sooner than that takes its next one.
-	shortestWatch = watchInterval / 2
-	// longestWatch bounds it from above.
-	longestWatch = 20 * time.Second
+	// minWatch is the shortest wait of one watch: a node whose turn comes sooner takes its next turn.
+	minWatch = watchInterval / 2
+	// maxWatch is the longest wait of one watch.
+	maxWatch = 20 * time.Second
 )
 
-// maxWatchers is how many nodes follow the store. The others hear from them: the
-// calls of the fleet do not grow with it. It is above what an outage for a part of
+// maxWatchers is the number of nodes that watch the store. The others receive changes from them, so that the
+// number of calls does not grow with the fleet. It exceeds the number of watchers that an outage of a part of
 // the nodes, or the loss of a zone, takes away.
 const maxWatchers = 12
 
 const (
-	// nodePause is how long the watch of the nodes rests after a change. A node that starts
-	// tells the others itself, so that the store's word is only for those that hear nobody.
+	// nodePause is how long the watch of the nodes rests after a change. A starting node announces itself to the
+	// others, so that the store is only needed by nodes that receive nothing from others.
 	nodePause = 2 * time.Second
-	// backendPause is the same for the back ends: a rack that is lost, or a release, changes
-	// many entries within milliseconds.
+	// backendPause is the same for backends: the loss of a rack, or a release, changes many entries within
+	// milliseconds.
 	backendPause = 60 * time.Millisecond
-	// backendPauseSpread is how much longer, for each other watcher, it may last by chance. Of
-	// twelve the first is back after 85 ms on average and all of them after 225 ms, which takes a
-	// quarter of the calls of twelve that are all back after 60 ms while back ends keep changing.
-	backendPauseSpread = 30 * time.Millisecond
+	// backendPauseJitter is the greatest random extension of backendPause for each other watcher. Of twelve
+	// watchers the first resumes after 85 ms on average and all after 225 ms, which takes a quarter of the calls
+	// that twelve make that all resume after 60 ms while backends keep changing.
+	backendPauseJitter = 30 * time.Millisecond
 )
 
-// WatchTiming returns how long the next watch of a kind waits, and how long it rests after a
-// change. Watchers begin their watches anew one after the other.
+// WatchTiming returns how long the next watch of a kind waits, and how long it rests after a change. Watchers
+// restart their watches in turn.
 func (r *Router) WatchTiming(kind objectapi.Kind) (wait, pause time.Duration) {
 	if kind == kindNode {
-		return longestWatch, nodePause
+		return maxWatch, nodePause
 	}
-	count, position := r.place()
+	count, position := r.rank()
 	watchers := min(count, maxWatchers)
 	if kind == r.options.Environment.BackendKind {
-		pause = backendPause + time.Duration(rand.Float64()*float64(watchers-1)*float64(backendPauseSpread))
+		pause = backendPause + time.Duration(rand.Float64()*float64(watchers-1)*float64(backendPauseJitter))
 	}
 	return untilTurn(time.Now(), position%maxWatchers, watchers), pause
 }
 
-// untilTurn returns how long it is until the next turn of a watcher. Turns go by the time of
-// day, which is about the same on all nodes, and not by when a watch began: nodes that start,
-// leave or are cut off at any moment would otherwise leave gaps between the turns. A node
-// whose clock is wrong has its turn at another moment, and costs the others nothing.
+// untilTurn returns the time until the next turn of a watcher. Turns are derived from the time of day, which
+// is about the same on all nodes, and not from the start of a watch: otherwise nodes that start, leave or are
+// partitioned would leave gaps between the turns. A node whose clock is wrong merely has its turn at another
+// moment.
 func untilTurn(now time.Time, position, watchers int) time.Duration {
 	cycle := watchInterval * time.Duration(watchers)
 	turn := watchInterval * time.Duration(position)
 	wait := (turn - time.Duration(now.UnixNano())%cycle + cycle) % cycle
-	if wait < shortestWatch {
+	if wait < minWatch {
 		wait += cycle
 	}
 	return wait
 }
 
-// nextWatchers is how many nodes look at all that follow the store, in the order in which they would do
-// so themselves: as many as a loss of machines may take away before these do. All others look at a few,
-// because each node that is looked at by the whole fleet has a connection to each node.
-const nextWatchers = 4 * maxWatchers
+// standbyWatchers is the number of nodes that monitor all watchers, in the order in which they would become
+// watchers themselves: as many as a loss of machines may take away before they are needed. All other nodes
+// monitor a few watchers, because a node that is monitored by the whole fleet has a connection to each node.
+const standbyWatchers = 4 * maxWatchers
 
-// watchersOfOthers is how many of those that follow the store any other node looks at.
-const watchersOfOthers = 2
+// watchersPerNode is the number of watchers that any other node monitors.
+const watchersPerNode = 2
 
-// sources returns the other nodes that follow the store and are looked at, as far as this one knows.
-// The first of all nodes looks at all others, because it removes the lost ones.
-func (r *Router) sources() []string {
+// monitored returns the other nodes that this one monitors: nodes that watch the store. The first of all
+// nodes monitors all others, because it removes the lost ones.
+func (r *Router) monitored() []string {
 	view := r.fleet()
 	switch {
 	case view.position == 0:
 		return view.addresses
-	case view.position < nextWatchers:
+	case view.position < standbyWatchers:
 		return addressesOf(view.watchers)
 	}
-	near := slices.DeleteFunc(slices.Clone(view.watchers), func(node knownNode) bool { return node.zone != r.options.Settings.Zone })
-	if len(near) == 0 {
-		near = view.watchers
+	sameZone := slices.DeleteFunc(slices.Clone(view.watchers), func(node knownNode) bool { return node.zone != r.options.Settings.Zone })
+	if len(sameZone) == 0 {
+		sameZone = view.watchers
 	}
-	return placement.Top(r.Own(), addressesOf(near), watchersOfOthers)
+	return placement.Top(r.Own(), addressesOf(sameZone), watchersPerNode)
 }
 
-// relays returns a bridge of each other zone. What this node hears from the store, or makes known itself,
-// reaches the other zones by these.
-func (r *Router) relays() []string {
-	var relays []string
-	for zone, bridges := range r.fleet().bridges {
+// remoteRelays returns a zone relay of each other zone. What this node receives from the store, or announces
+// itself, reaches the other zones through them.
+func (r *Router) remoteRelays() []string {
+	var remoteRelays []string
+	for zone, zoneRelays := range r.fleet().zoneRelays {
 		if zone != r.options.Settings.Zone {
-			relays = append(relays, bridges[rand.IntN(len(bridges))].Address)
+			remoteRelays = append(remoteRelays, zoneRelays[rand.IntN(len(zoneRelays))].Address)
 		}
 	}
-	return relays
+	return remoteRelays
 }
 
 func addressesOf(nodes []knownNode) []string {
@@ -112,25 +111,24 @@
 	return addresses
 }
 
-// isWatcher reports whether this node follows the store: it is among the first of
-// those that answer.
+// isWatcher reports whether this node is a watcher: it is among the first responsive nodes.
 func (r *Router) isWatcher() bool { return r.fleet().position < maxWatchers }
 
-// isFirst reports whether this node does what one does for all: it is the first of those that answer, and not
-// itself cut off from most.
+// isFirst reports whether this node performs the tasks that one node does for the fleet: it is the first
+// responsive node, and has contact with most of the fleet.
 func (r *Router) isFirst() bool { return r.fleet().position == 0 && r.hasMajority() }
 
-// isBridge reports whether this node exchanges objects with nodes of other zones.
-func (r *Router) isBridge() bool {
-	return r.isWatcher() || r.fleet().isBridge(r.options.Settings.Zone, r.Own())
+// isZoneRelay reports whether this node exchanges objects with nodes of other zones.
+func (r *Router) isZoneRelay() bool {
+	return r.isWatcher() || r.fleet().isZoneRelay(r.options.Settings.Zone, r.Own())
 }
 
-// responsiveCount returns how many nodes answer, this one included.
+// responsiveCount returns the number of responsive nodes, including this one.
 func (r *Router) responsiveCount() int { return r.fleet().responsiveCount }
 
-// place returns the number of nodes that answer and the position of this one among them, in the
-// order in which they follow the store.
-func (r *Router) place() (count, position int) {
+// rank returns the number of responsive nodes and the position of this one among them, in the order in which
+// they watch the store.
+func (r *Router) rank() (count, position int) {
 	view := r.fleet()
 	return view.responsiveCount, view.position
 }
