--- a/router/fleet.go
+++ b/router/fleet.go
@@ -85,7 +85,7 @@
 
 // awaitNodes waits until this node knows some others, for a bounded time.
 func (r *Router) awaitNodes(ctx context.Context) {
-	r.nodesMet.await(ctx, r.started.Add(r.joinTime()+nodeListTimeout))
+	r.someNodesKnown.await(ctx, r.started.Add(r.joinTime()+nodeListTimeout))
 }
 
 // afterNodesKnown starts a task that one node performs for the fleet, after this node has had time to
--- a/router/follow.go
+++ b/router/follow.go
@@ -174,7 +174,7 @@
 		_ = periodic.Pause(ctx, time.Until(r.started.Add(r.joinTime()))) // Follow checks the context.
 		feed.onLongList, feed.longListSize = r.listNeighbours, longNodeList
 		feed.onListed = func() {
-			r.nodesMet.set()
+			r.someNodesKnown.set()
 			r.nodesKnown.set()
 		}
 	}
@@ -194,7 +194,7 @@
 // listNeighbours continues a long list of nodes with those whose names follow the node's own, and leaves the rest to
 // those nodes.
 func (r *Router) listNeighbours(ctx context.Context) {
-	if r.nodesMet.isSet() {
+	if r.someNodesKnown.isSet() {
 		return
 	}
 	r.inLargeFleet.Store(true)
@@ -208,7 +208,7 @@
 			r.replica.Apply(replica.SourceStore, replica.Record{Object: object})
 		}
 	}
-	r.nodesMet.set()
+	r.someNodesKnown.set()
 	if r.options.Settings.FirstStart && periodic.Pause(ctx, discoveryTime) != nil {
 		return
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -138,9 +138,9 @@
 	withdrawn atomic.Bool
 	// removed signals that another node has removed it.
 	removed chan struct{}
-	// nodesMet is set once this node knows some others: all nodes of a small fleet, or its neighbours by name in a
+	// someNodesKnown is set once this node knows some others: all nodes of a small fleet, or its neighbours by name in a
 	// large one. nodesKnown is set once it has had the time to learn of all.
-	nodesMet, nodesKnown *latch
+	someNodesKnown, nodesKnown *latch
 	// inLargeFleet is set if a list of nodes was long.
 	inLargeFleet atomic.Bool
 	// settings may be replaced while the node runs; the addresses of listeners are only read at the start.
@@ -181,7 +181,7 @@
 		backends: backend.NewRegistry(options.Clock.Now), storeHealth: newStoreHealth(options.Logger, options.Clock),
 	}
 	r.staleness = newStaleness()
-	r.nodesMet, r.nodesKnown = newLatch(), newLatch()
+	r.someNodesKnown, r.nodesKnown = newLatch(), newLatch()
 	r.settings.Store(options.Settings)
 	options.Environment.Dialect.Observe(r.handleNotice)
 	r.replica = replica.New(options.Environment.ConfigurationKind, r.changed)
