--- a/gateway/repeats_test.go
+++ b/gateway/repeats_test.go
@@ -118,10 +118,10 @@
 func expectRetriesWithin(g *WithT, retried []time.Time, burst int, window time.Duration) {
 	g.Expect(retried).NotTo(BeEmpty())
 	for _, last := range retried {
-		firstTokenBudget := slices.DeleteFunc(slices.Clone(retried), func(at time.Time) bool {
+		inWindow := slices.DeleteFunc(slices.Clone(retried), func(at time.Time) bool {
 			return at.After(last) || last.Sub(at) >= window
 		})
-		g.Expect(len(firstTokenBudget)).To(BeNumerically("<=", burst))
+		g.Expect(len(inWindow)).To(BeNumerically("<=", burst))
 	}
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -15,7 +15,7 @@
 var ErrHeld = errors.New("lease: held by another node")
 
 // ErrExpiring is returned if too little of the lease remains to act.
-var ErrExpiring = errors.New("lease: too little time left to act")
+var ErrExpiring = errors.New("lease: lapsed")
 
 // Record is the stored form of a lease.
 type Record struct {
