--- a/node/core.go
+++ b/node/core.go
@@ -172,7 +172,7 @@
 	})
 	c.roleChanges = rolechange.New(rolechange.Options{
 		Configuration: c.Configuration, Pools: c.Owner, Metrics: c.Metrics, Events: c.Events, Now: c.options.Now,
-		Acceptor: operator.Acceptor{Configuration: c.Configuration, Store: c.options.Store, HearsHalf: c.HearsHalf},
+		Acceptor: operator.Acceptor{Configuration: c.Configuration, Store: c.options.Store, SeesHalf: c.SeesHalf},
 	})
 	const roleInterval = 5 * time.Second
 	c.manager.Add(controller.Controller{Name: "role_changes", Reconciler: c.roleChanges, Requests: c.roleChanges.Requests, Interval: roleInterval})
--- a/node/node.go
+++ b/node/node.go
@@ -160,7 +160,7 @@
 // operatorHandler serves the operators' API, the counters and the profiles.
 func (n *Node) operatorHandler(store objectapi.Store) (http.Handler, error) {
 	handler, err := operator.NewHandler(operator.Options{
-		Configuration: n.core.Configuration, Store: store, Fleet: fleet{n.core}, HearsHalf: n.core.HearsHalf,
+		Configuration: n.core.Configuration, Store: store, Fleet: fleet{n.core}, SeesHalf: n.core.SeesHalf,
 		TokenHash: n.settings.OperatorTokenHash, Events: n.core.Events,
 	})
 	if err != nil {
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -42,9 +42,9 @@
 	return hears && c.Table.SeesRecentMajority(now)
 }
 
-// HearsHalf reports whether the node hears at least half of the fleet. Then no node
+// SeesHalf reports whether the node hears at least half of the fleet. Then no node
 // that it does not hear can hear most of the fleet.
-func (c *Core) HearsHalf() bool { return c.Table.SeesHalf(c.options.Now()) }
+func (c *Core) SeesHalf() bool { return c.Table.SeesHalf(c.options.Now()) }
 
 // reconcileIsolation stops new work at a node that neither hears most of the
 // fleet nor reaches the platform: a newer configuration may be in force
--- a/operator/accept.go
+++ b/operator/accept.go
@@ -16,9 +16,9 @@
 	// Configuration is the node's configuration, which an accepted plan advances.
 	Configuration *configuration.Holder
 	Store         objectapi.Store
-	// HearsHalf reports whether the node hears at least half of the fleet; nil
+	// SeesHalf reports whether the node hears at least half of the fleet; nil
 	// means that it does. The others could not be told of a change.
-	HearsHalf func() bool
+	SeesHalf func() bool
 }
 
 // errParted refuses a change that most of the fleet would not learn of. Nodes that
@@ -60,7 +60,7 @@
 	if head.Version != plan.BaseVersion {
 		return configuration.Head{}, &configuration.ErrConflict{Planned: plan.BaseVersion, Current: head.Version, Moved: head.Moved}
 	}
-	if a.HearsHalf != nil && !a.HearsHalf() {
+	if a.SeesHalf != nil && !a.SeesHalf() {
 		return configuration.Head{}, errParted
 	}
 	current := a.Configuration.Current()
--- a/operator/server.go
+++ b/operator/server.go
@@ -49,8 +49,8 @@
 	Configuration *configuration.Holder
 	Store         objectapi.Store
 	Fleet         Fleet
-	// HearsHalf is that of an Acceptor.
-	HearsHalf func() bool
+	// SeesHalf is that of an Acceptor.
+	SeesHalf func() bool
 	// TokenHash is the hex SHA-256 digest of the operators' token.
 	TokenHash string
 	// Events receives an event for each accepted change.
@@ -66,7 +66,7 @@
 // NewHandler returns the API as an http.Handler.
 func NewHandler(options Options) (http.Handler, error) {
 	server := &Server{options: options, acceptor: Acceptor{
-		Configuration: options.Configuration, Store: options.Store, HearsHalf: options.HearsHalf,
+		Configuration: options.Configuration, Store: options.Store, SeesHalf: options.SeesHalf,
 	}}
 	app := iris.New()
 	app.Logger().SetLevel("disable")
--- a/sim/rehearsal/roles_test.go
+++ b/sim/rehearsal/roles_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	acceptor := operator.Acceptor{Configuration: through.Core.Configuration, Store: fleet.StoreOf(through.Name), HearsHalf: through.Core.HearsHalf}
+	acceptor := operator.Acceptor{Configuration: through.Core.Configuration, Store: fleet.StoreOf(through.Name), SeesHalf: through.Core.SeesHalf}
 	if _, err := acceptor.Accept(context.Background(), plan); err != nil {
 		t.Fatal(err)
 	}
