--- a/operator/accept.go
+++ b/operator/accept.go
@@ -71,7 +71,7 @@
 	if computed.Digest != plan.Digest {
 		return configuration.Head{}, api.NewError(http.StatusConflict, api.CodeConflict, api.OutcomeNotRun, "the digest does not fit the plan")
 	}
-	published, err := configuration.Publish(ctx, a.Store, plan.BaseVersion, plan.Digest, computed.Moved(), *next)
+	published, err := configuration.Publish(ctx, a.Store, plan.BaseVersion, plan.Digest, computed.ChangedReferences(), *next)
 	if err != nil {
 		return configuration.Head{}, err
 	}
--- a/operator/plan.go
+++ b/operator/plan.go
@@ -255,8 +255,8 @@
 	return nil
 }
 
-// Moved names the objects that the plan touches.
-func (p *Plan) Moved() []string {
+// ChangedReferences names the objects that the plan touches.
+func (p *Plan) ChangedReferences() []string {
 	references := make([]string, len(p.Changes))
 	for i, change := range p.Changes {
 		references[i] = change.Reference
--- a/sim/hollow/react.go
+++ b/sim/hollow/react.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return 0, err
 	}
-	published, err := configuration.Publish(ctx, store, head.Version, plan.Digest, plan.Moved(), *next)
+	published, err := configuration.Publish(ctx, store, head.Version, plan.Digest, plan.ChangedReferences(), *next)
 	return published.Version, err
 }
 
--- a/sim/rehearsal/defects_test.go
+++ b/sim/rehearsal/defects_test.go
@@ -306,7 +306,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := configuration.Publish(context.Background(), fleet.Platform.Store, current.Version(), plan.Digest, plan.Moved(), *next); err != nil {
+	if _, err := configuration.Publish(context.Background(), fleet.Platform.Store, current.Version(), plan.Digest, plan.ChangedReferences(), *next); err != nil {
 		t.Fatal(err)
 	}
 }
