--- a/api/defaults.go
+++ b/api/defaults.go
@@ -36,8 +36,8 @@
 	for i := range c.Services {
 		service := &c.Services[i]
 		setDefault(&service.Timeout, Duration(DefaultServiceTimeout))
-		if len(service.OnceMethods) == 0 {
-			service.OnceMethods = []string{http.MethodPost, http.MethodPatch}
+		if len(service.NonIdempotentMethods) == 0 {
+			service.NonIdempotentMethods = []string{http.MethodPost, http.MethodPatch}
 		}
 	}
 }
--- a/api/objects.go
+++ b/api/objects.go
@@ -105,8 +105,8 @@
 	Name string `json:"name"`
 	// Backends are its replicas.
 	Backends []Backend `json:"backends"`
-	// OnceMethods are the HTTP methods whose calls may not be repeated. Default POST and PATCH.
-	OnceMethods []string `json:"once_methods,omitempty"`
+	// NonIdempotentMethods are the HTTP methods whose calls may not be repeated. Default POST and PATCH.
+	NonIdempotentMethods []string `json:"once_methods,omitempty"`
 	// Timeout bounds one call. Default 10s.
 	Timeout Duration `json:"timeout,omitempty"`
 }
--- a/service/handler.go
+++ b/service/handler.go
@@ -96,7 +96,7 @@
 		return api.NewError(http.StatusNotFound, api.CodeNotFound, api.OutcomeNotRun, "no such service")
 	}
 	started := &call{exchange: exchange, service: service, path: "/" + r.PathValue("path"), request: r}
-	started.nonIdempotent = slices.Contains(service.OnceMethods, r.Method)
+	started.nonIdempotent = slices.Contains(service.NonIdempotentMethods, r.Method)
 	ctx, cancel := context.WithTimeout(r.Context(), service.Timeout.Std())
 	defer cancel()
 	if started.nonIdempotent {
