--- a/objectapi/follow.go
+++ b/objectapi/follow.go
@@ -8,17 +8,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Follower receives the objects of one kind.
-type Follower interface {
+// Handler receives the objects of one kind.
+type Handler interface {
 	// Replace takes over a whole list as of a revision.
 	Replace(objects []Object, revision int64)
 	// Apply takes over one change.
 	Apply(event Event)
-	// Contact is told of each answer of the store, with its error if it failed.
-	Contact(err error)
-	// MorePages is called after each page of a list but the last. It may block until the context ends: what
+	// StoreAnswered is told of each answer of the store, with its error if it failed.
+	StoreAnswered(err error)
+	// PageListed is called after each page of a list but the last. It may block until the context ends: what
 	// the rest holds may become known otherwise.
-	MorePages(ctx context.Context, page []Object)
+	PageListed(ctx context.Context, page []Object)
 	// BeforeWatch is called once a list has been taken over, before the first watch since. It may
 	// block until the context ends: the list is enough for the time being.
 	BeforeWatch(ctx context.Context)
@@ -30,10 +30,10 @@
 	followMaxInterval   = time.Second
 )
 
-// Follow keeps a follower up to date with all objects of a kind until the
+// ListAndWatch keeps a follower up to date with all objects of a kind until the
 // context ends. It lists once, then watches; it lists again only where the store
 // no longer has the changes since.
-func Follow(ctx context.Context, store Store, kind Kind, follower Follower) {
+func ListAndWatch(ctx context.Context, store Store, kind Kind, follower Handler) {
 	retry := backoff.NewExponentialBackOff(
 		backoff.WithInitialInterval(followFirstInterval),
 		backoff.WithMaxInterval(followMaxInterval),
@@ -45,7 +45,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		follower.Contact(err)
+		follower.StoreAnswered(err)
 		if errors.Is(err, ErrTooOld) {
 			current.listed = false
 		}
@@ -66,14 +66,14 @@
 }
 
 // advance lists, if it must, and watches until the store fails.
-func (p *position) advance(ctx context.Context, store Store, kind Kind, follower Follower, succeeded func()) error {
+func (p *position) advance(ctx context.Context, store Store, kind Kind, follower Handler, succeeded func()) error {
 	if !p.listed {
 		objects, revision, err := list(ctx, store, kind, follower)
 		if err != nil {
 			return err
 		}
 		follower.Replace(objects, revision)
-		follower.Contact(nil)
+		follower.StoreAnswered(nil)
 		p.listed, p.revision = true, revision
 		succeeded()
 		follower.BeforeWatch(ctx)
@@ -83,20 +83,20 @@
 	}
 	return store.Watch(ctx, kind, p.revision, func(event Event) {
 		follower.Apply(event)
-		follower.Contact(nil)
+		follower.StoreAnswered(nil)
 		p.revision = max(p.revision, event.Object.Version)
 		succeeded()
 	})
 }
 
 // list lists a kind, page by page where the store has pages.
-func list(ctx context.Context, store Store, kind Kind, follower Follower) (objects []Object, revision int64, err error) {
+func list(ctx context.Context, store Store, kind Kind, follower Handler) (objects []Object, revision int64, err error) {
 	pager, hasPages := store.(Pager)
 	if !hasPages {
 		return store.List(ctx, kind)
 	}
 	return ListPages(ctx, pager, kind, func(page []Object) error {
-		follower.MorePages(ctx, page)
+		follower.PageListed(ctx, page)
 		return ctx.Err()
 	})
 }
--- a/objectapi/pages_test.go
+++ b/objectapi/pages_test.go
@@ -25,11 +25,11 @@
 // noFollower takes what comes.
 type noFollower struct{ failed error }
 
-func (f *noFollower) Replace([]Object, int64)             {}
-func (f *noFollower) Apply(Event)                         {}
-func (f *noFollower) Contact(err error)                   { f.failed = err }
-func (f *noFollower) MorePages(context.Context, []Object) {}
-func (f *noFollower) BeforeWatch(context.Context)         {}
+func (f *noFollower) Replace([]Object, int64)              {}
+func (f *noFollower) Apply(Event)                          {}
+func (f *noFollower) StoreAnswered(err error)              { f.failed = err }
+func (f *noFollower) PageListed(context.Context, []Object) {}
+func (f *noFollower) BeforeWatch(context.Context)          {}
 
 // TestAListThatNeverEndsIsGivenUp follows a store that says forever that there is more.
 func TestAListThatNeverEndsIsGivenUp(t *testing.T) {
@@ -38,7 +38,7 @@
 		ctx, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer stop()
 		store, follower := &endless{}, &noFollower{}
-		Follow(ctx, store, "things", follower)
+		ListAndWatch(ctx, store, "things", follower)
 		g.Expect(store.pages).To(Equal(maxPages))
 		g.Expect(follower.failed).To(MatchError(ErrUnavailable))
 	})
--- a/router/follow.go
+++ b/router/follow.go
@@ -30,7 +30,7 @@
 	beforeWatch func(ctx context.Context)
 }
 
-// Replace implements objectapi.Follower.
+// Replace implements objectapi.Handler.
 func (f *storeFeed) Replace(objects []objectapi.Object, revision int64) {
 	f.pagedCount = 0
 	for _, object := range objects {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Apply implements objectapi.Follower.
+// Apply implements objectapi.Handler.
 func (f *storeFeed) Apply(event objectapi.Event) {
 	record := replica.Record{Object: event.Object, Deleted: event.Deleted}
 	if !event.Deleted {
@@ -71,8 +71,8 @@
 	apply()
 }
 
-// MorePages implements objectapi.Follower. The objects of a page are applied before the list is complete.
-func (f *storeFeed) MorePages(ctx context.Context, page []objectapi.Object) {
+// PageListed implements objectapi.Handler. The objects of a page are applied before the list is complete.
+func (f *storeFeed) PageListed(ctx context.Context, page []objectapi.Object) {
 	for _, object := range page {
 		f.replica.Apply(replica.SourceStore, replica.Record{Object: object})
 	}
@@ -87,8 +87,8 @@
 // others after the first page.
 const longNodeList = 150
 
-// Contact implements objectapi.Follower.
-func (f *storeFeed) Contact(err error) { f.storeHealth.observe(f.kind, err) }
+// StoreAnswered implements objectapi.Handler.
+func (f *storeFeed) StoreAnswered(err error) { f.storeHealth.observe(f.kind, err) }
 
 // firstWatchDelay is the time from listing the other nodes to a node's first watch of the store. By then it knows
 // them, and most nodes leave the watches to a few: after a power failure of the whole fleet, each node that starts
@@ -96,13 +96,13 @@
 // well within the time that a configuration may take.
 const firstWatchDelay = 1200 * time.Millisecond
 
-// BeforeWatch implements objectapi.Follower.
+// BeforeWatch implements objectapi.Handler.
 func (f *storeFeed) BeforeWatch(ctx context.Context) { f.beforeWatch(ctx) }
 
 // awaitFirstWatch waits until this node can determine whether it must watch the store.
 func (r *Router) awaitFirstWatch(ctx context.Context) {
 	r.nodesKnown.await(ctx, r.nodesKnownBy())
-	_ = periodic.Pause(ctx, time.Until(r.started.Add(r.joinTime()+firstWatchDelay))) // Follow checks the context.
+	_ = periodic.Pause(ctx, time.Until(r.started.Add(r.joinTime()+firstWatchDelay))) // ListAndWatch checks the context.
 }
 
 // watcherInterval is the interval between checks whether a node must watch the store.
@@ -171,14 +171,14 @@
 		}
 		feed.onListed, feed.onLongList = r.backendsComplete, r.awaitWatching
 	case kindNode:
-		_ = periodic.Pause(ctx, time.Until(r.started.Add(r.joinTime()))) // Follow checks the context.
+		_ = periodic.Pause(ctx, time.Until(r.started.Add(r.joinTime()))) // ListAndWatch checks the context.
 		feed.onLongList, feed.longListSize = r.listNeighbours, longNodeList
 		feed.onListed = func() {
 			r.nodesMet.set()
 			r.nodesKnown.set()
 		}
 	}
-	objectapi.Follow(ctx, r.options.Environment.Store, kind, feed)
+	objectapi.ListAndWatch(ctx, r.options.Environment.Store, kind, feed)
 }
 
 // discoveryTime is how long, at the first start of a large fleet, a node waits to learn of the others by anti-entropy
