--- a/api/api_test.go
+++ b/api/api_test.go
@@ -67,8 +67,8 @@
 	} {
 		g.Expect(text).To(ContainSubstring(part))
 	}
-	sound := Configuration{}
-	g.Expect(sound.Validate()).To(BeEmpty())
+	valid := Configuration{}
+	g.Expect(valid.Validate()).To(BeEmpty())
 }
 
 func FuzzValidate(f *testing.F) {
@@ -81,7 +81,7 @@
 		first := configuration.Validate().String()
 		configuration.SetDefaults()
 		if second := configuration.Validate().String(); len(second) > len(first) {
-			t.Fatalf("defaults made faults: %s", second)
+			t.Fatalf("defaults added findings: %s", second)
 		}
 	})
 }
--- a/api/defaults.go
+++ b/api/defaults.go
@@ -20,7 +20,7 @@
 	DefaultServiceTimeout         = 10 * time.Second
 )
 
-// SetDefaults fills every optional field that is zero.
+// SetDefaults sets every optional field that is zero to its default.
 func (c *Configuration) SetDefaults() {
 	for i := range c.Tenants {
 		setDefault(&c.Tenants[i].Weight, DefaultWeight)
--- a/api/errors.go
+++ b/api/errors.go
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Outcome states what is known about the execution of a refused request.
+// Outcome states what is known about the execution of a rejected request.
 type Outcome string
 
-// The three outcomes. OutcomeNotRun is a promise: no back end ran the request.
+// The three outcomes. OutcomeNotRun is a guarantee that no backend ran the request.
 const (
 	OutcomeNotRun  Outcome = "not-run"
 	OutcomeUnknown Outcome = "unknown"
@@ -49,10 +49,9 @@
 	CodeInternal         Code = "internal"
 )
 
-// Error is the one error type that crosses an interface of the system. It is
-// written to callers as JSON.
+// Error is the only error type that crosses an interface of the system. It is
+// sent to callers as JSON.
 type Error struct {
-	// Code names the error.
 	Code Code
 	// Outcome states whether the request ran.
 	Outcome Outcome
@@ -60,11 +59,11 @@
 	Message string
 	// Status is the HTTP status.
 	Status int
-	// RetryAfter is when to try again; zero means that trying again does not help.
+	// RetryAfter is the delay before a retry; zero means that a retry does not help.
 	RetryAfter time.Duration
 }
 
-// NewError returns an Error with the given parts.
+// NewError returns an Error whose message is formatted as by fmt.Sprintf.
 func NewError(status int, code Code, outcome Outcome, format string, args ...any) *Error {
 	return &Error{Status: status, Code: code, Outcome: outcome, Message: fmt.Sprintf(format, args...)}
 }
@@ -74,7 +73,8 @@
 	return fmt.Sprintf("%s (%s): %s", e.Code, e.Outcome, e.Message)
 }
 
-// WithRetryAfter returns a copy of e that tells the caller when to come back.
+// WithRetryAfter returns a copy of e that advises the caller to retry after the
+// given time.
 func (e *Error) WithRetryAfter(after time.Duration) *Error {
 	changed := *e
 	changed.RetryAfter = after
@@ -133,12 +133,12 @@
 	if err != nil {
 		return
 	}
-	_, _ = w.Write(body) // The caller may be gone; nothing is left to do then.
+	_, _ = w.Write(body) // If the caller has disconnected, nothing is left to do.
 }
 
 // AsError returns err as an *Error. An error of another type becomes an
-// internal error with the given outcome, and its text stays out of the message,
-// because it may name addresses or other tenants.
+// internal error with the given outcome; its text is left out of the message
+// because it may contain addresses or names of other tenants.
 func AsError(err error, outcome Outcome) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
--- a/api/objects.go
+++ b/api/objects.go
@@ -1,6 +1,6 @@
 package api
 
-// Role is what an engine does at present.
+// Role is the current role of an engine.
 type Role string
 
 // The roles of an engine.
@@ -9,12 +9,12 @@
 	RoleDecode  Role = "decode"
 )
 
-// RoleChanges is who carries out the changes of role that the load of a pool calls for.
+// RoleChanges is the policy for applying the role changes that the load of a pool calls for.
 type RoleChanges string
 
-// The policies for changes of role.
+// The policies for role changes.
 const (
-	// RoleChangesAdvise shows them to the operators. It is the default.
+	// RoleChangesAdvise only reports them to the operators. It is the default.
 	RoleChangesAdvise RoleChanges = "advise"
 	// RoleChangesApply lets the pool's owner plan and confirm them.
 	RoleChangesApply RoleChanges = "apply"
@@ -30,9 +30,9 @@
 	Classes []string `json:"classes,omitempty"`
 	// Services are the plain services it may call.
 	Services []string `json:"services,omitempty"`
-	// Weight is its share under contention. Default 1.
+	// Weight is its relative share under contention. Default 1.
 	Weight float64 `json:"weight,omitempty"`
-	// MaxConcurrent bounds its requests in flight on one entry node. Default 256.
+	// MaxConcurrent bounds its requests in flight at one entry node. Default 256.
 	MaxConcurrent int `json:"max_concurrent,omitempty"`
 }
 
@@ -48,34 +48,34 @@
 	TokenInterval Duration `json:"token_interval"`
 	// MaxPromptTokens bounds the prompt. Default 65536.
 	MaxPromptTokens int `json:"max_prompt_tokens,omitempty"`
-	// MaxOutputTokens bounds the answer. Default 1024.
+	// MaxOutputTokens bounds the output. Default 1024.
 	MaxOutputTokens int `json:"max_output_tokens,omitempty"`
 	// LateAllowed admits a request although its first-token target cannot be met.
 	LateAllowed bool `json:"late_allowed,omitempty"`
-	// Priority is given to the engine; a higher number goes first.
+	// Priority is passed to the engine; a higher number is scheduled first.
 	Priority int `json:"priority,omitempty"`
 }
 
 // Pool is a bounded set of prefill and decode engines of one model in one zone.
-// A pool is the unit of ownership: one node grants its work at a time.
+// A pool is the unit of ownership: one node at a time grants work to its engines.
 type Pool struct {
 	// Name identifies the pool; it is a DNS label.
 	Name string `json:"name"`
-	// Model is the model its engines hold.
+	// Model is the model its engines serve.
 	Model string `json:"model"`
-	// Zone is where its engines stand.
+	// Zone is the zone of its engines.
 	Zone string `json:"zone"`
-	// ChecksFence states that its engines reject an order with a stale fence.
+	// ChecksFence states that its engines reject an order with a stale fencing token.
 	ChecksFence bool `json:"checks_fence,omitempty"`
 	// Hold is how long an engine keeps a prefill result. Default 5s.
 	Hold Duration `json:"hold,omitempty"`
-	// PrefillTokensPerSecond is the rate of one prefill engine. Default 20000.
+	// PrefillTokensPerSecond is the throughput of one prefill engine. Default 20000.
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second,omitempty"`
 	// LinkTokensPerSecond is the KV transfer rate of one link. Default 200000.
 	LinkTokensPerSecond float64 `json:"link_tokens_per_second,omitempty"`
-	// StepTime is the interval between tokens of a decode engine with full batch. Default 20ms.
+	// StepTime is the interval between tokens of a decode engine with a full batch. Default 20ms.
 	StepTime Duration `json:"step_time,omitempty"`
-	// RoleChanges is the standing policy for changes of role. Default "advise".
+	// RoleChanges is the policy for role changes. Default "advise".
 	RoleChanges RoleChanges `json:"role_changes,omitempty"`
 	// Engines are its members.
 	Engines []Engine `json:"engines"`
@@ -87,15 +87,15 @@
 	Name string `json:"name"`
 	// Address is its IP address and port.
 	Address string `json:"address"`
-	// Role is what it does at present.
+	// Role is its configured role.
 	Role Role `json:"role"`
-	// Slots is the number of requests it decodes at once. Default 32.
+	// Slots is the number of requests it decodes concurrently. Default 32.
 	Slots int `json:"slots,omitempty"`
 	// KVTokens is its KV-cache memory in tokens. Default 400000.
 	KVTokens int `json:"kv_tokens,omitempty"`
-	// Adapters are the adapters it holds.
+	// Adapters are the adapters it loads.
 	Adapters []string `json:"adapters,omitempty"`
-	// ModelVersion is the version of the model it is to hold.
+	// ModelVersion is the version of the model it loads.
 	ModelVersion string `json:"model_version,omitempty"`
 }
 
@@ -105,7 +105,7 @@
 	Name string `json:"name"`
 	// Backends are its replicas.
 	Backends []Backend `json:"backends"`
-	// NonIdempotentMethods are the HTTP methods whose calls may not be repeated. Default POST and PATCH.
+	// NonIdempotentMethods are the HTTP methods whose calls must not be retried. Default POST and PATCH.
 	NonIdempotentMethods []string `json:"once_methods,omitempty"`
 	// Timeout bounds one call. Default 10s.
 	Timeout Duration `json:"timeout,omitempty"`
@@ -119,9 +119,9 @@
 	Address string `json:"address"`
 }
 
-// Configuration is everything an operator has confirmed.
+// Configuration is the set of all objects that operators have confirmed.
 type Configuration struct {
-	// Version rises by one with each accepted change.
+	// Version increases by one with each accepted change.
 	Version uint64 `json:"version,omitempty"`
 	// Tenants, Classes, Pools and Services are the objects, ordered by name.
 	Tenants  []Tenant  `json:"tenants,omitempty"`
--- a/api/validate.go
+++ b/api/validate.go
@@ -8,26 +8,26 @@
 	"strings"
 )
 
-// Finding is one fault in a setting or an object, with its place.
+// Finding is one fault in a setting or an object, with its location.
 type Finding struct {
 	// Place is the flag, variable or object field.
 	Place string `json:"place"`
-	// Problem says what is wrong.
+	// Problem describes the fault.
 	Problem string `json:"problem"`
 }
 
-// String returns the finding on one line.
+// String formats the finding on one line.
 func (f Finding) String() string { return f.Place + ": " + f.Problem }
 
 // Findings is a list of faults that are reported together.
 type Findings []Finding
 
-// Addf records one fault.
+// Addf appends a finding with a formatted problem.
 func (f *Findings) Addf(place, format string, args ...any) {
 	*f = append(*f, Finding{Place: place, Problem: fmt.Sprintf(format, args...)})
 }
 
-// String returns one finding a line.
+// String formats one finding per line.
 func (f Findings) String() string {
 	lines := make([]string, len(f))
 	for i, finding := range f {
@@ -36,7 +36,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// labelPattern is a DNS label after RFC 1123.
+// labelPattern matches a DNS label as defined by RFC 1123.
 var labelPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 const sha256HexLength = 64
@@ -54,10 +54,11 @@
 // IsLabel reports whether a name is a DNS label.
 func IsLabel(name string) bool { return labelPattern.MatchString(name) }
 
-// names checks labels and reports a name that stands twice.
-type names map[string]bool
+// nameSet is the set of names seen so far. Its check reports duplicates and
+// names that are not DNS labels.
+type nameSet map[string]bool
 
-func (n names) check(findings *Findings, place, name string) {
+func (n nameSet) check(findings *Findings, place, name string) {
 	if !IsLabel(name) {
 		findings.Addf(place+".name", "%q is not a DNS label", name)
 	}
@@ -67,8 +68,8 @@
 	n[name] = true
 }
 
-func (c *Configuration) validateClasses(findings *Findings) names {
-	seen := names{}
+func (c *Configuration) validateClasses(findings *Findings) nameSet {
+	seen := nameSet{}
 	models := map[string]bool{}
 	for _, pool := range c.Pools {
 		models[pool.Model] = true
@@ -93,7 +94,7 @@
 }
 
 func (c *Configuration) validatePools(findings *Findings) {
-	pools, engines := names{}, names{}
+	pools, engines := nameSet{}, nameSet{}
 	for _, pool := range c.Pools {
 		place := "pools[" + pool.Name + "]"
 		pools.check(findings, place, pool.Name)
@@ -114,7 +115,7 @@
 	}
 }
 
-func validateEngine(findings *Findings, seen names, poolPlace string, engine Engine) {
+func validateEngine(findings *Findings, seen nameSet, poolPlace string, engine Engine) {
 	place := poolPlace + ".engines[" + engine.Name + "]"
 	seen.check(findings, place, engine.Name)
 	checkAddress(findings, place+".address", engine.Address)
@@ -126,12 +127,12 @@
 	}
 }
 
-func (c *Configuration) validateServices(findings *Findings) names {
-	seen := names{}
+func (c *Configuration) validateServices(findings *Findings) nameSet {
+	seen := nameSet{}
 	for _, service := range c.Services {
 		place := "services[" + service.Name + "]"
 		seen.check(findings, place, service.Name)
-		backends := names{}
+		backends := nameSet{}
 		for _, backend := range service.Backends {
 			backendPlace := place + ".backends[" + backend.Name + "]"
 			backends.check(findings, backendPlace, backend.Name)
@@ -141,13 +142,13 @@
 	return seen
 }
 
-func (c *Configuration) validateTenants(findings *Findings, classes, services names) {
-	seen, hashes := names{}, map[string]string{}
+func (c *Configuration) validateTenants(findings *Findings, classes, services nameSet) {
+	seen, hashes := nameSet{}, map[string]string{}
 	for _, tenant := range c.Tenants {
 		place := "tenants[" + tenant.Name + "]"
 		seen.check(findings, place, tenant.Name)
-		checkKnown(findings, place+".classes", classes, tenant.Classes)
-		checkKnown(findings, place+".services", services, tenant.Services)
+		checkConfigured(findings, place+".classes", classes, tenant.Classes)
+		checkConfigured(findings, place+".services", services, tenant.Services)
 		if tenant.Weight < 0 {
 			findings.Addf(place+".weight", "must not be negative")
 		}
@@ -156,7 +157,7 @@
 			if _, err := hex.DecodeString(hash); err != nil || len(hash) != sha256HexLength {
 				findings.Addf(hashPlace, "is not a hex SHA-256 digest")
 			}
-			if other, taken := hashes[hash]; taken {
+			if other, duplicate := hashes[hash]; duplicate {
 				findings.Addf(hashPlace, "belongs to tenant %q already", other)
 			}
 			hashes[hash] = tenant.Name
@@ -164,9 +165,9 @@
 	}
 }
 
-func checkKnown(findings *Findings, place string, known names, wanted []string) {
-	for _, name := range wanted {
-		if !known[name] {
+func checkConfigured(findings *Findings, place string, configured nameSet, referenced []string) {
+	for _, name := range referenced {
+		if !configured[name] {
 			findings.Addf(place, "%q is not configured", name)
 		}
 	}
