--- a/timeline/render.go
+++ b/timeline/render.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// stampLayout shows the physical part of a stamp to the millisecond.
+// stampLayout formats the physical component of a stamp to the millisecond.
 const stampLayout = "15:04:05.000"
 
-// WriteText writes one event a line.
+// WriteText writes one event per line.
 func WriteText(w io.Writer, events []Event) error {
 	for _, event := range events {
-		_, err := fmt.Fprintf(w, "%s %-12s %-22s %s\n", event.Stamp.Time().UTC().Format(stampLayout), event.Process, event.Kind, event.subject())
+		_, err := fmt.Fprintf(w, "%s %-12s %-22s %s\n", event.Stamp.Time().UTC().Format(stampLayout), event.Process, event.Kind, event.attributes())
 		if err != nil {
 			return err
 		}
@@ -21,7 +21,7 @@
 	return nil
 }
 
-func (e Event) subject() string {
+func (e Event) attributes() string {
 	var parts []string
 	for _, field := range []struct{ name, value string }{
 		{"request", e.Request}, {"tenant", e.Tenant}, {"engine", e.Engine}, {"", e.Detail},
@@ -37,7 +37,7 @@
 	return strings.Join(parts, " ")
 }
 
-// page has one column a process and one row an event.
+// page has one column per process and one row per event.
 var page = template.Must(template.New("timeline").Parse(`<!doctype html><meta charset="utf-8"><title>reelrun time line</title>
 <style>body{font:13px sans-serif}table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:2px 6px;vertical-align:top}th{position:sticky;top:0;background:#eee}td.event{background:#eef6ff}</style>
 <table><tr><th>time (UTC)</th>{{range .Processes}}<th>{{.}}</th>{{end}}</tr>
@@ -49,7 +49,7 @@
 	Cells []string
 }
 
-// WriteHTML writes the events as a page with one column a process.
+// WriteHTML writes the events as an HTML page with one column per process.
 func WriteHTML(w io.Writer, events []Event) error {
 	var processes []string
 	column := map[string]int{}
@@ -62,7 +62,7 @@
 	rows := make([]row, len(events))
 	for i, event := range events {
 		cells := make([]string, len(processes))
-		cells[column[event.Process]] = string(event.Kind) + " " + event.subject()
+		cells[column[event.Process]] = string(event.Kind) + " " + event.attributes()
 		rows[i] = row{Time: event.Stamp.Time().UTC().Format(stampLayout), Cells: cells}
 	}
 	return page.Execute(w, map[string]any{"Processes": processes, "Rows": rows})
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -11,8 +11,8 @@
 // Kind is the type of an event.
 type Kind string
 
-// Event is one thing that happened in one process. The fields that do not
-// apply to its kind are empty.
+// Event is an event in one process. Fields that do not apply to its kind are
+// empty.
 type Event struct {
 	Stamp   Stamp  `json:"stamp"`
 	Process string `json:"process"`
@@ -23,18 +23,19 @@
 	Detail  string `json:"detail,omitempty"`
 }
 
-// Ring keeps the newest events of one process. It is safe for concurrent use.
+// Ring is a ring buffer of the newest events of one process. It is safe for
+// concurrent use.
 type Ring struct {
 	process string
 	clock   *Clock
 
-	mu     sync.Mutex
-	events []Event
-	next   int
-	lost   uint64
+	mu          sync.Mutex
+	events      []Event
+	next        int
+	overwritten uint64
 }
 
-// NewRing returns a ring of the given capacity for the named process.
+// NewRing returns an empty ring of the given capacity for the named process.
 func NewRing(process string, clock *Clock, capacity int) *Ring {
 	return &Ring{process: process, clock: clock, events: make([]Event, 0, capacity)}
 }
@@ -42,8 +43,8 @@
 // Clock returns the clock that stamps the ring's events.
 func (r *Ring) Clock() *Clock { return r.clock }
 
-// Record stamps the event and stores it, in place of the oldest one if the ring
-// is full.
+// Record stamps the event and stores it. If the ring is full, it overwrites the
+// oldest event.
 func (r *Ring) Record(event Event) {
 	event.Stamp = r.clock.Now()
 	event.Process = r.process
@@ -55,10 +56,10 @@
 	}
 	r.events[r.next] = event
 	r.next = (r.next + 1) % len(r.events)
-	r.lost++
+	r.overwritten++
 }
 
-// Filter selects events; an empty field selects all.
+// Filter selects events by their fields; an empty field matches any value.
 type Filter struct {
 	Request string
 	Engine  string
@@ -76,7 +77,7 @@
 	return f.Tenant == "" || f.Tenant == event.Tenant
 }
 
-// Events returns the kept events that match, oldest first.
+// Events returns the stored events that match the filter, oldest first.
 func (r *Ring) Events(filter Filter) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -10,7 +10,8 @@
 )
 
 // TestMergeKeepsCauseBeforeEffect sends messages between processes whose clocks
-// disagree. An event that follows a received message comes after the message.
+// are skewed. An event that follows a received message must be ordered after the
+// message.
 func TestMergeKeepsCauseBeforeEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(1_000_000)
@@ -35,7 +36,7 @@
 		merged := Merge(rings[0].Events(Filter{}), rings[1].Events(Filter{}), rings[2].Events(Filter{}))
 		for i := 1; i < len(merged); i++ {
 			if merged[i].Stamp < merged[i-1].Stamp {
-				t.Fatal("the time line is not in order")
+				t.Fatal("the timeline is not in order")
 			}
 		}
 	})
