--- a/account/account.go
+++ b/account/account.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// WindowLength is the length of a window.
+// WindowLength is the length of the windows into which a period is divided.
 const WindowLength = 2 * time.Second
 
-// Messages of the log lines that an account goes by.
+// Messages of the log lines that an account is built from.
 const (
 	messageRequests     = "requests"
 	messageEngines      = "engines"
@@ -22,65 +22,66 @@
 	messageTenants      = "tenants"
 )
 
-// Counts are how requests ended.
+// Counts counts requests by how they ended.
 type Counts struct {
-	// First counts first attempts; the others count attempts.
-	First, InTime, Late, Refused, Failed, Left int
+	// FirstAttempts counts first attempts only; the other fields count all attempts.
+	FirstAttempts, InTime, Late, Refused, Failed, Disconnected int
 }
 
 func (c *Counts) add(read line) {
-	c.First += read.First
+	c.FirstAttempts += read.First
 	c.InTime += read.InTime
 	c.Late += read.Late
 	c.Refused += read.Refused
 	c.Failed += read.Failed
-	c.Left += read.Left
+	c.Disconnected += read.Left
 }
 
-// Unserved is why requests were not served, and for how long they were held.
-type Unserved struct {
-	Reason string
-	Held   []time.Duration
+// UnservedRequests are the requests that were not served for one reason, and how long each was held
+// before it was answered.
+type UnservedRequests struct {
+	Reason    string
+	WaitTimes []time.Duration
 }
 
-// Quantile returns the time for which a share of the requests was held at most.
-func (u Unserved) Quantile(share float64) time.Duration {
-	if len(u.Held) == 0 {
+// Quantile returns the wait time that the given share of the requests did not exceed.
+func (u UnservedRequests) Quantile(share float64) time.Duration {
+	if len(u.WaitTimes) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(u.Held))
+	sorted := slices.Sorted(slices.Values(u.WaitTimes))
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
 }
 
-// Mean returns the mean time for which the requests were held.
-func (u Unserved) Mean() time.Duration {
-	if len(u.Held) == 0 {
+// Mean returns the mean wait time.
+func (u UnservedRequests) Mean() time.Duration {
+	if len(u.WaitTimes) == 0 {
 		return 0
 	}
 	sum := time.Duration(0)
-	for _, held := range u.Held {
-		sum += held
+	for _, waited := range u.WaitTimes {
+		sum += waited
 	}
-	return sum / time.Duration(len(u.Held))
+	return sum / time.Duration(len(u.WaitTimes))
 }
 
-// Wasted are prompts that were read for nothing, for one cause.
-type Wasted struct {
+// WastedPrefills counts the prompts whose prefill was not used, for one cause.
+type WastedPrefills struct {
 	Cause   string
 	Prompts int
 	Tokens  int64
 }
 
-// Engines are the engines of a service as its coordinator saw them last in a window.
+// Engines is the state of the engines of a service, as last reported by its coordinator in a window.
 type Engines struct {
 	Prefill, Decode, Failing int
 	MemoryPercent            int
-	// Waiting is the greatest number of requests that waited.
+	// Waiting is the largest number of waiting requests.
 	Waiting int
 	Backlog time.Duration
 }
 
-// Window is what happened in one window.
+// Window summarizes one time window.
 type Window struct {
 	Start   time.Time
 	Routes  map[string]Counts
@@ -88,22 +89,22 @@
 	Engines map[string]Engines
 }
 
-// Total returns how the requests of all routes ended.
+// Total returns the sum of the counts of all routes.
 func (w *Window) Total() Counts {
 	total := Counts{}
 	for _, counts := range w.Routes {
-		total.First += counts.First
+		total.FirstAttempts += counts.FirstAttempts
 		total.InTime += counts.InTime
 		total.Late += counts.Late
 		total.Refused += counts.Refused
 		total.Failed += counts.Failed
-		total.Left += counts.Left
+		total.Disconnected += counts.Disconnected
 	}
 	return total
 }
 
-// AllEngines returns the engines of all services together, with the fullest memory and the
-// longest backlog.
+// AllEngines returns the sums over the engines of all services, with the highest memory utilization
+// and the longest backlog.
 func (w *Window) AllEngines() Engines {
 	var total Engines
 	for _, engines := range w.Engines {
@@ -117,48 +118,48 @@
 	return total
 }
 
-// Event is something that happened, once however many nodes tell of it.
+// Event is an event in the fleet. It appears once, even if several nodes log it.
 type Event struct {
 	Time time.Time
 	Text string
 }
 
-// Account is the account of a time.
+// Account is the summary of a period.
 type Account struct {
 	Windows  []Window
 	Routes   map[string]Counts
-	Unserved []Unserved
-	// Answers are those that nodes gave by themselves.
-	Answers []OwnAnswer
-	Wasted  []Wasted
-	// StoreCalls are the calls of all nodes to the store, by operation and kind.
+	Unserved []UnservedRequests
+	// LocalReplies are the answers that nodes generated themselves.
+	LocalReplies   []LocalReply
+	WastedPrefills []WastedPrefills
+	// StoreCalls counts the calls of all nodes to the store, by operation and kind.
 	StoreCalls map[string]int
-	// NodeCalls are the bytes of calls between nodes, by kind.
+	// NodeCalls counts the bytes of calls between nodes, by kind.
 	NodeCalls map[string]Bytes
-	// Tenants are how requests ended, by tenant; those beyond a node's bound stand under an empty
-	// name.
+	// Tenants counts requests by how they ended, by tenant. The tenants beyond the number that a node
+	// counts separately share the entry with the empty name.
 	Tenants map[string]TenantCounts
 	Events  []Event
 }
 
-// Read makes the account of all logs.
+// Read builds the account of all logs.
 func Read(logs ...io.Reader) (*Account, error) {
-	made := newBuilder()
+	b := newBuilder()
 	for _, log := range logs {
-		if err := readLines(log, made.take); err != nil {
+		if err := readLines(log, b.add); err != nil {
 			return nil, err
 		}
 	}
-	return made.account(), nil
+	return b.build(), nil
 }
 
-// builder gathers an account line by line.
+// builder builds an account line by line.
 type builder struct {
 	windows  map[time.Time]*Window
 	routes   map[string]Counts
-	unserved map[string]*Unserved
-	answers  map[answerKey]OwnAnswer
-	wasted   map[string]*Wasted
+	unserved map[string]*UnservedRequests
+	replies  map[replyKey]LocalReply
+	wasted   map[string]*WastedPrefills
 	calls    map[string]int
 	bytes    map[string]Bytes
 	tenants  map[string]TenantCounts
@@ -167,36 +168,36 @@
 
 func newBuilder() *builder {
 	return &builder{
-		windows: map[time.Time]*Window{}, routes: map[string]Counts{}, unserved: map[string]*Unserved{},
-		answers: map[answerKey]OwnAnswer{},
-		wasted:  map[string]*Wasted{}, calls: map[string]int{}, bytes: map[string]Bytes{}, tenants: map[string]TenantCounts{}, events: map[string]time.Time{},
+		windows: map[time.Time]*Window{}, routes: map[string]Counts{}, unserved: map[string]*UnservedRequests{},
+		replies: map[replyKey]LocalReply{},
+		wasted:  map[string]*WastedPrefills{}, calls: map[string]int{}, bytes: map[string]Bytes{}, tenants: map[string]TenantCounts{}, events: map[string]time.Time{},
 	}
 }
 
-func (b *builder) take(read line) {
+func (b *builder) add(read line) {
 	switch read.Message {
 	case messageRequests:
-		b.takeRequests(read)
+		b.addRequests(read)
 	case messageEngines:
-		b.takeEngines(read)
+		b.addEngines(read)
 	case messageNotAnswered:
-		b.takeUnserved(read)
+		b.addUnserved(read)
 	case messagePromptWasted:
-		b.takeWasted(read)
+		b.addWasted(read)
 	case messageStoreCalls:
 		for name, count := range read.Calls {
 			b.calls[name] += count
 		}
 	case messageNodeCalls:
-		b.takeNodeCalls(read)
+		b.addNodeCalls(read)
 	case messageTenants:
-		b.takeTenants(read)
+		b.addTenants(read)
 	default:
-		b.takeEvent(read)
+		b.addEvent(read)
 	}
 }
 
-// window returns the window of a time.
+// window returns the window that contains the given time.
 func (b *builder) window(at time.Time) *Window {
 	start := at.Truncate(WindowLength)
 	known := b.windows[start]
@@ -207,7 +208,7 @@
 	return known
 }
 
-func (b *builder) takeRequests(read line) {
+func (b *builder) addRequests(read line) {
 	window := b.window(read.Time)
 	inWindow, overall := window.Routes[read.Route], b.routes[read.Route]
 	inWindow.add(read)
@@ -215,7 +216,7 @@
 	window.Routes[read.Route], b.routes[read.Route] = inWindow, overall
 }
 
-func (b *builder) takeEngines(read line) {
+func (b *builder) addEngines(read line) {
 	window := b.window(read.Time)
 	window.Engines[read.Service] = Engines{
 		Prefill: read.Prefill, Decode: read.Decode, Failing: read.Failing, MemoryPercent: read.MemoryPercent,
@@ -224,32 +225,32 @@
 	}
 }
 
-func (b *builder) takeUnserved(read line) {
+func (b *builder) addUnserved(read line) {
 	reason := reasonOf(read)
 	if b.unserved[reason] == nil {
-		b.unserved[reason] = &Unserved{Reason: reason}
+		b.unserved[reason] = &UnservedRequests{Reason: reason}
 	}
 	known := b.unserved[reason]
-	known.Held = append(known.Held, time.Duration(read.TookMs)*time.Millisecond)
-	b.takeAnswer(read)
+	known.WaitTimes = append(known.WaitTimes, time.Duration(read.TookMs)*time.Millisecond)
+	b.addReply(read)
 	b.window(read.Time).Reasons[reason]++
 }
 
-func (b *builder) takeWasted(read line) {
+func (b *builder) addWasted(read line) {
 	if b.wasted[read.Cause] == nil {
-		b.wasted[read.Cause] = &Wasted{Cause: read.Cause}
+		b.wasted[read.Cause] = &WastedPrefills{Cause: read.Cause}
 	}
 	b.wasted[read.Cause].Prompts++
 	b.wasted[read.Cause].Tokens += read.Tokens
 }
 
-// Reasons for which a request was given no engines.
+// Reasons why no engines were assigned to a request.
 const (
 	reasonDecodeMemory = "no decode memory"
 	reasonPrefillTime  = "no prefill in time"
 )
 
-// reasonOf names why a request was not served.
+// reasonOf returns why a request was not served.
 func reasonOf(read line) string {
 	switch {
 	case read.Reason == "no_room" && read.Short == "decode":
@@ -263,7 +264,7 @@
 	}
 }
 
-func (b *builder) takeEvent(read line) {
+func (b *builder) addEvent(read line) {
 	text := eventOf(read)
 	if text == "" {
 		return
@@ -273,7 +274,8 @@
 	}
 }
 
-// eventOf names what happened, alike for all nodes that tell of it; empty for other lines.
+// eventOf returns the text of the event that a line reports. The text is the same for all nodes that
+// log the event, and empty for lines that report none.
 func eventOf(read line) string {
 	switch read.Message {
 	case "role ordered":
@@ -289,24 +291,24 @@
 	}
 }
 
-// account returns what was gathered, in order.
-func (b *builder) account() *Account {
-	made := &Account{Routes: b.routes, Answers: b.ownAnswers(), StoreCalls: b.calls, NodeCalls: b.bytes, Tenants: b.tenants}
+// build returns the account with its lists in order.
+func (b *builder) build() *Account {
+	result := &Account{Routes: b.routes, LocalReplies: b.localReplies(), StoreCalls: b.calls, NodeCalls: b.bytes, Tenants: b.tenants}
 	for _, window := range b.windows {
-		made.Windows = append(made.Windows, *window)
+		result.Windows = append(result.Windows, *window)
 	}
 	for _, unserved := range b.unserved {
-		made.Unserved = append(made.Unserved, *unserved)
+		result.Unserved = append(result.Unserved, *unserved)
 	}
 	for _, wasted := range b.wasted {
-		made.Wasted = append(made.Wasted, *wasted)
+		result.WastedPrefills = append(result.WastedPrefills, *wasted)
 	}
 	for text, at := range b.events {
-		made.Events = append(made.Events, Event{Time: at, Text: text})
+		result.Events = append(result.Events, Event{Time: at, Text: text})
 	}
-	sort.Slice(made.Windows, func(i, j int) bool { return made.Windows[i].Start.Before(made.Windows[j].Start) })
-	sort.Slice(made.Unserved, func(i, j int) bool { return made.Unserved[i].Reason < made.Unserved[j].Reason })
-	sort.Slice(made.Wasted, func(i, j int) bool { return made.Wasted[i].Cause < made.Wasted[j].Cause })
-	sort.Slice(made.Events, func(i, j int) bool { return made.Events[i].Time.Before(made.Events[j].Time) })
-	return made
+	sort.Slice(result.Windows, func(i, j int) bool { return result.Windows[i].Start.Before(result.Windows[j].Start) })
+	sort.Slice(result.Unserved, func(i, j int) bool { return result.Unserved[i].Reason < result.Unserved[j].Reason })
+	sort.Slice(result.WastedPrefills, func(i, j int) bool { return result.WastedPrefills[i].Cause < result.WastedPrefills[j].Cause })
+	sort.Slice(result.Events, func(i, j int) bool { return result.Events[i].Time.Before(result.Events[j].Time) })
+	return result
 }
--- a/account/account_test.go
+++ b/account/account_test.go
@@ -29,36 +29,37 @@
 
 func readAccount(t *testing.T) *account.Account {
 	t.Helper()
-	made, err := account.Read(strings.NewReader(firstNode), strings.NewReader(secondNode))
+	summary, err := account.Read(strings.NewReader(firstNode), strings.NewReader(secondNode))
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	return made
+	return summary
 }
 
-func TestCountsOfAllNodesByRouteAndWindow(t *testing.T) {
+func TestCountsByRouteAndWindowOfAllNodes(t *testing.T) {
 	g := NewWithT(t)
-	made := readAccount(t)
-	g.Expect(made.Routes).To(HaveKeyWithValue("draft", account.Counts{First: 13, InTime: 9, Late: 1, Refused: 3}))
-	g.Expect(made.Windows).To(HaveLen(2))
-	g.Expect(made.Windows[0].Start).To(Equal(time.Date(2026, 5, 19, 3, 26, 30, 0, time.UTC)))
-	g.Expect(made.Windows[0].Reasons).To(Equal(map[string]int{"no decode memory": 2}))
-	g.Expect(made.Windows[0].Engines).To(HaveKeyWithValue("llm", account.Engines{
+	summary := readAccount(t)
+	g.Expect(summary.Routes).To(HaveKeyWithValue("draft", account.Counts{FirstAttempts: 13, InTime: 9, Late: 1, Refused: 3}))
+	g.Expect(summary.Windows).To(HaveLen(2))
+	g.Expect(summary.Windows[0].Start).To(Equal(time.Date(2026, 5, 19, 3, 26, 30, 0, time.UTC)))
+	g.Expect(summary.Windows[0].Reasons).To(Equal(map[string]int{"no decode memory": 2}))
+	g.Expect(summary.Windows[0].Engines).To(HaveKeyWithValue("llm", account.Engines{
 		Prefill: 2, Decode: 5, Failing: 1, MemoryPercent: 88, Waiting: 3, Backlog: 40 * time.Millisecond,
 	}))
-	g.Expect(made.Windows[1].Reasons).To(Equal(map[string]int{"no prefill in time": 1}))
+	g.Expect(summary.Windows[1].Reasons).To(Equal(map[string]int{"no prefill in time": 1}))
 }
 
-func TestTimesHeldAndPromptsWasted(t *testing.T) {
+func TestWaitTimesAndWastedPrefills(t *testing.T) {
 	g := NewWithT(t)
-	made := readAccount(t)
-	g.Expect(made.Unserved).To(HaveLen(2))
-	g.Expect(made.Unserved[0].Reason).To(Equal("no decode memory"))
-	g.Expect(made.Unserved[0].Mean()).To(Equal(200 * time.Millisecond))
-	g.Expect(made.Unserved[0].Quantile(1)).To(Equal(300 * time.Millisecond))
-	g.Expect(made.Wasted).To(Equal([]account.Wasted{{Cause: "decode failed", Prompts: 1, Tokens: 1200}}))
+	summary := readAccount(t)
+	g.Expect(summary.Unserved).To(HaveLen(2))
+	g.Expect(summary.Unserved[0].Reason).To(Equal("no decode memory"))
+	g.Expect(summary.Unserved[0].Mean()).To(Equal(200 * time.Millisecond))
+	g.Expect(summary.Unserved[0].Quantile(1)).To(Equal(300 * time.Millisecond))
+	g.Expect(summary.WastedPrefills).To(Equal([]account.WastedPrefills{{Cause: "decode failed", Prompts: 1, Tokens: 1200}}))
 }
 
-// TestAnEventThatSeveralNodesTellOfStandsOnce at the earliest time that any of them says.
-func TestAnEventThatSeveralNodesTellOfStandsOnce(t *testing.T) {
+// TestEventLoggedBySeveralNodesAppearsOnce checks that an event has the earliest time that any node
+// logged.
+func TestEventLoggedBySeveralNodesAppearsOnce(t *testing.T) {
 	g := NewWithT(t)
 	var texts []string
 	for _, event := range readAccount(t).Events {
@@ -67,28 +68,28 @@
 	g.Expect(texts).To(Equal([]string{"30.9 node-a start", "33.1 configuration 7"}))
 }
 
-func TestWrittenAsTablesAndPicture(t *testing.T) {
+func TestWriteAndPlot(t *testing.T) {
 	g := NewWithT(t)
-	made := readAccount(t)
+	summary := readAccount(t)
 	var printed bytes.Buffer
-	g.Expect(made.Write(&printed)).To(Succeed())
+	g.Expect(summary.Write(&printed)).To(Succeed())
 	g.Expect(printed.String()).To(MatchRegexp(`no decode memory +2 +200 ms +300 ms +300 ms`))
 	g.Expect(printed.String()).To(MatchRegexp(`03:26:30 +13 +9 +1 +3 +0 +2\+5 \(1\) +88 % +3 +40 ms +no decode memory 2`))
-	picture := filepath.Join(t.TempDir(), "account.svg")
-	g.Expect(made.Plot(picture)).To(Succeed())
-	g.Expect(picture).To(BeAnExistingFile())
-	g.Expect((&account.Account{}).Plot(picture)).NotTo(Succeed())
+	plot := filepath.Join(t.TempDir(), "account.svg")
+	g.Expect(summary.Plot(plot)).To(Succeed())
+	g.Expect(plot).To(BeAnExistingFile())
+	g.Expect((&account.Account{}).Plot(plot)).NotTo(Succeed())
 }
 
 func FuzzRead(f *testing.F) {
 	f.Add(firstNode)
 	f.Add(`{"time":"2026-05-19T03:26:31Z","msg":"requests","first":"x"}`)
 	f.Fuzz(func(t *testing.T, log string) {
-		made, err := account.Read(strings.NewReader(log))
+		summary, err := account.Read(strings.NewReader(log))
 		if err != nil {
 			return
 		}
-		if err := made.Write(&bytes.Buffer{}); err != nil {
+		if err := summary.Write(&bytes.Buffer{}); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/account/answers.go
+++ b/account/answers.go
@@ -7,19 +7,20 @@
 	"slices"
 )
 
-// OwnAnswer counts the answers that nodes gave by themselves, for one status and reason.
-type OwnAnswer struct {
+// LocalReply counts the answers that nodes generated themselves instead of forwarding one from a
+// backend, for one status and reason.
+type LocalReply struct {
 	Status int
 	Reason string
 	Count  int
-	// AfterSend is how many were given after a back end had been sent the request, AfterRun after
-	// one had run it or may have.
+	// AfterSend counts those given after the request had been sent to a backend, AfterRun those given
+	// after a backend had run it or may have run it.
 	AfterSend, AfterRun int
 }
 
-// Untrue returns how many of the answers said that a request had not run although it had, or may
-// have. Any is a defect.
-func (a OwnAnswer) Untrue() int {
+// FalseNotRun returns how many of the answers stated that a request had not run although it had, or
+// may have. A value above zero indicates a defect.
+func (a LocalReply) FalseNotRun() int {
 	switch a.Status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return a.AfterRun
@@ -28,61 +29,61 @@
 	}
 }
 
-// answerKey groups a node's own answers.
-type answerKey struct {
+// replyKey groups local replies.
+type replyKey struct {
 	status int
 	reason string
 }
 
-func (b *builder) takeAnswer(read line) {
-	key := answerKey{read.Status, reasonOf(read)}
-	counted := b.answers[key]
-	counted.Status, counted.Reason = key.status, key.reason
-	counted.Count++
+func (b *builder) addReply(read line) {
+	key := replyKey{read.Status, reasonOf(read)}
+	reply := b.replies[key]
+	reply.Status, reply.Reason = key.status, key.reason
+	reply.Count++
 	if read.Sends > 0 {
-		counted.AfterSend++
+		reply.AfterSend++
 	}
 	if read.Runs > 0 {
-		counted.AfterRun++
+		reply.AfterRun++
 	}
-	b.answers[key] = counted
+	b.replies[key] = reply
 }
 
-// ownAnswers returns the answers by status, the most frequent first.
-func (b *builder) ownAnswers() []OwnAnswer {
-	var answers []OwnAnswer
-	for _, counted := range b.answers {
-		answers = append(answers, counted)
+// localReplies returns the replies ordered by status, the most frequent of each status first.
+func (b *builder) localReplies() []LocalReply {
+	var replies []LocalReply
+	for _, reply := range b.replies {
+		replies = append(replies, reply)
 	}
-	slices.SortFunc(answers, func(a, b OwnAnswer) int {
+	slices.SortFunc(replies, func(a, b LocalReply) int {
 		return cmp.Or(cmp.Compare(a.Status, b.Status), cmp.Compare(b.Count, a.Count), cmp.Compare(a.Reason, b.Reason))
 	})
-	return answers
+	return replies
 }
 
-// idleMemoryPercent is the use of the fullest engines below which a refusal for want of memory is
-// worth a look.
+// idleMemoryPercent is the memory utilization of the fullest service in a window below which a
+// rejection for lack of engines should be investigated.
 const idleMemoryPercent = 50
 
-// refusedIdle returns how many requests were refused for want of engines in windows in which
-// nothing waited and less than half of the memory was used.
-func (a *Account) refusedIdle() int {
-	refused := 0
+// rejectedWhileIdle returns how many requests were rejected for lack of engines in windows in which
+// no request waited and less than half of the memory was used.
+func (a *Account) rejectedWhileIdle() int {
+	rejected := 0
 	for _, window := range a.Windows {
 		engines := window.AllEngines()
 		if len(window.Engines) == 0 || engines.Waiting > 0 || engines.MemoryPercent >= idleMemoryPercent {
 			continue
 		}
-		refused += window.Reasons[reasonDecodeMemory] + window.Reasons[reasonPrefillTime]
+		rejected += window.Reasons[reasonDecodeMemory] + window.Reasons[reasonPrefillTime]
 	}
-	return refused
+	return rejected
 }
 
-func (a *Account) writeAnswers(table io.Writer) {
+func (a *Account) writeLocalReplies(table io.Writer) {
 	row(table, "own answer", "reason", "count", "after a send", "after a run", "untrue")
-	for _, answer := range a.Answers {
-		row(table, answer.Status, answer.Reason, answer.Count, answer.AfterSend, answer.AfterRun, answer.Untrue())
+	for _, reply := range a.LocalReplies {
+		row(table, reply.Status, reply.Reason, reply.Count, reply.AfterSend, reply.AfterRun, reply.FalseNotRun())
 	}
-	row(table, "refused for want of engines while none waited and half was free", a.refusedIdle())
+	row(table, "refused for want of engines while none waited and half was free", a.rejectedWhileIdle())
 	row(table)
 }
--- a/account/doc.go
+++ b/account/doc.go
@@ -1,4 +1,4 @@
-// Package account reads the logs of all nodes of a time and says how requests ended, when and
-// why: by route and by window, with what the engines did at that moment. It is for a whole time
-// what package explain is for one request. It calls no node.
+// Package account summarizes the logs of all nodes for a period: how requests ended and why, by
+// route and by time window, with the state of the engines in each window. It does for a whole
+// period what package explain does for one request. It works on logs only and calls no node.
 package account
--- a/account/nodecalls.go
+++ b/account/nodecalls.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// Bytes are how much calls of one kind carried.
+// Bytes are the bytes transferred by calls of one kind.
 type Bytes struct {
 	InZone, BetweenZones int
 }
 
-func (b *builder) takeNodeCalls(read line) {
+func (b *builder) addNodeCalls(read line) {
 	for kind, count := range read.BytesInZone {
 		sum := b.bytes[kind]
 		sum.InZone += count
--- a/account/plot.go
+++ b/account/plot.go
@@ -10,17 +10,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of the picture.
+// Size of the plot.
 const (
 	plotWidth  = 12 * vg.Inch
 	plotHeight = 5 * vg.Inch
 )
 
-// eventColor is that of the lines that mark what happened.
+// eventColor is the color of the lines that mark events.
 var eventColor = color.Gray{Y: 200}
 
-// Plot draws memory, waiting requests, refusals and roles over the windows, with a line for
-// each event. The format is that of the file name's ending: svg or png.
+// Plot draws memory utilization, waiting requests, rejections and engines by role over the windows,
+// with a vertical line for each event. The file extension, svg or png, selects the format.
 func (a *Account) Plot(file string) error {
 	drawn := plot.New()
 	drawn.X.Label.Text = "seconds"
@@ -51,10 +51,10 @@
 	if err := plotutil.AddLines(drawn, lines...); err != nil {
 		return errors.Wrap(err, "draw lines")
 	}
-	return errors.Wrap(drawn.Save(plotWidth, plotHeight, file), "save picture")
+	return errors.Wrap(drawn.Save(plotWidth, plotHeight, file), "save plot")
 }
 
-// drawEvents marks what happened by vertical lines.
+// drawEvents marks events by vertical lines.
 func (a *Account) drawEvents(drawn *plot.Plot) error {
 	const top = 100
 	for _, event := range a.Events {
--- a/account/tenants.go
+++ b/account/tenants.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// TenantCounts are how the requests of one tenant ended.
+// TenantCounts counts the requests of one tenant by how they ended.
 type TenantCounts struct {
-	Asked  int `json:"asked"`
-	InTime int `json:"in_time"`
-	Late   int `json:"late"`
-	// Limited counts refusals because of the tenant's limit, Refused other refusals, and Failed
-	// requests without a good answer that may have run.
+	Requests int `json:"asked"`
+	InTime   int `json:"in_time"`
+	Late     int `json:"late"`
+	// Limited counts requests rejected because of the tenant's limit, Refused other rejections, and
+	// Failed requests that may have run but got no successful answer.
 	Limited int `json:"limited"`
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 }
 
-func (b *builder) takeTenants(read line) {
+func (b *builder) addTenants(read line) {
 	for name, more := range read.Tenants {
 		counts := b.tenants[name]
-		counts.Asked += more.Asked
+		counts.Requests += more.Requests
 		counts.InTime += more.InTime
 		counts.Late += more.Late
 		counts.Limited += more.Limited
@@ -38,7 +38,7 @@
 		if name == "" {
 			name = "(others)"
 		}
-		row(table, name, counts.Asked, counts.InTime, counts.Late, counts.Limited, counts.Refused, counts.Failed)
+		row(table, name, counts.Requests, counts.InTime, counts.Late, counts.Limited, counts.Refused, counts.Failed)
 	}
 	row(table)
 }
--- a/account/write.go
+++ b/account/write.go
@@ -12,18 +12,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// p95 is the share of the requests in the second column of held times.
+// p95 is the quantile in the second column of wait times.
 const p95 = 0.95
 
-// clock is how times of the day are written.
-const clock = "15:04:05"
+// clockLayout is the layout of times of day.
+const clockLayout = "15:04:05"
 
 // Write prints the account as tables.
 func (a *Account) Write(output io.Writer) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	a.writeRoutes(table)
 	a.writeUnserved(table)
-	a.writeAnswers(table)
+	a.writeLocalReplies(table)
 	a.writeWasted(table)
 	a.writeStoreCalls(table)
 	a.writeNodeCalls(table)
@@ -35,7 +35,7 @@
 	return errors.Wrap(table.Flush(), "write account")
 }
 
-// row writes one row; a failure is kept by the table until it is flushed.
+// row writes one row. The table reports a write error when it is flushed.
 func row(table io.Writer, cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
@@ -48,7 +48,7 @@
 	row(table, "route", "first", "in time", "late", "refused", "failed", "left")
 	for _, route := range slices.Sorted(maps.Keys(a.Routes)) {
 		counts := a.Routes[route]
-		row(table, route, counts.First, counts.InTime, counts.Late, counts.Refused, counts.Failed, counts.Left)
+		row(table, route, counts.FirstAttempts, counts.InTime, counts.Late, counts.Refused, counts.Failed, counts.Disconnected)
 	}
 	row(table)
 }
@@ -56,14 +56,14 @@
 func (a *Account) writeUnserved(table io.Writer) {
 	row(table, "not served", "requests", "held, mean", "p95", "longest")
 	for _, unserved := range a.Unserved {
-		row(table, unserved.Reason, len(unserved.Held), short(unserved.Mean()), short(unserved.Quantile(p95)), short(unserved.Quantile(1)))
+		row(table, unserved.Reason, len(unserved.WaitTimes), milliseconds(unserved.Mean()), milliseconds(unserved.Quantile(p95)), milliseconds(unserved.Quantile(1)))
 	}
 	row(table)
 }
 
 func (a *Account) writeWasted(table io.Writer) {
 	row(table, "read for nothing", "prompts", "tokens")
-	for _, wasted := range a.Wasted {
+	for _, wasted := range a.WastedPrefills {
 		row(table, wasted.Cause, wasted.Prompts, wasted.Tokens)
 	}
 	row(table)
@@ -81,13 +81,13 @@
 	row(table, "window", "first", "in time", "late", "refused", "failed", "prefill+decode (failing)", "memory", "waiting", "backlog", "reasons")
 	for _, window := range a.Windows {
 		total := window.Total()
-		cells := []any{window.Start.Format(clock), total.First, total.InTime, total.Late, total.Refused, total.Failed}
+		cells := []any{window.Start.Format(clockLayout), total.FirstAttempts, total.InTime, total.Late, total.Refused, total.Failed}
 		row(table, append(cells, enginesOf(window)...)...)
 	}
 	row(table)
 }
 
-// enginesOf returns the cells on the engines of a window, those of all services together.
+// enginesOf returns the cells about the engines of all services in a window.
 func enginesOf(window Window) []any {
 	total := window.AllEngines()
 	var reasons []string
@@ -96,9 +96,11 @@
 	}
 	return []any{
 		fmt.Sprintf("%d+%d (%d)", total.Prefill, total.Decode, total.Failing), fmt.Sprintf("%d %%", total.MemoryPercent),
-		total.Waiting, short(total.Backlog), strings.Join(reasons, ", "),
+		total.Waiting, milliseconds(total.Backlog), strings.Join(reasons, ", "),
 	}
 }
 
-// short writes a time in milliseconds.
-func short(duration time.Duration) string { return fmt.Sprintf("%d ms", duration.Milliseconds()) }
+// milliseconds formats a duration in milliseconds.
+func milliseconds(duration time.Duration) string {
+	return fmt.Sprintf("%d ms", duration.Milliseconds())
+}
