--- a/cmd/reelrun-sim/load.go
+++ b/cmd/reelrun-sim/load.go
@@ -38,7 +38,7 @@
 			if err != nil {
 				return err
 			}
-			secured, err := tlsfiles.ClientTrusting(*authority)
+			secured, err := tlsfiles.ClientConfig(*authority)
 			if err != nil {
 				return err
 			}
--- a/cmd/reelrunctl/main.go
+++ b/cmd/reelrunctl/main.go
@@ -81,7 +81,7 @@
 		return exitUsage
 	}
 	var err error
-	if shared.secured, err = tlsfiles.ClientTrusting(*authority); err != nil {
+	if shared.secured, err = tlsfiles.ClientConfig(*authority); err != nil {
 		_, _ = fmt.Fprintln(errOut, err)
 		return exitUsage
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -106,7 +106,7 @@
 	if n.peers == nil {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	secured := &tls.Dialer{NetDialer: dialer, Config: n.peers.Client()}
+	secured := &tls.Dialer{NetDialer: dialer, Config: n.peers.ClientConfig()}
 	return secured.DialContext(ctx, "tcp", address)
 }
 
@@ -246,7 +246,7 @@
 			return nil, errors.Wrapf(err, "listen on %s", port.address)
 		}
 		if port.source != nil {
-			listener = tls.NewListener(listener, port.source.Server())
+			listener = tls.NewListener(listener, port.source.ServerConfig())
 		}
 		*port.target = listener
 	}
--- a/processtest/security_test.go
+++ b/processtest/security_test.go
@@ -31,7 +31,7 @@
 	}
 	made := &security{authority: authority, folder: t.TempDir()}
 	files, _ := made.issue(t, "caller")
-	if made.trusting, err = tlsfiles.ClientTrusting(files.Authority); err != nil {
+	if made.trusting, err = tlsfiles.ClientConfig(files.Authority); err != nil {
 		t.Fatal(err)
 	}
 	return made
--- a/tlsfiles/tlsfiles.go
+++ b/tlsfiles/tlsfiles.go
@@ -92,9 +92,9 @@
 	return s.certificate, s.authority
 }
 
-// Server returns a configuration for accepting connections. With an authority,
+// ServerConfig returns a configuration for accepting connections. With an authority,
 // the other side must show a certificate of it.
-func (s *Source) Server() *tls.Config {
+func (s *Source) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -110,10 +110,10 @@
 	}
 }
 
-// Client returns a configuration for opening a connection. Nodes are addressed
+// ClientConfig returns a configuration for opening a connection. Nodes are addressed
 // by IP, so the certificate is verified against the authority and its purpose,
 // and not against a name.
-func (s *Source) Client() *tls.Config {
+func (s *Source) ClientConfig() *tls.Config {
 	certificate, authority := s.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/tlsfiles/tlsfiles_test.go
+++ b/tlsfiles/tlsfiles_test.go
@@ -71,7 +71,7 @@
 	shared := newAuthority(t)
 	serverFiles, shown := issue(t, shared, t.TempDir())
 	clientFiles, _ := issue(t, shared, t.TempDir())
-	serial, err := handshake(t, source(t, serverFiles).Server(), source(t, clientFiles).Client())
+	serial, err := handshake(t, source(t, serverFiles).ServerConfig(), source(t, clientFiles).ClientConfig())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(serial).To(Equal(shown))
 }
@@ -82,12 +82,12 @@
 	ourFiles, _ := issue(t, ours, t.TempDir())
 	theirFiles, _ := issue(t, theirs, t.TempDir())
 	node, stranger := source(t, ourFiles), source(t, theirFiles)
-	_, err := handshake(t, node.Server(), stranger.Client())
+	_, err := handshake(t, node.ServerConfig(), stranger.ClientConfig())
 	g.Expect(err).To(HaveOccurred())
-	_, err = handshake(t, stranger.Server(), node.Client())
+	_, err = handshake(t, stranger.ServerConfig(), node.ClientConfig())
 	g.Expect(err).To(HaveOccurred())
 	// A caller without a certificate.
-	_, err = handshake(t, node.Server(), &tls.Config{InsecureSkipVerify: true})
+	_, err = handshake(t, node.ServerConfig(), &tls.Config{InsecureSkipVerify: true})
 	g.Expect(err).To(HaveOccurred())
 }
 
@@ -105,7 +105,7 @@
 	server.mu.Lock()
 	server.checked = time.Time{} // As if the interval between two looks had passed.
 	server.mu.Unlock()
-	serial, err := handshake(t, server.Server(), client.Client())
+	serial, err := handshake(t, server.ServerConfig(), client.ClientConfig())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(serial).To(Equal(renewed))
 }
@@ -135,15 +135,15 @@
 	files, shown := issue(t, ours, t.TempDir())
 	foreign, _ := issue(t, theirs, t.TempDir())
 	node := source(t, Files{Certificate: files.Certificate, Key: files.Key})
-	trusting, err := ClientTrusting(files.Authority)
+	trusting, err := ClientConfig(files.Authority)
 	g.Expect(err).NotTo(HaveOccurred())
-	serial, err := handshake(t, node.Server(), trusting)
+	serial, err := handshake(t, node.ServerConfig(), trusting)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(serial).To(Equal(shown))
-	distrusting, err := ClientTrusting(foreign.Authority)
+	distrusting, err := ClientConfig(foreign.Authority)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = handshake(t, node.Server(), distrusting)
+	_, err = handshake(t, node.ServerConfig(), distrusting)
 	g.Expect(err).To(HaveOccurred())
-	_, err = ClientTrusting(files.Key)
+	_, err = ClientConfig(files.Key)
 	g.Expect(err).To(HaveOccurred())
 }
--- a/tlsfiles/trust.go
+++ b/tlsfiles/trust.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ClientTrusting returns a configuration for a caller or an operator. It trusts
+// ClientConfig returns a configuration for a caller or an operator. It trusts
 // the certificates of a PEM file; an empty name means those of the machine.
-func ClientTrusting(authority string) (*tls.Config, error) {
+func ClientConfig(authority string) (*tls.Config, error) {
 	if authority == "" {
 		return &tls.Config{MinVersion: tls.VersionTLS13}, nil
 	}
