--- a/node/core.go
+++ b/node/core.go
@@ -30,7 +30,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// CoreOptions are the parts of a Core.
+// CoreOptions configures a Core.
 type CoreOptions struct {
 	Name        string
 	Zone        string
@@ -41,19 +41,21 @@
 	Store objectapi.Store
 	// Engines calls the model engines.
 	Engines *engine.Client
-	// Membership are the intervals of the membership protocol.
+	// Membership configures the membership protocol.
 	Membership membership.Options
-	// ResumeWindow is how long the stream of a failed node waits to be taken over.
+	// ResumeWindow is how long the stream of a failed node is kept for another node
+	// to take over.
 	ResumeWindow time.Duration
-	// Scheduler chooses the routing policy. The zero value is the one measured best.
+	// Scheduler selects the routing policy. The zero value is the policy that
+	// measured best.
 	Scheduler scheduler.Options
-	// ReconcileInterval is the time between two looks at the engines. Default 1s.
+	// ReconcileInterval is the time between two checks of the engines. Default 1s.
 	ReconcileInterval time.Duration
-	// EventCapacity bounds the kept events. Default timeline.DefaultCapacity.
+	// EventCapacity bounds the events in the timeline. Default timeline.DefaultCapacity.
 	EventCapacity int
 	// Now reads the clock. Default time.Now.
 	Now func() time.Time
-	// LeaseNow reads the clock by which a lease for orders lasts: one that counts on while the
+	// LeaseNow reads the clock that measures leases for orders. It must also advance while the
 	// machine is suspended. Default Now.
 	LeaseNow func() time.Time
 }
@@ -82,18 +84,18 @@
 	directory   *directory.Directory
 	manager     *controller.Manager
 	roleChanges *rolechange.Reconciler
-	// quarantines knows which requests crash engines, and quarantineArchive keeps that in the
-	// platform where this node is the keeper.
+	// quarantines tracks the requests that crash engines. quarantineArchive persists them in the
+	// platform while this node is the quarantine coordinator.
 	quarantines       *quarantine.Client
 	quarantineArchive *quarantine.Archive
-	// confirmedAt is when the platform last answered, in nanoseconds since 1970.
-	confirmedAt atomic.Int64
-	draining    atomic.Bool
-	// isolated states that the node hears too little to take new work.
+	// platformAnsweredAt is when the platform last answered, in nanoseconds since 1970.
+	platformAnsweredAt atomic.Int64
+	draining           atomic.Bool
+	// isolated is set while the node has too little contact to accept new requests.
 	isolated atomic.Bool
 }
 
-// NewCore assembles a core that does nothing until Run.
+// NewCore assembles a core. It is idle until Run is called.
 func NewCore(options CoreOptions) *Core {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -123,14 +125,14 @@
 	c.Cluster = cluster.New(c.Table, c.client, c.handle, options.Now)
 	c.assembleSync()
 	c.assembleQuarantine()
-	c.assembleWork(self)
+	c.assembleServing(self)
 	c.assembleControllers(self)
 	return c
 }
 
-// assembleSync builds what follows the platform and the other nodes.
+// assembleSync builds the components that synchronize with the platform and the other nodes.
 func (c *Core) assembleSync() {
-	store := &observedStore{Store: c.options.Store, answered: c.platformAnswered}
+	store := &observedStore{Store: c.options.Store, onAnswer: c.recordPlatformAnswer}
 	c.syncer = configuration.NewSyncer(c.Configuration, store, c.Cluster, c.client, c.Metrics, c.options.Now)
 	c.Machines = machines.NewList(c.options.Now)
 	c.members = membership.NewService(membership.ServiceOptions{
@@ -145,8 +147,8 @@
 	})
 }
 
-// assembleWork builds what serves requests and other nodes.
-func (c *Core) assembleWork(self membership.Member) {
+// assembleServing builds the components that serve requests and calls of other nodes.
+func (c *Core) assembleServing(self membership.Member) {
 	c.claimWriter = claim.NewWriter(c.options.Store, c.Metrics, c.options.Now)
 	c.Claims = claim.NewClient(c.Cluster)
 	c.directory = directory.New(c.options.Now)
@@ -178,28 +180,28 @@
 	c.manager.Add(controller.Controller{Name: "role_changes", Reconciler: c.roleChanges, Requests: c.roleChanges.Requests, Interval: roleInterval})
 	const orderInterval = 5 * time.Second
 	c.manager.Add(controller.Controller{Name: "engine_orders", Reconciler: orders, Requests: orders.Requests, Interval: orderInterval})
-	c.manager.Add(controller.Controller{Name: "completions", Reconciler: once(c.Completions.Reconcile), Interval: c.options.Membership.Interval})
-	c.manager.Add(controller.Controller{Name: "machines", Reconciler: once(c.machineSync.EnsureFresh)})
-	c.manager.Add(controller.Controller{Name: "readiness", Reconciler: once(c.reconcileReadiness), Interval: c.options.Membership.Interval / 2})
-	c.manager.Add(controller.Controller{Name: "quarantines", Reconciler: once(c.keepArchive), Interval: archiveInterval})
+	c.manager.Add(controller.Controller{Name: "completions", Reconciler: reconcileFunc(c.Completions.Reconcile), Interval: c.options.Membership.Interval})
+	c.manager.Add(controller.Controller{Name: "machines", Reconciler: reconcileFunc(c.machineSync.EnsureFresh)})
+	c.manager.Add(controller.Controller{Name: "readiness", Reconciler: reconcileFunc(c.reconcileReadiness), Interval: c.options.Membership.Interval / 2})
+	c.manager.Add(controller.Controller{Name: "quarantines", Reconciler: reconcileFunc(c.reconcileArchive), Interval: archiveInterval})
 	const sweepInterval = time.Minute
-	c.manager.Add(controller.Controller{Name: "claims", Reconciler: once(c.sweepClaims), Interval: sweepInterval})
+	c.manager.Add(controller.Controller{Name: "claims", Reconciler: reconcileFunc(c.sweepClaims), Interval: sweepInterval})
 }
 
-// once adapts a function that looks after one object without a name.
-func once(run func(context.Context)) controller.Reconciler {
+// reconcileFunc adapts a function that reconciles a single, unnamed object.
+func reconcileFunc(run func(context.Context)) controller.Reconciler {
 	return controller.ReconcilerFunc(func(ctx context.Context, _ controller.Request) (controller.Result, error) {
 		run(ctx)
 		return controller.Result{}, nil
 	})
 }
 
-// sweepClaims deletes the expired claims of the node's shards.
+// sweepClaims deletes the expired claims of the shards that the node owns.
 func (c *Core) sweepClaims(ctx context.Context) {
 	c.claimWriter.Sweep(ctx, func(shard int) bool { return c.Cluster.Owns("", claim.OwnerKey(shard)) })
 }
 
-// Run serves peers on the listener until the context ends.
+// Run serves peers on the listener until the context is done.
 func (c *Core) Run(ctx context.Context, listener net.Listener) error {
 	served := make(chan error, 1)
 	go func() { served <- c.server.Serve(listener) }()
@@ -224,9 +226,9 @@
 	return nil
 }
 
-func (c *Core) platformAnswered() { c.confirmedAt.Store(c.options.Now().UnixNano()) }
+func (c *Core) recordPlatformAnswer() { c.platformAnsweredAt.Store(c.options.Now().UnixNano()) }
 
-// status is what a node reports of itself.
+// status is the status report of a node.
 type status struct {
 	Node    membership.Member  `json:"node"`
 	State   string             `json:"state"`
@@ -234,7 +236,7 @@
 	Live    int                `json:"live_nodes"`
 	Pools   []owner.PoolStatus `json:"pools,omitempty"`
 	Grants  int                `json:"grants"`
-	// Advice are changes of role that would help the node's pools.
+	// Advice lists recommended role changes for the pools that the node owns.
 	Advice  []rolechange.Advice `json:"advice,omitempty"`
 	Metrics json.RawMessage     `json:"metrics"`
 }
@@ -248,7 +250,8 @@
 	})
 }
 
-// fillHeartbeat adds what the other packages tell to peers.
+// fillHeartbeat adds the versions of the configuration and the machine list, which peers compare
+// with their own.
 func (c *Core) fillHeartbeat(heartbeat *peerpb.Heartbeat) {
 	heartbeat.ConfigurationVersion = c.Configuration.Current().Version()
 	heartbeat.MachinesRevision = c.Machines.Revision()
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -8,7 +8,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// fleet gathers what all nodes know, for the operators' API.
+// fleet collects the status and events of all live nodes for the operators' API.
 type fleet struct{ core *Core }
 
 // Status implements operator.Fleet.
--- a/node/handle.go
+++ b/node/handle.go
@@ -16,12 +16,12 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// doneResponse returns a fresh response, since the server stamps it.
+// doneResponse returns a new response each time, since the server writes a timestamp into it.
 func doneResponse() *peerpb.Response {
 	return &peerpb.Response{Body: &peerpb.Response_Done{Done: &peerpb.Done{}}}
 }
 
-// handle answers the calls of other nodes, and those of the node to itself.
+// handle serves calls of other nodes and of the node to itself.
 func (c *Core) handle(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_Heartbeat:
@@ -38,26 +38,26 @@
 		data, err := c.Status()
 		return &peerpb.Response{Body: &peerpb.Response_Status{Status: &peerpb.StatusReport{Status: data}}}, err
 	default:
-		return c.handleWork(ctx, request)
+		return c.handleRequestCall(ctx, request)
 	}
 }
 
-// handleWork answers the calls that belong to requests.
-func (c *Core) handleWork(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
+// handleRequestCall serves the calls that concern callers' requests.
+func (c *Core) handleRequestCall(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_Grant:
-		return granted(c.Owner.HandleGrant(ctx, body.Grant))
+		return grantedResponse(c.Owner.HandleGrant(ctx, body.Grant))
 	case *peerpb.Request_Progress:
-		return granted(c.Owner.HandleProgress(ctx, body.Progress))
+		return grantedResponse(c.Owner.HandleProgress(ctx, body.Progress))
 	case *peerpb.Request_Release:
 		c.Owner.HandleRelease(body.Release)
 		return doneResponse(), nil
 	case *peerpb.Request_Restore:
 		return doneResponse(), c.Owner.HandleRestore(ctx, body.Restore)
 	case *peerpb.Request_Register:
-		return registered(c.directory.Register(body.Register))
+		return registeredResponse(c.directory.Register(body.Register))
 	case *peerpb.Request_Yield:
-		return registered(c.Completions.HandleYield(ctx, body.Yield))
+		return registeredResponse(c.Completions.HandleYield(ctx, body.Yield))
 	case *peerpb.Request_Claim:
 		return c.handleClaim(ctx, body.Claim)
 	case *peerpb.Request_ReportCrashes, *peerpb.Request_AnnounceCrashes:
@@ -69,15 +69,15 @@
 	}
 }
 
-func granted(result *peerpb.Granted, err error) (*peerpb.Response, error) {
+func grantedResponse(result *peerpb.Granted, err error) (*peerpb.Response, error) {
 	return &peerpb.Response{Body: &peerpb.Response_Granted{Granted: result}}, err
 }
 
-func registered(result *peerpb.Registered, err error) (*peerpb.Response, error) {
+func registeredResponse(result *peerpb.Registered, err error) (*peerpb.Response, error) {
 	return &peerpb.Response{Body: &peerpb.Response_Registered{Registered: result}}, err
 }
 
-func content(data []byte) *peerpb.Response {
+func contentResponse(data []byte) *peerpb.Response {
 	return &peerpb.Response{Body: &peerpb.Response_Content{Content: &peerpb.Content{Data: data}}}
 }
 
@@ -89,7 +89,7 @@
 	} else {
 		data, err = configuration.EncodeHead(c.Configuration.Current().Head)
 	}
-	return content(data), errors.Wrap(err, "encode head")
+	return contentResponse(data), errors.Wrap(err, "encode head")
 }
 
 func (c *Core) handleFetchPart(fetch *peerpb.FetchPart) (*peerpb.Response, error) {
@@ -97,7 +97,7 @@
 	if !ok {
 		return nil, configuration.ErrNoPart
 	}
-	return content(data), nil
+	return contentResponse(data), nil
 }
 
 func (c *Core) handleFetchTimeline(fetch *peerpb.FetchTimeline) (*peerpb.Response, error) {
@@ -106,44 +106,44 @@
 	return &peerpb.Response{Body: &peerpb.Response_Timeline{Timeline: &peerpb.Timeline{Events: data}}}, errors.Wrap(err, "encode events")
 }
 
-func (c *Core) handleClaim(ctx context.Context, asked *peerpb.Claim) (*peerpb.Response, error) {
-	key, err := claim.ParseKey(asked.GetTenant(), asked.GetKey())
+func (c *Core) handleClaim(ctx context.Context, request *peerpb.Claim) (*peerpb.Response, error) {
+	key, err := claim.ParseKey(request.GetTenant(), request.GetKey())
 	if err != nil {
 		return nil, err
 	}
-	return doneResponse(), c.claimWriter.Claim(ctx, key, asked.GetClaimId(), asked.GetBodyDigest())
+	return doneResponse(), c.claimWriter.Claim(ctx, key, request.GetClaimId(), request.GetBodyDigest())
 }
 
-func (c *Core) handleReleaseClaim(ctx context.Context, asked *peerpb.ReleaseClaim) (*peerpb.Response, error) {
-	key, err := claim.ParseKey(asked.GetTenant(), asked.GetKey())
+func (c *Core) handleReleaseClaim(ctx context.Context, request *peerpb.ReleaseClaim) (*peerpb.Response, error) {
+	key, err := claim.ParseKey(request.GetTenant(), request.GetKey())
 	if err != nil {
 		return nil, err
 	}
-	return doneResponse(), c.claimWriter.Withdraw(ctx, key, asked.GetClaimId())
+	return doneResponse(), c.claimWriter.Withdraw(ctx, key, request.GetClaimId())
 }
 
-// gatherTimeout bounds a question to all nodes.
+// gatherTimeout bounds a call to all nodes.
 const gatherTimeout = 3 * time.Second
 
-// gather asks every live node and returns the answers that came.
+// gather calls every live node. The response of a node that failed to answer is nil.
 func (c *Core) gather(ctx context.Context, request func() *peerpb.Request) []*peerpb.Response {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	members := c.Cluster.Live()
 	responses := make([]*peerpb.Response, len(members))
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, member := range members {
-		asked.Add(1)
+		calls.Add(1)
 		go func() {
-			defer asked.Done()
-			responses[i] = c.askMember(ctx, member, request())
+			defer calls.Done()
+			responses[i] = c.callMember(ctx, member, request())
 		}()
 	}
-	asked.Wait()
+	calls.Wait()
 	return responses
 }
 
-func (c *Core) askMember(ctx context.Context, member membership.Member, request *peerpb.Request) *peerpb.Response {
+func (c *Core) callMember(ctx context.Context, member membership.Member, request *peerpb.Request) *peerpb.Response {
 	response, err := c.Cluster.Call(ctx, member, request)
 	if err != nil {
 		c.Metrics.Add("gather_errors", 1)
--- a/node/node.go
+++ b/node/node.go
@@ -32,51 +32,52 @@
 	// maxConcurrentStreams bounds the HTTP/2 streams of one caller's connection.
 	maxConcurrentStreams = 256
 	backendDialTimeout   = time.Second
-	// maxIdlePerBackend bounds the idle connections to one engine or replica.
+	// maxIdlePerBackend bounds the idle connections to one engine or service replica.
 	maxIdlePerBackend = 64
 	stopTimeout       = 5 * time.Second
 )
 
 // Node is a node with its listeners.
 type Node struct {
-	settings *settings.Settings
-	core     *Core
-	logger   *slog.Logger
-	callers  *http.Server
-	operator *http.Server
-	peers    *tlsfiles.Source
-	outside  *tlsfiles.Source
+	settings       *settings.Settings
+	core           *Core
+	logger         *slog.Logger
+	callerServer   *http.Server
+	operatorServer *http.Server
+	// peerTLS and callerTLS are nil without TLS. Operators are served with callerTLS, too.
+	peerTLS   *tlsfiles.Source
+	callerTLS *tlsfiles.Source
 }
 
-// New assembles a node from checked settings.
-func New(from *settings.Settings, logger *slog.Logger) (*Node, error) {
-	counting, err := clock.Boot()
+// New assembles a node from validated settings.
+func New(parsed *settings.Settings, logger *slog.Logger) (*Node, error) {
+	bootClock, err := clock.Boot()
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{settings: from, logger: logger}
+	n := &Node{settings: parsed, logger: logger}
 	if err := n.loadTLS(); err != nil {
 		return nil, err
 	}
 	transport := newTransport()
-	store := objectapi.NewClient(from.PlatformAddress, transport)
+	store := objectapi.NewClient(parsed.PlatformAddress, transport)
 	n.core = NewCore(CoreOptions{
-		Name: from.Name, Zone: from.Zone, PeerAddress: from.PeerAddress, Seeds: from.Seeds,
-		LeaseNow: counting.Exact,
+		Name: parsed.Name, Zone: parsed.Zone, PeerAddress: parsed.PeerAddress, Seeds: parsed.Seeds,
+		LeaseNow: bootClock.Exact,
 		Dial:     n.dialPeer, Store: store, Engines: engine.NewClient(transport),
-		Membership:   membership.Options{Interval: from.HeartbeatInterval},
-		ResumeWindow: from.ResumeWindow,
+		Membership:   membership.Options{Interval: parsed.HeartbeatInterval},
+		ResumeWindow: parsed.ResumeWindow,
 	})
-	n.callers = n.newServer(CallerHandler(n.core, transport, from.MaxBodyBytes))
+	n.callerServer = n.newServer(CallerHandler(n.core, transport, parsed.MaxBodyBytes))
 	handler, err := n.operatorHandler(store)
 	if err != nil {
 		return nil, err
 	}
-	n.operator = n.newServer(handler)
+	n.operatorServer = n.newServer(handler)
 	return n, nil
 }
 
-// newTransport returns the connections to engines, services and the platform.
+// newTransport returns the transport for engines, services and the platform.
 func newTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: backendDialTimeout}
 	return &http.Transport{
@@ -88,33 +89,33 @@
 func (n *Node) loadTLS() error {
 	var err error
 	if n.settings.PeerCertificate != "" {
-		n.peers, err = tlsfiles.NewSource(tlsfiles.Files{
+		n.peerTLS, err = tlsfiles.NewSource(tlsfiles.Files{
 			Certificate: n.settings.PeerCertificate, Key: n.settings.PeerKey, Authority: n.settings.PeerAuthority,
 		})
 		if err != nil {
-			return errors.Wrap(err, "TLS between nodes")
+			return errors.Wrap(err, "load TLS files for connections between nodes")
 		}
 	}
 	if n.settings.CallerCertificate != "" {
-		n.outside, err = tlsfiles.NewSource(tlsfiles.Files{Certificate: n.settings.CallerCertificate, Key: n.settings.CallerKey})
+		n.callerTLS, err = tlsfiles.NewSource(tlsfiles.Files{Certificate: n.settings.CallerCertificate, Key: n.settings.CallerKey})
 	}
-	return errors.Wrap(err, "TLS to callers")
+	return errors.Wrap(err, "load TLS files for callers and operators")
 }
 
 func (n *Node) dialPeer(ctx context.Context, address string) (net.Conn, error) {
-	dialer := &net.Dialer{}
-	if n.peers == nil {
-		return dialer.DialContext(ctx, "tcp", address)
+	plain := &net.Dialer{}
+	if n.peerTLS == nil {
+		return plain.DialContext(ctx, "tcp", address)
 	}
-	secured := &tls.Dialer{NetDialer: dialer, Config: n.peers.ClientConfig()}
-	return secured.DialContext(ctx, "tcp", address)
+	dialer := &tls.Dialer{NetDialer: plain, Config: n.peerTLS.ClientConfig()}
+	return dialer.DialContext(ctx, "tcp", address)
 }
 
 func (n *Node) newServer(handler http.Handler) *http.Server {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
 	protocols.SetHTTP2(true)
-	protocols.SetUnencryptedHTTP2(n.outside == nil)
+	protocols.SetUnencryptedHTTP2(n.callerTLS == nil)
 	return &http.Server{
 		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes, Protocols: protocols,
@@ -123,7 +124,7 @@
 	}
 }
 
-// CallerHandler returns the chain that every caller's request passes.
+// CallerHandler returns the handler of the callers' API with its filters.
 func CallerHandler(core *Core, transport http.RoundTripper, maxBodyBytes int64) http.Handler {
 	services := service.NewHandler(service.Options{
 		Claims: core.Claims, Transport: transport, Metrics: core.Metrics, Events: core.Events, Leaving: core.Machines.IsLeaving,
@@ -157,7 +158,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// operatorHandler serves the operators' API, the counters and the profiles.
+// operatorHandler returns the handler of the operators' API, the metrics and the profiles.
 func (n *Node) operatorHandler(store objectapi.Store) (http.Handler, error) {
 	handler, err := operator.NewHandler(operator.Options{
 		Configuration: n.core.Configuration, Store: store, Fleet: fleet{n.core}, SeesHalf: n.core.SeesHalf,
@@ -177,8 +178,8 @@
 	return mux, nil
 }
 
-// Run serves until the context ends, and then stops as planned: unready first,
-// then without new connections, then when the last request has ended.
+// Run serves until the context is done and then shuts down gracefully: it makes
+// the node unready, closes the listeners, and waits for the requests in flight.
 func (n *Node) Run(ctx context.Context) error {
 	listeners, err := n.listen()
 	if err != nil {
@@ -189,8 +190,8 @@
 	defer stopCore()
 	var group errgroup.Group
 	group.Go(func() error { return n.core.Run(coreCtx, listeners.peers) })
-	group.Go(func() error { return ignoreClosed(n.callers.Serve(listeners.callers)) })
-	group.Go(func() error { return ignoreClosed(n.operator.Serve(listeners.operator)) })
+	group.Go(func() error { return ignoreClosed(n.callerServer.Serve(listeners.callers)) })
+	group.Go(func() error { return ignoreClosed(n.operatorServer.Serve(listeners.operator)) })
 	<-ctx.Done()
 	n.stop()
 	stopCore()
@@ -199,22 +200,22 @@
 	return err
 }
 
-// stop drains the node.
+// stop drains the node and shuts its servers down.
 func (n *Node) stop() {
 	n.logger.Info("node draining", "name", n.settings.Name)
 	n.core.Drain()
 	time.Sleep(n.settings.DrainDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.DrainTimeout)
 	defer cancel()
-	if err := n.callers.Shutdown(ctx); err != nil {
+	if err := n.callerServer.Shutdown(ctx); err != nil {
 		n.logger.Warn("requests were cut off", "error", err)
-		_ = n.callers.Close()
+		_ = n.callerServer.Close()
 	}
 	n.core.Completions.WaitCancels()
 	operatorCtx, cancelOperator := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancelOperator()
-	if err := n.operator.Shutdown(operatorCtx); err != nil {
-		_ = n.operator.Close()
+	if err := n.operatorServer.Shutdown(operatorCtx); err != nil {
+		_ = n.operatorServer.Close()
 	}
 }
 
@@ -225,30 +226,30 @@
 	return err
 }
 
-// listeners are the node's open ports.
+// listeners are the node's open listeners.
 type listeners struct {
 	callers, peers, operator net.Listener
 }
 
 func (n *Node) listen() (*listeners, error) {
-	opened := &listeners{}
-	for _, port := range []struct {
+	bound := &listeners{}
+	for _, endpoint := range []struct {
 		address string
 		source  *tlsfiles.Source
 		target  *net.Listener
 	}{
-		{n.settings.CallerAddress, n.outside, &opened.callers},
-		{n.settings.PeerAddress, n.peers, &opened.peers},
-		{n.settings.OperatorAddress, n.outside, &opened.operator},
+		{n.settings.CallerAddress, n.callerTLS, &bound.callers},
+		{n.settings.PeerAddress, n.peerTLS, &bound.peers},
+		{n.settings.OperatorAddress, n.callerTLS, &bound.operator},
 	} {
-		listener, err := net.Listen("tcp", port.address)
+		listener, err := net.Listen("tcp", endpoint.address)
 		if err != nil {
-			return nil, errors.Wrapf(err, "listen on %s", port.address)
+			return nil, errors.Wrapf(err, "listen on %s", endpoint.address)
 		}
-		if port.source != nil {
-			listener = tls.NewListener(listener, port.source.ServerConfig())
+		if endpoint.source != nil {
+			listener = tls.NewListener(listener, endpoint.source.ServerConfig())
 		}
-		*port.target = listener
+		*endpoint.target = listener
 	}
-	return opened, nil
+	return bound, nil
 }
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -11,31 +11,31 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// archiveInterval is how often the keeper of quarantines looks whether the platform has them all.
+// archiveInterval is how often the quarantine coordinator checks that the platform has all quarantines.
 const archiveInterval = time.Second
 
-// assembleQuarantine builds what knows of requests that crash engines.
+// assembleQuarantine builds the components that track requests which crash engines.
 func (c *Core) assembleQuarantine() {
 	origin := c.options.LeaseNow()
 	now := func() time.Duration { return c.options.LeaseNow().Sub(origin) }
-	keeper := quarantine.NewCoordinator(quarantine.CoordinatorOptions{Announce: c.announceQuarantine, Now: now})
+	local := quarantine.NewCoordinator(quarantine.CoordinatorOptions{Announce: c.announceQuarantine, Now: now})
 	c.quarantines = quarantine.NewClient(quarantine.ClientOptions{
-		Coordinators: ownerChoice{c}, Peers: c.client, Local: keeper, Now: now,
+		Coordinators: ownerLocator{c}, Peers: c.client, Local: local, Now: now,
 	})
-	c.quarantineArchive = quarantine.NewArchive(c.options.Store, keeper, slog.Default(), c.options.Now)
+	c.quarantineArchive = quarantine.NewArchive(c.options.Store, local, slog.Default(), c.options.Now)
 }
 
-// announceQuarantine tells all live nodes of a request. One that misses it asks the keeper for all when
-// it has found another keeper, or meets the keeper's word at the next crash.
-func (c *Core) announceQuarantine(told quarantine.Announcement) {
-	c.Events.Record(timeline.Event{Kind: "request-standing", Detail: told.Request.String()})
+// announceQuarantine sends a request's quarantine status to all live nodes. A node that misses it requests
+// all announcements when another coordinator is chosen, or receives the status at the next crash.
+func (c *Core) announceQuarantine(announcement quarantine.Announcement) {
+	c.Events.Record(timeline.Event{Kind: "request-standing", Detail: announcement.Request.String()})
 	go c.gather(context.Background(), func() *peerpb.Request {
-		return &peerpb.Request{Body: &peerpb.Request_AnnounceCrashes{AnnounceCrashes: quarantine.EncodeAnnouncement(told)}}
+		return &peerpb.Request{Body: &peerpb.Request_AnnounceCrashes{AnnounceCrashes: quarantine.EncodeAnnouncement(announcement)}}
 	})
 }
 
-// keepArchive keeps the quarantines in the platform while this node is their keeper.
-func (c *Core) keepArchive(ctx context.Context) {
+// reconcileArchive persists the quarantines in the platform while this node is the quarantine coordinator.
+func (c *Core) reconcileArchive(ctx context.Context) {
 	if !c.quarantines.IsCoordinator() {
 		c.quarantineArchive.Reset()
 		return
@@ -43,22 +43,22 @@
 	c.quarantineArchive.Reconcile(ctx)
 }
 
-// ownerChoice chooses who coordinates something for all nodes: the owner of its name.
-type ownerChoice struct{ core *Core }
+// ownerLocator selects as the coordinator of a scope the node that owns its name.
+type ownerLocator struct{ core *Core }
 
-var _ coordinator.Locator = ownerChoice{}
+var _ coordinator.Locator = ownerLocator{}
 
 // Coordinator implements coordinator.Locator.
-func (o ownerChoice) Coordinator(scope string) (address string, found bool) {
+func (o ownerLocator) Coordinator(scope string) (address string, found bool) {
 	owner, err := o.core.Cluster.Owner("", scope)
 	return owner.Address, err == nil
 }
 
 // Own implements coordinator.Locator.
-func (o ownerChoice) Own() string { return o.core.options.PeerAddress }
+func (o ownerLocator) Own() string { return o.core.options.PeerAddress }
 
-// Answered implements coordinator.Locator. Heartbeats tell who lives.
-func (o ownerChoice) Answered(string) {}
+// Answered implements coordinator.Locator. Heartbeats already detect live nodes.
+func (o ownerLocator) Answered(string) {}
 
-// Missed implements coordinator.Locator. Heartbeats tell who is gone.
-func (o ownerChoice) Missed(string, error) {}
+// Missed implements coordinator.Locator. Heartbeats already detect failed nodes.
+func (o ownerLocator) Missed(string, error) {}
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -9,56 +9,57 @@
 )
 
 const (
-	// isolationLimit is how old the platform's last answer may be for a node that
-	// does not hear most of the fleet to go on taking new work. With the time in
-	// which the silence is noticed and a probe of the platform it stays below the
-	// 6 s within which a configuration is in force everywhere.
+	// isolationLimit is the greatest age of the platform's last answer at which a
+	// node without contact to most of the fleet still accepts new requests. Together
+	// with the time until the loss of contact is detected and a probe of the platform
+	// it stays below the 6 s within which a configuration is in force everywhere.
 	isolationLimit = 1500 * time.Millisecond
-	// probeTimeout bounds one question to the platform.
+	// probeTimeout bounds one probe of the platform.
 	probeTimeout = time.Second
 )
 
-// AcceptsWork reports whether the node takes new requests: it holds a
-// configuration and is not cut off.
+// AcceptsWork reports whether the node accepts new requests: it has a
+// configuration and is not isolated.
 func (c *Core) AcceptsWork() bool {
 	state := c.Table.Self().State
 	return state != membership.StateStarting && !c.isolated.Load()
 }
 
-// IsReady reports whether the balancer should send callers to the node.
+// IsReady reports whether the load balancer should send callers to the node.
 func (c *Core) IsReady() bool {
 	return c.AcceptsWork() && !c.draining.Load()
 }
 
-// hearsEnough reports whether the node hears most of the fleet, or never heard
-// anyone. A change is accepted only at a node that hears at least half of the
-// fleet, so it cannot be accepted out of the sight of a node that hears more.
-func (c *Core) hearsEnough() bool {
+// hasEnoughContact reports whether the node is in contact with most of the fleet,
+// or has never been in contact with any other node. A change is accepted only at
+// a node in contact with at least half of the fleet, so a node in contact with
+// more than half cannot miss it.
+func (c *Core) hasEnoughContact() bool {
 	now := c.options.Now()
-	hears, everDid := c.Table.HasLiveContact(now)
-	if !everDid {
+	hasContact, everHad := c.Table.HasLiveContact(now)
+	if !everHad {
 		return true
 	}
-	return hears && c.Table.SeesRecentMajority(now)
+	return hasContact && c.Table.SeesRecentMajority(now)
 }
 
-// SeesHalf reports whether the node hears at least half of the fleet. Then no node
-// that it does not hear can hear most of the fleet.
+// SeesHalf reports whether the node is in contact with at least half of the fleet.
+// Then no node without contact to it can be in contact with more than half.
 func (c *Core) SeesHalf() bool { return c.Table.SeesHalf(c.options.Now()) }
 
-// reconcileIsolation stops new work at a node that neither hears most of the
-// fleet nor reaches the platform: a newer configuration may be in force
-// elsewhere. An outage of the platform alone is no reason to stop.
+// reconcileIsolation makes the node reject new requests while it neither is in
+// contact with most of the fleet nor reaches the platform: a newer configuration
+// may be in force elsewhere. An outage of the platform alone does not isolate it.
 func (c *Core) reconcileIsolation(ctx context.Context) {
-	if c.hearsEnough() {
+	if c.hasEnoughContact() {
 		c.setIsolated(false)
 		return
 	}
-	probing, cancel := context.WithTimeout(ctx, probeTimeout)
+	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	c.syncer.Probe(probing)
-	silence := c.options.Now().UnixNano() - c.confirmedAt.Load()
-	c.setIsolated(silence > isolationLimit.Nanoseconds())
+	c.syncer.Probe(probeCtx)
+	answerAge := c.options.Now().UnixNano() - c.platformAnsweredAt.Load()
+	c.setIsolated(answerAge > isolationLimit.Nanoseconds())
 }
 
 func (c *Core) setIsolated(isolated bool) {
@@ -74,7 +75,7 @@
 }
 
 // reconcileReadiness makes a starting node ready once it has the newest
-// configuration that the platform or, while it is down, the peers hold.
+// configuration of the platform or, while the platform is down, of the peers.
 func (c *Core) reconcileReadiness(ctx context.Context) {
 	c.reconcileIsolation(ctx)
 	if c.draining.Load() || c.Table.Self().State != membership.StateStarting {
@@ -83,8 +84,8 @@
 	if !c.syncer.Synced() || c.Configuration.Current().Version() == 0 {
 		return
 	}
-	// Every peer gets the time to make itself known and to tell its version: nodes
-	// that do not know each other yet would keep the same records at other places.
+	// Every peer needs time to send a heartbeat with its version: nodes that have no
+	// record of each other yet would place the same records on different nodes.
 	if c.options.Now().Sub(c.started) < 2*c.options.Membership.Interval {
 		return
 	}
@@ -93,8 +94,8 @@
 	c.members.Announce()
 }
 
-// Drain makes the node unready and hands what it owns to the other nodes.
-// Requests in flight go on.
+// Drain makes the node unready and hands over what it owns to the other nodes.
+// Requests in flight continue.
 func (c *Core) Drain() {
 	if c.draining.Swap(true) {
 		return
--- a/node/store.go
+++ b/node/store.go
@@ -10,15 +10,15 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// observedStore tells whenever the platform answers.
+// observedStore calls onAnswer whenever the platform answers a read.
 type observedStore struct {
 	objectapi.Store
-	answered func()
+	onAnswer func()
 }
 
 func (s *observedStore) observe(err error) {
 	if err == nil || errors.Is(err, objectapi.ErrNotFound) {
-		s.answered()
+		s.onAnswer()
 	}
 }
 
@@ -41,7 +41,7 @@
 	return strconv.FormatUint(version, decimal)
 }
 
-// holderName identifies one start of a node in leases.
+// holderName identifies one incarnation of a node as the holder of leases.
 func holderName(self membership.Member) string {
 	return self.Name + "/" + versionText(self.Incarnation)
 }
