--- a/operator/accept.go
+++ b/operator/accept.go
@@ -16,19 +16,21 @@
 	// Configuration is the node's configuration, which an accepted plan advances.
 	Configuration *configuration.Holder
 	Store         objectapi.Store
-	// SeesHalf reports whether the node hears at least half of the fleet; nil
-	// means that it does. The others could not be told of a change.
+	// SeesHalf reports whether the node is in contact with at least half of the
+	// fleet; nil means that it is. A node in contact with less cannot accept a
+	// change: most of the fleet would not learn of it.
 	SeesHalf func() bool
 }
 
-// errParted refuses a change that most of the fleet would not learn of. Nodes that
-// hear more than half of the fleet go on by their version when the platform does
-// not answer them, so a change may only be accepted where at least half is heard.
-var errParted = api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun,
-	"this node hears less than half of the fleet; confirm through a node that hears more, or when the fleet is whole again").WithRetryAfter(partedRetryAfter)
+// errPartitioned rejects a change that most of the fleet would not learn of. Nodes in
+// contact with more than half of the fleet keep serving their version while the
+// platform does not answer them, so a change may only be accepted at a node in
+// contact with at least half.
+var errPartitioned = api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun,
+	"this node hears less than half of the fleet; confirm through a node that hears more, or when the fleet is whole again").WithRetryAfter(partitionRetryAfter)
 
-// typed turns the errors of an acceptance into those of the API.
-func typed(err error) error {
+// apiError converts an error of Accept to one of the API.
+func apiError(err error) error {
 	var conflict *configuration.ErrConflict
 	var known *api.Error
 	var found *FindingsError
@@ -43,9 +45,9 @@
 	}
 }
 
-// Accept computes the plan again from the newest configuration and publishes
-// what it leads to. The digest identifies the change, so a confirmation whose
-// reply was lost can be repeated.
+// Accept computes the plan again from the newest configuration and publishes the
+// resulting configuration. The digest identifies the change, so a confirmation
+// whose response was lost can be repeated.
 func (a Acceptor) Accept(ctx context.Context, plan *Plan) (configuration.Head, error) {
 	head, err := configuration.ReadHead(ctx, a.Store)
 	if err != nil {
@@ -61,7 +63,7 @@
 		return configuration.Head{}, &configuration.ErrConflict{Planned: plan.BaseVersion, Current: head.Version, Moved: head.Moved}
 	}
 	if a.SeesHalf != nil && !a.SeesHalf() {
-		return configuration.Head{}, errParted
+		return configuration.Head{}, errPartitioned
 	}
 	current := a.Configuration.Current()
 	computed, next, err := MakePlan(current, plan.Intent)
@@ -75,8 +77,8 @@
 	if err != nil {
 		return configuration.Head{}, err
 	}
-	// The node serves the new version at once; the others learn it from the watch.
-	// So does this one if it fails here: the change stands.
+	// This node applies the new version at once; the others learn of it through the
+	// watch. So does this node if the call fails: the change has been accepted.
 	_ = a.Configuration.Advance(ctx, published, configuration.FromStore(a.Store))
 	return published, nil
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -17,7 +17,7 @@
 
 const clientTimeout = 15 * time.Second
 
-// ErrUnreachable means that the node did not answer.
+// ErrUnreachable reports that the node did not answer.
 var ErrUnreachable = errors.New("operator: node cannot be reached")
 
 // Client calls the operators' API of one node.
@@ -54,7 +54,7 @@
 	return statuses, c.call(ctx, http.MethodGet, PathStatus, nil, nil, &statuses)
 }
 
-// Timeline returns the events of every node in order.
+// Timeline returns the selected events of all nodes in order.
 func (c *Client) Timeline(ctx context.Context, filter timeline.Filter) ([]timeline.Event, error) {
 	var events []timeline.Event
 	query := url.Values{"request": {filter.Request}, "engine": {filter.Engine}, "tenant": {filter.Tenant}}
@@ -68,7 +68,7 @@
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
-			return errors.Wrap(err, "encode body")
+			return errors.Wrap(err, "encode request body")
 		}
 		reader = bytes.NewReader(data)
 	}
@@ -88,19 +88,20 @@
 		return errors.CombineErrors(ErrUnreachable, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return replyError(response.StatusCode, data)
+		return responseError(response.StatusCode, data)
 	}
-	return errors.Wrap(json.Unmarshal(data, result), "decode reply")
+	return errors.Wrap(json.Unmarshal(data, result), "decode response")
 }
 
-func replyError(status int, data []byte) error {
-	var found findingsBody
-	if json.Unmarshal(data, &found) == nil && len(found.Findings) > 0 {
-		return &FindingsError{found.Findings}
+// responseError decodes the error in a response.
+func responseError(status int, data []byte) error {
+	var body findingsBody
+	if json.Unmarshal(data, &body) == nil && len(body.Findings) > 0 {
+		return &FindingsError{body.Findings}
 	}
-	failure := &api.Error{Status: status}
-	if json.Unmarshal(data, failure) != nil || failure.Code == "" {
-		return errors.Newf("status %d", status)
+	apiErr := &api.Error{Status: status}
+	if json.Unmarshal(data, apiErr) != nil || apiErr.Code == "" {
+		return errors.Newf("node answered with HTTP status %d", status)
 	}
-	return failure
+	return apiErr
 }
--- a/operator/plan.go
+++ b/operator/plan.go
@@ -14,7 +14,7 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// Action is what an intent does.
+// Action is the kind of an intent.
 type Action string
 
 // The actions of an Intent.
@@ -27,21 +27,22 @@
 	ActionEngine Action = "engine"
 )
 
-// Intent is what an operator wants.
+// Intent is a change that an operator requests.
 type Intent struct {
 	Action Action `json:"action"`
 	// Objects are the objects to apply.
 	Objects api.Configuration `json:"objects,omitzero"`
 	// References name objects to remove, such as "tenants/x".
 	References []string `json:"references,omitempty"`
-	// Engine names the engine to change, and the fields below what to change.
+	// Engine is the engine to change. The fields below hold the new values; empty
+	// ones leave the engine as it is.
 	Engine       string   `json:"engine,omitempty"`
 	Role         api.Role `json:"role,omitempty"`
 	ModelVersion string   `json:"model_version,omitempty"`
 	Adapter      string   `json:"adapter,omitempty"`
 }
 
-// ChangeKind is what happens to an object.
+// ChangeKind is the kind of a change.
 type ChangeKind string
 
 // The kinds of a Change.
@@ -51,7 +52,7 @@
 	ChangeDelete ChangeKind = "delete"
 )
 
-// Change is one object that a plan touches, with the digests of its forms.
+// Change is one object that a plan changes, with its digests before and after.
 type Change struct {
 	Reference string     `json:"reference"`
 	Kind      ChangeKind `json:"kind"`
@@ -59,37 +60,38 @@
 	After     string     `json:"after,omitempty"`
 }
 
-// PlannedOrder is an order that an engine will get.
+// PlannedOrder is an order that will be sent to an engine.
 type PlannedOrder struct {
 	Pool   string           `json:"pool"`
 	Engine string           `json:"engine"`
 	Kind   engine.OrderKind `json:"kind"`
 	Value  string           `json:"value"`
-	// ChecksFence states how the order is protected against an earlier holder.
+	// ChecksFence is set if the engine rejects orders of an earlier lease holder by
+	// their fencing token. Otherwise a new holder waits before its first order.
 	ChecksFence bool `json:"checks_fence"`
 }
 
-// Plan is the reply to an intent.
+// Plan is the response to an intent.
 type Plan struct {
 	BaseVersion uint64         `json:"base_version"`
 	Intent      Intent         `json:"intent"`
 	Changes     []Change       `json:"changes"`
 	Orders      []PlannedOrder `json:"orders,omitempty"`
-	// Digest covers all of the above.
+	// Digest covers the fields above.
 	Digest string `json:"digest"`
 }
 
-// FindingsError carries every finding of an intent.
+// FindingsError reports all findings of an intent.
 type FindingsError struct{ Findings api.Findings }
 
 // Error implements error.
 func (e *FindingsError) Error() string { return e.Findings.String() }
 
-// MakePlan computes the plan of an intent and the configuration it leads to. It
-// returns a *FindingsError if that configuration has faults.
+// MakePlan computes the plan of an intent and the resulting configuration. It
+// returns a *FindingsError if that configuration is invalid.
 func MakePlan(current *configuration.Snapshot, intent Intent) (*Plan, *api.Configuration, error) {
-	standing := current.Merged()
-	next, err := clone(standing)
+	before := current.Merged()
+	next, err := clone(before)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -111,10 +113,10 @@
 		return nil, nil, &FindingsError{findings}
 	}
 	plan := &Plan{BaseVersion: current.Version(), Intent: intent}
-	if err := plan.compare(standing, next); err != nil {
+	if err := plan.addChanges(before, next); err != nil {
 		return nil, nil, err
 	}
-	return plan, next, plan.seal()
+	return plan, next, plan.setDigest()
 }
 
 func clone(original *api.Configuration) (*api.Configuration, error) {
@@ -134,13 +136,13 @@
 }
 
 // merge replaces the objects of the same name and adds the others. An object
-// that stands twice in added stays twice, for the validation to report.
-func merge[T any](standing, added []T, name func(T) string) []T {
+// that occurs twice in added is kept twice, so that the validation reports it.
+func merge[T any](existing, added []T, name func(T) string) []T {
 	replaced := map[string]bool{}
 	for _, object := range added {
 		replaced[name(object)] = true
 	}
-	merged := slices.DeleteFunc(standing, func(object T) bool { return replaced[name(object)] })
+	merged := slices.DeleteFunc(existing, func(object T) bool { return replaced[name(object)] })
 	return append(merged, added...)
 }
 
@@ -186,8 +188,8 @@
 	findings.Addf("engine", "%q is not configured", intent.Engine)
 }
 
-// compare fills the changes and orders.
-func (p *Plan) compare(before, after *api.Configuration) error {
+// addChanges fills in the changes and orders that lead from before to after.
+func (p *Plan) addChanges(before, after *api.Configuration) error {
 	old, err := configuration.Objects(before)
 	if err != nil {
 		return err
@@ -197,11 +199,11 @@
 		return err
 	}
 	for reference, digest := range wanted {
-		switch standing, exists := old[reference]; {
+		switch previous, exists := old[reference]; {
 		case !exists:
 			p.Changes = append(p.Changes, Change{Reference: reference, Kind: ChangeCreate, After: digest})
-		case standing != digest:
-			p.Changes = append(p.Changes, Change{Reference: reference, Kind: ChangeUpdate, Before: standing, After: digest})
+		case previous != digest:
+			p.Changes = append(p.Changes, Change{Reference: reference, Kind: ChangeUpdate, Before: previous, After: digest})
 		}
 	}
 	for reference, digest := range old {
@@ -224,18 +226,18 @@
 	var orders []PlannedOrder
 	for _, pool := range after.Pools {
 		for _, member := range pool.Engines {
-			standing, existed := old[member.Name]
+			previous, existed := old[member.Name]
 			add := func(kind engine.OrderKind, value string) {
 				orders = append(orders, PlannedOrder{Pool: pool.Name, Engine: member.Name, Kind: kind, Value: value, ChecksFence: pool.ChecksFence})
 			}
-			if existed && standing.Role != member.Role {
+			if existed && previous.Role != member.Role {
 				add(engine.OrderRole, string(member.Role))
 			}
-			if member.ModelVersion != "" && standing.ModelVersion != member.ModelVersion {
+			if member.ModelVersion != "" && previous.ModelVersion != member.ModelVersion {
 				add(engine.OrderModel, member.ModelVersion)
 			}
 			for _, adapter := range member.Adapters {
-				if !slices.Contains(standing.Adapters, adapter) {
+				if !slices.Contains(previous.Adapters, adapter) {
 					add(engine.OrderAdapter, adapter)
 				}
 			}
@@ -244,7 +246,7 @@
 	return orders
 }
 
-func (p *Plan) seal() error {
+func (p *Plan) setDigest() error {
 	p.Digest = ""
 	data, err := json.Marshal(p)
 	if err != nil {
@@ -255,7 +257,7 @@
 	return nil
 }
 
-// ChangedReferences names the objects that the plan touches.
+// ChangedReferences returns the references of the objects that the plan changes.
 func (p *Plan) ChangedReferences() []string {
 	references := make([]string, len(p.Changes))
 	for i, change := range p.Changes {
--- a/operator/server.go
+++ b/operator/server.go
@@ -27,29 +27,30 @@
 )
 
 const (
-	// maxBodyBytes bounds an intent.
+	// maxBodyBytes bounds a request body: an intent or a plan.
 	maxBodyBytes = 16 << 20
-	// confirmTimeout bounds the work of a confirmation at the platform.
+	// confirmTimeout bounds the calls to the platform during a confirmation.
 	confirmTimeout = 8 * time.Second
 	retryAfter     = 2 * time.Second
-	// partedRetryAfter is when to confirm again if the fleet is parted.
-	partedRetryAfter = 10 * time.Second
+	// partitionRetryAfter is the Retry-After while the node is not in contact with
+	// half of the fleet.
+	partitionRetryAfter = 10 * time.Second
 )
 
-// Fleet gathers what all nodes know.
+// Fleet collects information from all nodes.
 type Fleet interface {
 	// Status returns the status of every node, as JSON.
 	Status(ctx context.Context) []json.RawMessage
-	// Timeline returns the events of every node in order.
+	// Timeline returns the selected events of all nodes in order.
 	Timeline(ctx context.Context, filter timeline.Filter) []timeline.Event
 }
 
-// Options are the parts of a Server.
+// Options configures a Server.
 type Options struct {
 	Configuration *configuration.Holder
 	Store         objectapi.Store
 	Fleet         Fleet
-	// SeesHalf is that of an Acceptor.
+	// SeesHalf is passed to the Acceptor.
 	SeesHalf func() bool
 	// TokenHash is the hex SHA-256 digest of the operators' token.
 	TokenHash string
@@ -57,7 +58,7 @@
 	Events *timeline.Ring
 }
 
-// Server is the operators' API.
+// Server serves the operators' API.
 type Server struct {
 	options  Options
 	acceptor Acceptor
@@ -84,14 +85,14 @@
 
 var errToken = api.NewError(http.StatusUnauthorized, api.CodeUnauthenticated, api.OutcomeNotRun, "the operator token is missing or wrong")
 
-// isOperator reports whether a request carries the operators' token.
+// isOperator reports whether a request has the operators' token.
 func isOperator(r *http.Request, tokenHash string) bool {
 	token, ok := filter.BearerToken(r)
 	digest := configuration.HashToken(token)
 	return ok && subtle.ConstantTimeCompare([]byte(digest), []byte(tokenHash)) == 1
 }
 
-// RequireToken returns a handler that serves operators only.
+// RequireToken returns a handler that serves only requests with the operators' token.
 func RequireToken(tokenHash string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !isOperator(r, tokenHash) {
@@ -104,34 +105,34 @@
 
 func (s *Server) authenticate(ctx iris.Context) {
 	if !isOperator(ctx.Request(), s.options.TokenHash) {
-		fail(ctx, errToken)
+		writeError(ctx, errToken)
 		return
 	}
 	ctx.Next()
 }
 
-// findingsBody is the reply to an intent with faults.
+// findingsBody is the response to an invalid intent.
 type findingsBody struct {
 	Findings api.Findings `json:"findings"`
 }
 
-func fail(ctx iris.Context, err error) {
+func writeError(ctx iris.Context, err error) {
 	var found *FindingsError
 	if errors.As(err, &found) {
-		reply(ctx, http.StatusUnprocessableEntity, findingsBody{found.Findings})
+		writeJSON(ctx, http.StatusUnprocessableEntity, findingsBody{found.Findings})
 		return
 	}
 	api.AsError(err, api.OutcomeUnknown).WriteHTTP(ctx.ResponseWriter())
 }
 
-func reply(ctx iris.Context, status int, value any) {
+func writeJSON(ctx iris.Context, status int, value any) {
 	ctx.StatusCode(status)
 	if err := ctx.JSON(value); err != nil {
 		ctx.StopWithStatus(http.StatusInternalServerError)
 	}
 }
 
-func read(ctx iris.Context, value any) error {
+func decodeBody(ctx iris.Context, value any) error {
 	body := http.MaxBytesReader(ctx.ResponseWriter(), ctx.Request().Body, maxBodyBytes)
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
@@ -143,50 +144,50 @@
 
 func (s *Server) plan(ctx iris.Context) {
 	var intent Intent
-	if err := read(ctx, &intent); err != nil {
-		fail(ctx, err)
+	if err := decodeBody(ctx, &intent); err != nil {
+		writeError(ctx, err)
 		return
 	}
 	plan, _, err := MakePlan(s.options.Configuration.Current(), intent)
 	if err != nil {
-		fail(ctx, err)
+		writeError(ctx, err)
 		return
 	}
-	reply(ctx, http.StatusOK, plan)
+	writeJSON(ctx, http.StatusOK, plan)
 }
 
-// Confirmed is the reply to an accepted plan.
+// Confirmed is the response to an accepted plan.
 type Confirmed struct {
 	Version uint64 `json:"version"`
 }
 
 func (s *Server) confirm(ctx iris.Context) {
 	var plan Plan
-	if err := read(ctx, &plan); err != nil {
-		fail(ctx, err)
+	if err := decodeBody(ctx, &plan); err != nil {
+		writeError(ctx, err)
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx.Request().Context(), confirmTimeout)
 	defer cancel()
 	head, err := s.acceptor.Accept(callCtx, &plan)
 	if err != nil {
-		fail(ctx, typed(err))
+		writeError(ctx, apiError(err))
 		return
 	}
 	s.options.Events.Record(timeline.Event{Kind: "configuration-accepted", Detail: plan.Digest})
-	reply(ctx, http.StatusOK, Confirmed{Version: head.Version})
+	writeJSON(ctx, http.StatusOK, Confirmed{Version: head.Version})
 }
 
 func (s *Server) configuration(ctx iris.Context) {
-	reply(ctx, http.StatusOK, s.options.Configuration.Current().Merged())
+	writeJSON(ctx, http.StatusOK, s.options.Configuration.Current().Merged())
 }
 
 func (s *Server) status(ctx iris.Context) {
-	reply(ctx, http.StatusOK, s.options.Fleet.Status(ctx.Request().Context()))
+	writeJSON(ctx, http.StatusOK, s.options.Fleet.Status(ctx.Request().Context()))
 }
 
 func (s *Server) timeline(ctx iris.Context) {
 	query := ctx.Request().URL.Query()
-	selected := timeline.Filter{Request: query.Get("request"), Engine: query.Get("engine"), Tenant: query.Get("tenant")}
-	reply(ctx, http.StatusOK, s.options.Fleet.Timeline(ctx.Request().Context(), selected))
+	selection := timeline.Filter{Request: query.Get("request"), Engine: query.Get("engine"), Tenant: query.Get("tenant")}
+	writeJSON(ctx, http.StatusOK, s.options.Fleet.Timeline(ctx.Request().Context(), selection))
 }
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -18,11 +18,11 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// noFleet is a fleet of one silent node.
-type noFleet struct{}
+// stubFleet is a fleet of one node with an empty status and one event.
+type stubFleet struct{}
 
-func (noFleet) Status(context.Context) []json.RawMessage { return []json.RawMessage{[]byte(`{}`)} }
-func (noFleet) Timeline(context.Context, timeline.Filter) []timeline.Event {
+func (stubFleet) Status(context.Context) []json.RawMessage { return []json.RawMessage{[]byte(`{}`)} }
+func (stubFleet) Timeline(context.Context, timeline.Filter) []timeline.Event {
 	return []timeline.Event{{Kind: "event"}}
 }
 
@@ -44,7 +44,7 @@
 	newClient := func() *Client {
 		ring := timeline.NewRing("node", timeline.NewClock(time.Now), 16)
 		handler, err := NewHandler(Options{
-			Configuration: configuration.NewHolder(), Store: flaky, Fleet: noFleet{}, TokenHash: configuration.HashToken("operator"), Events: ring,
+			Configuration: configuration.NewHolder(), Store: flaky, Fleet: stubFleet{}, TokenHash: configuration.HashToken("operator"), Events: ring,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		server := httptest.NewServer(handler)
@@ -60,9 +60,9 @@
 			if !write {
 				return platformsim.Pass
 			}
-			decided := effect
+			next := effect
 			effect = platformsim.Pass
-			return decided
+			return next
 		})
 		client = newClient()
 	})
@@ -81,10 +81,10 @@
 	})
 
 	It("reports every finding of an intent with its place", func() {
-		bad := pool("nonsense")
-		bad.Pools[0].Zone = ""
-		bad.Classes = []api.Class{{Name: "No Label", Model: "unknown"}}
-		_, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: bad})
+		invalid := pool("nonsense")
+		invalid.Pools[0].Zone = ""
+		invalid.Classes = []api.Class{{Name: "No Label", Model: "unknown"}}
+		_, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: invalid})
 		var found *FindingsError
 		Expect(errors.As(err, &found)).To(BeTrue())
 		places := map[string]bool{}
@@ -98,7 +98,7 @@
 		Expect(places).To(HaveKey("classes[No Label].first_token"))
 	})
 
-	It("lets exactly one of two operators win and names what moved", func() {
+	It("accepts exactly one of two concurrent plans and lists the changed objects in the conflict", func() {
 		other := newClient()
 		first, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: pool(api.RoleDecode)})
 		Expect(err).NotTo(HaveOccurred())
@@ -111,7 +111,7 @@
 		Expect(err.Error()).To(ContainSubstring("pools/pool"))
 	})
 
-	It("accepts a plan once although its reply was lost and it is confirmed again", func() {
+	It("accepts a plan once if it is confirmed again after a lost response", func() {
 		plan, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: pool(api.RoleDecode)})
 		Expect(err).NotTo(HaveOccurred())
 		effect = platformsim.LoseReply
@@ -130,7 +130,7 @@
 		Expect(api.IsCode(err, api.CodeConflict)).To(BeTrue())
 	})
 
-	It("plans the order that a change of role needs", func() {
+	It("plans the orders that a change of an engine requires", func() {
 		plan, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: pool(api.RoleDecode)})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = client.Confirm(ctx, plan)
@@ -142,7 +142,7 @@
 		Expect(plan.Orders[0].Value).To(Equal(string(api.RolePrefill)))
 	})
 
-	It("refuses a wrong token and unknown fields", func() {
+	It("rejects a wrong token and an empty body", func() {
 		client.Token = "other"
 		_, err := client.Status(ctx)
 		Expect(api.IsCode(err, api.CodeUnauthenticated)).To(BeTrue())
@@ -169,7 +169,7 @@
 		Expect(plan.Changes[0].Kind).To(Equal(ChangeDelete))
 	})
 
-	It("shows status and time line", func() {
+	It("returns the status and the timeline", func() {
 		statuses, err := client.Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(statuses).To(HaveLen(1))
