--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain finds in the logs of several nodes what became of a request.
+// Package explain traces a request through the logs of several nodes.
 package explain
 
 import (
@@ -15,19 +15,19 @@
 	"github.com/reelrun/reelrun/loglines"
 )
 
-// Line is one line of a log on a request.
+// Line is a log line about a request.
 type Line struct {
 	Time    time.Time
 	Node    string
 	Message string
-	// Fields are the others, in the order of their names.
+	// Fields are the remaining attributes, ordered by name.
 	Fields []Field
 }
 
-// Field is one attribute of a line.
+// Field is an attribute of a line.
 type Field struct{ Name, Value string }
 
-// Names of the fields that a line is ordered and found by.
+// Names of the fields with a fixed meaning. They are not part of Line.Fields.
 const (
 	fieldTime    = "time"
 	fieldLevel   = "level"
@@ -36,8 +36,8 @@
 	fieldRequest = "request"
 )
 
-// Read returns the lines on a request in the order of their time. Lines that are
-// not JSON are passed over, and so is what stands before the JSON of a line.
+// Read returns the lines about a request ordered by time. It ignores lines that are
+// not JSON and any text before the JSON of a line.
 func Read(request string, logs ...io.Reader) ([]Line, error) {
 	var lines []Line
 	for _, log := range logs {
@@ -54,7 +54,7 @@
 	return lines, nil
 }
 
-// parse returns a line if it is on the request.
+// parse returns a line if it is about the request.
 func parse(request string, text []byte) (Line, bool) {
 	if !bytes.Contains(text, []byte(request)) {
 		return Line{}, false
@@ -64,7 +64,7 @@
 		return Line{}, false
 	}
 	line := Line{Node: textOf(fields[fieldNode]), Message: textOf(fields[fieldMessage])}
-	line.Time, _ = time.Parse(time.RFC3339Nano, textOf(fields[fieldTime])) // Without a time it comes first.
+	line.Time, _ = time.Parse(time.RFC3339Nano, textOf(fields[fieldTime])) // A line without a time sorts first.
 	for name, value := range fields {
 		switch name {
 		case fieldTime, fieldLevel, fieldMessage, fieldNode, fieldRequest:
@@ -83,7 +83,7 @@
 	return fmt.Sprint(value)
 }
 
-// Write prints the lines, one each.
+// Write prints one line of text per log line.
 func Write(output io.Writer, lines []Line) error {
 	for _, line := range lines {
 		var fields strings.Builder
@@ -92,8 +92,8 @@
 				fmt.Fprintf(&fields, " %s=%s", field.Name, field.Value)
 			}
 		}
-		const clock = "15:04:05.000"
-		if _, err := fmt.Fprintf(output, "%s %s: %s%s\n", line.Time.Format(clock), line.Node, line.Message, fields.String()); err != nil {
+		const clockLayout = "15:04:05.000"
+		if _, err := fmt.Fprintf(output, "%s %s: %s%s\n", line.Time.Format(clockLayout), line.Node, line.Message, fields.String()); err != nil {
 			return errors.Wrap(err, "write line")
 		}
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -10,7 +10,7 @@
 	"github.com/reelrun/reelrun/explain"
 )
 
-func TestLinesOfSeveralNodesInOrder(t *testing.T) {
+func TestReadMergesLogsOfSeveralNodesInOrder(t *testing.T) {
 	g := NewWithT(t)
 	first := `  1.2 node-a {"time":"2026-05-19T03:26:32.5Z","level":"INFO","msg":"request sent again","node":"node-a","request":"r1","backend":"i-2"}
 not a line
