--- a/loglines/loglines.go
+++ b/loglines/loglines.go
@@ -1,4 +1,4 @@
-// Package loglines reads the structured lines of nodes' logs.
+// Package loglines reads the structured log lines of nodes.
 package loglines
 
 import (
@@ -9,14 +9,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxBytes bounds one line.
-const maxBytes = 1 << 20
+// maxLineBytes bounds the length of a line.
+const maxLineBytes = 1 << 20
 
-// Each passes the JSON of each line of a log on. Lines without any are passed over, and so is
-// what stands before the JSON of a line. The bytes are only valid during the call.
+// Each calls handle with the JSON of each line of a log. It skips lines without JSON and any text
+// before the JSON of a line. The bytes are only valid during the call. A line longer than 1 MiB is
+// an error.
 func Each(log io.Reader, handle func(text []byte)) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxBytes)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		if start := bytes.IndexByte(text, '{'); start >= 0 {
--- a/loglines/loglines_test.go
+++ b/loglines/loglines_test.go
@@ -9,8 +9,8 @@
 	"github.com/reelrun/reelrun/loglines"
 )
 
-// TestOnlyTheJSONOfLinesIsPassedOn reads lines with a prefix, without JSON, and a torn one.
-func TestOnlyTheJSONOfLinesIsPassedOn(t *testing.T) {
+// TestEachPassesOnlyJSON reads a line with a prefix, lines without JSON and a truncated line.
+func TestEachPassesOnlyJSON(t *testing.T) {
 	g := NewWithT(t)
 	var found []string
 	log := "  1.2 node-a {\"msg\":\"a\"}\nno line\n\n{\"msg\":\"torn"
@@ -18,7 +18,7 @@
 	g.Expect(found).To(Equal([]string{`{"msg":"a"}`, `{"msg":"torn`}))
 }
 
-func TestALineBeyondTheBoundIsAnError(t *testing.T) {
+func TestLineBeyondTheBoundIsAnError(t *testing.T) {
 	g := NewWithT(t)
 	log := "{" + strings.Repeat("x", 2<<20)
 	g.Expect(loglines.Each(strings.NewReader(log), func([]byte) {})).NotTo(Succeed())
