--- a/tasks/doc.go
+++ b/tasks/doc.go
@@ -1,3 +1,3 @@
-// Package tasks runs goroutines in the background and waits for them. Unlike a
-// sync.WaitGroup it can be waited for while more are being started.
+// Package tasks runs goroutines in the background and waits for them. Unlike with a
+// sync.WaitGroup, more goroutines may be started during a wait.
 package tasks
--- a/tasks/group.go
+++ b/tasks/group.go
@@ -2,16 +2,17 @@
 
 import "sync"
 
-// Group is a set of goroutines. The zero value is ready. It is safe for
+// Group is a set of goroutines. The zero value is ready for use. It is safe for
 // concurrent use.
 type Group struct {
-	mu     sync.Mutex
-	count  int
-	closed bool
-	idle   []chan struct{}
+	mu      sync.Mutex
+	count   int
+	closed  bool
+	waiters []chan struct{}
 }
 
-// Go starts a goroutine. It reports false, and starts none, after Close.
+// Go starts a goroutine that calls run. After Close it starts none and returns
+// false.
 func (g *Group) Go(run func()) bool {
 	g.mu.Lock()
 	if g.closed {
@@ -34,26 +35,26 @@
 	if g.count > 0 {
 		return
 	}
-	for _, waiting := range g.idle {
-		close(waiting)
+	for _, waiter := range g.waiters {
+		close(waiter)
 	}
-	g.idle = nil
+	g.waiters = nil
 }
 
-// Wait returns when no goroutine of the group runs.
+// Wait blocks until no goroutine of the group is running.
 func (g *Group) Wait() {
 	g.mu.Lock()
 	if g.count == 0 {
 		g.mu.Unlock()
 		return
 	}
-	waiting := make(chan struct{})
-	g.idle = append(g.idle, waiting)
+	waiter := make(chan struct{})
+	g.waiters = append(g.waiters, waiter)
 	g.mu.Unlock()
-	<-waiting
+	<-waiter
 }
 
-// Close keeps more goroutines from being started and waits for those that run.
+// Close rejects further goroutines and waits for the running ones.
 func (g *Group) Close() {
 	g.mu.Lock()
 	g.closed = true
--- a/tasks/group_test.go
+++ b/tasks/group_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCloseWaitsAndRefuses(t *testing.T) {
+func TestCloseWaitsAndRejects(t *testing.T) {
 	var group Group
 	var ended atomic.Int64
 	release := make(chan struct{})
@@ -18,7 +18,7 @@
 	close(release)
 	group.Close()
 	if ended.Load() != 10 {
-		t.Fatalf("%d of 10 have ended", ended.Load())
+		t.Fatalf("%d of 10 goroutines have ended", ended.Load())
 	}
 	if group.Go(func() {}) {
 		t.Fatal("a goroutine was started after Close")
