--- a/periodic/periodic.go
+++ b/periodic/periodic.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Run calls work at each interval until the context ends. The first call comes after
-// one interval. Calls never overlap: while one takes longer than the interval, those
-// that fall due meanwhile are left out.
+// Run calls work at each interval until the context ends. The first call is made after
+// one interval. Calls never overlap: if a call takes longer than the interval, the calls
+// that fall due in the meantime are skipped.
 func Run(ctx context.Context, interval time.Duration, work func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -18,7 +18,7 @@
 			return
 		case <-ticker.C:
 			if ctx.Err() != nil {
-				// Both were due, and the choice between them is random.
+				// If both cases were ready, select chose one at random.
 				return
 			}
 			work(ctx)
@@ -26,7 +26,7 @@
 	}
 }
 
-// RunNow is Run with a first call at once.
+// RunNow is like Run but makes the first call immediately.
 func RunNow(ctx context.Context, interval time.Duration, work func(context.Context)) {
 	if ctx.Err() == nil {
 		work(ctx)
@@ -34,7 +34,7 @@
 	Run(ctx, interval, work)
 }
 
-// Pause waits for a time unless the context ends first; it returns the error of that.
+// Pause waits for the duration. If the context ends first, it returns the context's error.
 func Pause(ctx context.Context, duration time.Duration) error {
 	if duration <= 0 {
 		return ctx.Err()
--- a/periodic/periodic_test.go
+++ b/periodic/periodic_test.go
@@ -22,49 +22,49 @@
 	})
 }
 
-func TestRunLeavesOutWhatFellDueDuringACall(t *testing.T) {
+func TestRunSkipsCallsThatFallDueDuringACall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		began := time.Now()
+		start := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 9500*time.Millisecond)
 		defer cancel()
-		var begins []time.Duration
+		var starts []time.Duration
 		periodic.Run(ctx, time.Second, func(context.Context) {
-			begins = append(begins, time.Since(began))
+			starts = append(starts, time.Since(start))
 			time.Sleep(2500 * time.Millisecond)
 		})
-		for i := 1; i < len(begins); i++ {
-			g.Expect(begins[i] - begins[i-1]).To(BeNumerically(">=", 2500*time.Millisecond))
+		for i := 1; i < len(starts); i++ {
+			g.Expect(starts[i] - starts[i-1]).To(BeNumerically(">=", 2500*time.Millisecond))
 		}
-		g.Expect(begins).To(HaveLen(4), "none after the context has ended")
+		g.Expect(starts).To(HaveLen(4), "none after the context has ended")
 	})
 }
 
-func TestRunNowCallsAtOnce(t *testing.T) {
+func TestRunNowCallsImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		began := time.Now()
+		start := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 		defer cancel()
-		var begins []time.Duration
-		work := func(context.Context) { begins = append(begins, time.Since(began)) }
+		var starts []time.Duration
+		work := func(context.Context) { starts = append(starts, time.Since(start)) }
 		periodic.RunNow(ctx, time.Second, work)
-		g.Expect(begins).To(Equal([]time.Duration{0, time.Second, 2 * time.Second}))
+		g.Expect(starts).To(Equal([]time.Duration{0, time.Second, 2 * time.Second}))
 		periodic.RunNow(ctx, time.Second, work)
-		g.Expect(begins).To(HaveLen(3), "none after the context has ended")
+		g.Expect(starts).To(HaveLen(3), "none after the context has ended")
 	})
 }
 
-// TestPauseEndsWithTheContext pauses for the whole time, or until the context ends.
+// TestPauseEndsWithTheContext pauses for the whole duration, then until the context ends.
 func TestPauseEndsWithTheContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		began := time.Now()
+		start := time.Now()
 		g.Expect(periodic.Pause(t.Context(), time.Second)).To(Succeed())
-		g.Expect(time.Since(began)).To(Equal(time.Second))
+		g.Expect(time.Since(start)).To(Equal(time.Second))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		g.Expect(periodic.Pause(ctx, time.Minute)).To(MatchError(context.DeadlineExceeded))
-		g.Expect(time.Since(began)).To(Equal(2 * time.Second))
+		g.Expect(time.Since(start)).To(Equal(2 * time.Second))
 	})
 }
