--- a/controller/rolechange/reconciler.go
+++ b/controller/rolechange/reconciler.go
@@ -17,8 +17,8 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// Pools tells what is asked of the pools that the node owns.
-type Pools interface {
+// DemandSource tells what is asked of the pools that the node owns.
+type DemandSource interface {
 	Demand(pool string) (owner.PoolDemand, bool)
 }
 
@@ -30,7 +30,7 @@
 // Options are the parts of a Reconciler.
 type Options struct {
 	Configuration *configuration.Holder
-	Pools         Pools
+	Demand        DemandSource
 	Acceptor      Acceptor
 	Metrics       *metrics.Set
 	Events        *timeline.Ring
@@ -51,14 +51,14 @@
 	DecodeUse  float64 `json:"decode_use"`
 }
 
-// followed is a pool whose load is being followed.
-type followed struct {
-	advisor *rebalance.Advisor
-	began   time.Time
-	// looked is when the demand was last read.
-	looked time.Time
-	demand owner.PoolDemand
-	advice *Advice
+// observedPool is a pool whose load is being observedPool.
+type observedPool struct {
+	advisor   *rebalance.Advisor
+	startedAt time.Time
+	// observedAt is when the demand was last read.
+	observedAt time.Time
+	demand     owner.PoolDemand
+	advice     *Advice
 }
 
 // Reconciler follows the owned pools. It is safe for concurrent use.
@@ -66,7 +66,7 @@
 	options Options
 
 	mu    sync.Mutex
-	pools map[string]*followed
+	pools map[string]*observedPool
 }
 
 // New returns a reconciler that has seen nothing.
@@ -74,7 +74,7 @@
 	if options.Now == nil {
 		options.Now = time.Now
 	}
-	return &Reconciler{options: options, pools: map[string]*followed{}}
+	return &Reconciler{options: options, pools: map[string]*observedPool{}}
 }
 
 // Requests lists the configured pools.
@@ -99,7 +99,7 @@
 // Reconcile looks at the demand of one pool since the last look.
 func (r *Reconciler) Reconcile(ctx context.Context, request controller.Request) (controller.Result, error) {
 	configured, ok := r.options.Configuration.Current().Pool(request.Name)
-	demand, owned := r.options.Pools.Demand(request.Name)
+	demand, owned := r.options.Demand.Demand(request.Name)
 	if !ok || !owned {
 		r.forget(request.Name)
 		return controller.Result{}, nil
@@ -130,10 +130,10 @@
 	known, ok := r.pools[configured.Name]
 	if !ok || demand.Epoch != known.demand.Epoch {
 		// The counts begin with the pool's state at this node.
-		r.pools[configured.Name] = &followed{advisor: rebalance.New(r.options.Rebalance), began: now, looked: now, demand: demand}
+		r.pools[configured.Name] = &observedPool{advisor: rebalance.New(r.options.Rebalance), startedAt: now, observedAt: now, demand: demand}
 		return nil
 	}
-	elapsed := now.Sub(known.looked).Seconds()
+	elapsed := now.Sub(known.observedAt).Seconds()
 	if elapsed <= 0 {
 		return nil
 	}
@@ -144,13 +144,13 @@
 	if known.advice != nil && roleOf(configured, known.advice.Engine) == known.advice.Role {
 		known.advice = nil // It has been carried out.
 	}
-	known.looked, known.demand = now, demand
-	change, due := known.advisor.Observe(now.Sub(known.began), load)
+	known.observedAt, known.demand = now, demand
+	change, due := known.advisor.Observe(now.Sub(known.startedAt), load)
 	if !due || demand.Changing {
 		return nil
 	}
 	known.advice = &Advice{
-		Pool: configured.Name, Engine: lastOf(configured, change.From), Role: change.To,
+		Pool: configured.Name, Engine: lastEngineWithRole(configured, change.From), Role: change.To,
 		PrefillUse: change.PrefillUse, DecodeUse: change.DecodeUse,
 	}
 	return known.advice
@@ -165,8 +165,8 @@
 	return ""
 }
 
-// lastOf returns the last engine of a role by name.
-func lastOf(pool *api.Pool, role api.Role) string {
+// lastEngineWithRole returns the last engine of a role by name.
+func lastEngineWithRole(pool *api.Pool, role api.Role) string {
 	last := ""
 	for _, member := range pool.Engines {
 		if member.Role == role {
--- a/node/core.go
+++ b/node/core.go
@@ -171,7 +171,7 @@
 		Metrics: c.Metrics, Events: c.Events, Holder: holderName(self), Now: c.options.LeaseNow,
 	})
 	c.roleChanges = rolechange.New(rolechange.Options{
-		Configuration: c.Configuration, Pools: c.Owner, Metrics: c.Metrics, Events: c.Events, Now: c.options.Now,
+		Configuration: c.Configuration, Demand: c.Owner, Metrics: c.Metrics, Events: c.Events, Now: c.options.Now,
 		Acceptor: operator.Acceptor{Configuration: c.Configuration, Store: c.options.Store, HearsHalf: c.HearsHalf},
 	})
 	const roleInterval = 5 * time.Second
