--- a/controller/doc.go
+++ b/controller/doc.go
@@ -1,4 +1,4 @@
 // Package controller runs the reconcilers of a node. A reconciler brings one
-// named object from whatever state it is in to the wanted one; it looks at the
-// present state only, so a run that was missed or repeated does no harm.
+// named object from any state to its desired state. It depends on the current
+// state only, so that missed or repeated calls do no harm.
 package controller
--- a/controller/engineorder/doc.go
+++ b/controller/engineorder/doc.go
@@ -1,10 +1,10 @@
 // Package engineorder brings engines to the role, model version and adapters
-// that the configuration gives them, by fenced orders under a lease of their
+// that the configuration specifies, by fenced orders under a lease of their
 // pool.
 //
-// The lease is taken only while there is something to order. An engine that
-// checks fences is protected by them. For one that does not, a new holder waits
-// until every order of the holder before must have ended, and each holder looks
-// at what is left of its lease when the connection to the engine stands, right
-// before the order is written.
+// The lease is acquired only while orders are pending. An engine that checks
+// fencing tokens is protected by them. For any other engine, a new holder waits
+// until every order of the previous holder must have ended, and each holder
+// checks the remaining time of its lease once the connection to the engine is
+// established, immediately before it sends the order.
 package engineorder
--- a/controller/engineorder/reconciler.go
+++ b/controller/engineorder/reconciler.go
@@ -27,12 +27,12 @@
 	Order(ctx context.Context, address string, order engine.Order, guard func() error) error
 }
 
-// Owner tells whether the node owns a key.
+// Owner reports whether the node owns a key.
 type Owner interface {
 	Owns(zone, key string) bool
 }
 
-// Options are the parts of a Reconciler.
+// Options configures a Reconciler.
 type Options struct {
 	Configuration *configuration.Holder
 	Store         objectapi.Store
@@ -40,11 +40,11 @@
 	Owner         Owner
 	Metrics       *metrics.Set
 	Events        *timeline.Ring
-	// Holder identifies this start of the node.
+	// Holder identifies this incarnation of the node.
 	Holder string
 	// LeaseDuration is how long a lease lasts without renewal. Default 10s.
 	LeaseDuration time.Duration
-	// OrderTimeout is the longest time an order can be under way. Default 3s.
+	// OrderTimeout bounds the time that an order is in flight. Default 3s.
 	OrderTimeout time.Duration
 	// Now reads a monotonic clock. Default time.Now.
 	Now func() time.Time
@@ -53,11 +53,12 @@
 const (
 	defaultOrderTimeout  = 3 * time.Second
 	defaultLeaseDuration = 10 * time.Second
-	// busyRetry is how soon an engine that still has to drain is looked at again.
-	busyRetry = 500 * time.Millisecond
+	// busyRetryInterval is the time until the next attempt while an engine drains,
+	// another node holds the lease, or its orders may still be in flight.
+	busyRetryInterval = 500 * time.Millisecond
 )
 
-// Reconciler orders the engines of owned pools.
+// Reconciler sends orders to the engines of owned pools.
 type Reconciler struct {
 	options Options
 
@@ -90,26 +91,26 @@
 	if !ok || !r.options.Owner.Owns(pool.Zone, owner.Key(pool.Name)) {
 		return controller.Result{}, nil
 	}
-	wanted := r.pending(ctx, pool)
-	if len(wanted) == 0 {
+	pending := r.pending(ctx, pool)
+	if len(pending) == 0 {
 		return controller.Result{}, nil
 	}
-	held := r.lease(pool.Name)
-	fence, err := held.Acquire(ctx)
+	poolLease := r.lease(pool.Name)
+	fence, err := poolLease.Acquire(ctx)
 	if errors.Is(err, lease.ErrHeld) {
-		return controller.Result{RequeueAfter: busyRetry}, nil
+		return controller.Result{RequeueAfter: busyRetryInterval}, nil
 	}
 	if err != nil {
 		return controller.Result{}, err
 	}
-	if !pool.ChecksFence && !held.TakeoverWaitOver(r.options.OrderTimeout) {
-		return controller.Result{RequeueAfter: busyRetry}, nil
+	if !pool.ChecksFence && !poolLease.TakeoverWaitOver(r.options.OrderTimeout) {
+		return controller.Result{RequeueAfter: busyRetryInterval}, nil
 	}
-	done, err := r.send(ctx, held, fence, wanted)
-	if err != nil || !done {
-		return controller.Result{RequeueAfter: busyRetry}, err
+	allSent, err := r.send(ctx, poolLease, fence, pending)
+	if err != nil || !allSent {
+		return controller.Result{RequeueAfter: busyRetryInterval}, err
 	}
-	return controller.Result{}, held.Release(ctx)
+	return controller.Result{}, poolLease.Release(ctx)
 }
 
 func (r *Reconciler) lease(pool string) *lease.Lease {
@@ -126,16 +127,16 @@
 	return known
 }
 
-// pendingOrder is an order that an engine still needs.
+// pendingOrder is an order that has yet to be sent to an engine.
 type pendingOrder struct {
 	member *api.Engine
 	order  engine.Order
 }
 
-// pending compares each engine's report with the configuration. An engine that
-// does not answer is left for the next round.
+// pending compares the state that each engine reports with the configuration. An
+// engine that does not respond is left to the next round.
 func (r *Reconciler) pending(ctx context.Context, pool *api.Pool) []pendingOrder {
-	var wanted []pendingOrder
+	var orders []pendingOrder
 	for i := range pool.Engines {
 		member := &pool.Engines[i]
 		load, err := r.options.Engines.Load(ctx, member.Address)
@@ -143,13 +144,14 @@
 			continue
 		}
 		for _, order := range Orders(member, load) {
-			wanted = append(wanted, pendingOrder{member, order})
+			orders = append(orders, pendingOrder{member, order})
 		}
 	}
-	return wanted
+	return orders
 }
 
-// Orders returns what an engine that reports load still needs, without fences.
+// Orders returns the orders that an engine with the reported load still needs, without
+// fencing tokens.
 func Orders(member *api.Engine, load engine.Load) []engine.Order {
 	var orders []engine.Order
 	if load.Role != member.Role {
@@ -166,39 +168,39 @@
 	return orders
 }
 
-// send sends the orders whose engines are free. It reports whether all are done.
-func (r *Reconciler) send(ctx context.Context, held *lease.Lease, fence uint64, wanted []pendingOrder) (bool, error) {
-	done := true
-	for _, pending := range wanted {
+// send sends the orders whose engines are drained. It reports whether it sent all of them.
+func (r *Reconciler) send(ctx context.Context, poolLease *lease.Lease, fence uint64, orders []pendingOrder) (bool, error) {
+	allSent := true
+	for _, pending := range orders {
 		if pending.order.Kind != engine.OrderAdapter && !r.isDrained(ctx, pending.member) {
-			done = false
+			allSent = false
 			continue
 		}
-		if err := r.sendOne(ctx, held, fence, pending); err != nil {
+		if err := r.sendOne(ctx, poolLease, fence, pending); err != nil {
 			return false, err
 		}
 	}
-	return done, nil
+	return allSent, nil
 }
 
-// isDrained reports whether an engine holds no stream: a change of role or model
-// would cut it off.
+// isDrained reports whether an engine has no stream, which a change of role or model
+// would interrupt.
 func (r *Reconciler) isDrained(ctx context.Context, member *api.Engine) bool {
 	streams, err := r.options.Engines.Streams(ctx, member.Address)
 	return err == nil && len(streams) == 0
 }
 
-func (r *Reconciler) sendOne(ctx context.Context, held *lease.Lease, fence uint64, pending pendingOrder) error {
+func (r *Reconciler) sendOne(ctx context.Context, poolLease *lease.Lease, fence uint64, pending pendingOrder) error {
 	id, err := uuid.NewV7()
 	if err != nil {
-		return errors.Wrap(err, "make order identity")
+		return errors.Wrap(err, "generate order ID")
 	}
 	order := pending.order
 	order.ID = id.String()
 	order.Fence = fence
 	ctx, cancel := context.WithTimeout(ctx, r.options.OrderTimeout)
 	defer cancel()
-	guard := func() error { return held.Check(r.options.OrderTimeout) }
+	guard := func() error { return poolLease.Check(r.options.OrderTimeout) }
 	if err := r.options.Engines.Order(ctx, pending.member.Address, order, guard); err != nil {
 		r.options.Metrics.Add("order_errors", 1)
 		return err
--- a/controller/engineorder/reconciler_test.go
+++ b/controller/engineorder/reconciler_test.go
@@ -16,49 +16,50 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// engines is one engine that obeys.
-type engines struct {
-	load    engine.Load
-	streams []engine.StreamStatus
-	taken   []engine.Order
-	// pause runs between the look at the lease and the sending of an order.
-	pause func()
+// fakeEngines is a single engine that executes every order.
+type fakeEngines struct {
+	load     engine.Load
+	streams  []engine.StreamStatus
+	received []engine.Order
+	// beforeOrder runs after the holder has checked its lease, before the order is sent.
+	beforeOrder func()
 }
 
-func (e *engines) Load(context.Context, string) (engine.Load, error) { return e.load, nil }
-func (e *engines) Streams(context.Context, string) ([]engine.StreamStatus, error) {
+func (e *fakeEngines) Load(context.Context, string) (engine.Load, error) { return e.load, nil }
+func (e *fakeEngines) Streams(context.Context, string) ([]engine.StreamStatus, error) {
 	return e.streams, nil
 }
 
-func (e *engines) Order(_ context.Context, _ string, order engine.Order, guard func() error) error {
-	if e.pause != nil {
-		e.pause()
+func (e *fakeEngines) Order(_ context.Context, _ string, order engine.Order, guard func() error) error {
+	if e.beforeOrder != nil {
+		e.beforeOrder()
 	}
 	if err := guard(); err != nil {
 		return err
 	}
-	e.taken = append(e.taken, order)
+	e.received = append(e.received, order)
 	if order.Kind == engine.OrderRole {
 		e.load.Role = order.Role
 	}
 	return nil
 }
 
-type always struct{}
+// ownsAll is an Owner that owns every key.
+type ownsAll struct{}
 
-func (always) Owns(string, string) bool { return true }
+func (ownsAll) Owns(string, string) bool { return true }
 
-// fixture is two candidates for one pool over one store.
+// fixture is two candidates for the lease of one pool in the same store.
 type fixture struct {
 	now     time.Time
-	engines *engines
+	engines *fakeEngines
 	first   *Reconciler
 	second  *Reconciler
 }
 
 func newFixture(t *testing.T, checksFence bool) *fixture {
 	t.Helper()
-	f := &fixture{now: time.Unix(1000, 0), engines: &engines{load: engine.Load{Role: api.RoleDecode}}}
+	f := &fixture{now: time.Unix(1000, 0), engines: &fakeEngines{load: engine.Load{Role: api.RoleDecode}}}
 	holder := configuration.NewHolder()
 	parts, err := configuration.Split(api.Configuration{Pools: []api.Pool{{
 		Name: "pool", Model: "m", Zone: "z", ChecksFence: checksFence, Engines: []api.Engine{{Name: "e", Address: "127.0.0.1:1", Role: api.RolePrefill}},
@@ -79,7 +80,7 @@
 	store := platformsim.NewStore(platformsim.Options{})
 	candidate := func(name string) *Reconciler {
 		return New(Options{
-			Configuration: holder, Store: store, Engines: f.engines, Owner: always{}, Metrics: metrics.NewSet(),
+			Configuration: holder, Store: store, Engines: f.engines, Owner: ownsAll{}, Metrics: metrics.NewSet(),
 			Events: timeline.NewRing(name, timeline.NewClock(time.Now), 16), Holder: name, Now: func() time.Time { return f.now },
 		})
 	}
@@ -96,50 +97,52 @@
 	return result
 }
 
-func TestOrderIsSentOnceAndTheLeaseReturned(t *testing.T) {
+func TestOrderIsSentOnceAndLeaseIsReleased(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, true)
 	reconcile(t, f.first)
 	reconcile(t, f.first)
-	g.Expect(f.engines.taken).To(HaveLen(1))
+	g.Expect(f.engines.received).To(HaveLen(1))
 	f.engines.load.Role = api.RoleDecode
 	reconcile(t, f.second)
-	g.Expect(f.engines.taken).To(HaveLen(2), "a lease that was given back need not be waited for")
-	g.Expect(f.engines.taken[1].Fence).To(BeNumerically(">", f.engines.taken[0].Fence))
+	g.Expect(f.engines.received).To(HaveLen(2), "a lease that was given back need not be waited for")
+	g.Expect(f.engines.received[1].Fence).To(BeNumerically(">", f.engines.received[0].Fence))
 }
 
-func TestBusyEngineDrainsFirst(t *testing.T) {
+func TestOrderWaitsUntilEngineIsDrained(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, true)
 	f.engines.streams = []engine.StreamStatus{{}}
-	g.Expect(reconcile(t, f.first).RequeueAfter).To(Equal(busyRetry))
-	g.Expect(f.engines.taken).To(BeEmpty())
+	g.Expect(reconcile(t, f.first).RequeueAfter).To(Equal(busyRetryInterval))
+	g.Expect(f.engines.received).To(BeEmpty())
 	f.engines.streams = nil
 	reconcile(t, f.first)
-	g.Expect(f.engines.taken).To(HaveLen(1))
+	g.Expect(f.engines.received).To(HaveLen(1))
 }
 
-// TestThawedHolderSendsNothing pauses the first holder between its look at the
-// lease and the sending, until the second has taken over.
+// TestThawedHolderSendsNothing suspends the first holder between the check of its
+// lease and the sending of the order, until the second holder has taken over.
 func TestThawedHolderSendsNothing(t *testing.T) {
 	for _, checksFence := range []bool{true, false} {
 		g := NewWithT(t)
 		f := newFixture(t, checksFence)
-		f.engines.pause = func() {
-			f.engines.pause = nil
-			reconcile(t, f.second) // Sees the lease held.
+		f.engines.beforeOrder = func() {
+			f.engines.beforeOrder = nil
+			reconcile(t, f.second) // Finds the lease held.
 			f.now = f.now.Add(defaultLeaseDuration + time.Second)
 			reconcile(t, f.second) // Takes over.
 			f.now = f.now.Add(defaultOrderTimeout)
-			reconcile(t, f.second) // Has waited the first holder's order out.
-			g.Expect(f.engines.taken).To(HaveLen(1))
+			reconcile(t, f.second) // The first holder's order must have ended by now.
+			g.Expect(f.engines.received).To(HaveLen(1))
 		}
 		reconcile(t, f.first)
-		g.Expect(f.engines.taken).To(HaveLen(1), "only the second holder's order was sent")
+		g.Expect(f.engines.received).To(HaveLen(1), "only the second holder's order was sent")
 	}
 }
 
-// TestUnfencedEngineWaitsTheOrderOut takes a lease over without a pause.
+// TestUnfencedEngineWaitsTheOrderOut takes a lease over while no order is in flight. For an
+// engine that does not check fencing tokens, the new holder still waits for the longest
+// time that an order can be in flight.
 func TestUnfencedEngineWaitsTheOrderOut(t *testing.T) {
 	for _, checksFence := range []bool{true, false} {
 		g := NewWithT(t)
@@ -151,12 +154,12 @@
 		f.now = f.now.Add(defaultLeaseDuration + time.Second)
 		reconcile(t, f.second)
 		if checksFence {
-			g.Expect(f.engines.taken).To(HaveLen(1))
+			g.Expect(f.engines.received).To(HaveLen(1))
 			continue
 		}
-		g.Expect(f.engines.taken).To(BeEmpty())
+		g.Expect(f.engines.received).To(BeEmpty())
 		f.now = f.now.Add(defaultOrderTimeout)
 		reconcile(t, f.second)
-		g.Expect(f.engines.taken).To(HaveLen(1))
+		g.Expect(f.engines.received).To(HaveLen(1))
 	}
 }
--- a/controller/manager.go
+++ b/controller/manager.go
@@ -22,19 +22,19 @@
 	return requests
 }
 
-// Result tells when to reconcile the object again.
+// Result determines when the object is reconciled again.
 type Result struct {
-	// RequeueAfter runs the object again sooner than the controller's interval,
-	// if it is above zero.
+	// RequeueAfter, if above zero, schedules the next round sooner than the
+	// controller's interval.
 	RequeueAfter time.Duration
 }
 
-// Reconciler brings one object to its wanted state.
+// Reconciler brings one object to its desired state.
 type Reconciler interface {
 	Reconcile(ctx context.Context, request Request) (Result, error)
 }
 
-// ReconcilerFunc is a function that is a Reconciler.
+// ReconcilerFunc adapts a function to a Reconciler.
 type ReconcilerFunc func(ctx context.Context, request Request) (Result, error)
 
 // Reconcile implements Reconciler.
@@ -42,17 +42,16 @@
 	return f(ctx, request)
 }
 
-// Controller is a reconciler with the objects it looks after.
+// Controller is a reconciler with the objects it reconciles.
 type Controller struct {
 	// Name appears in the counters reconciles_<name> and reconcile_errors_<name>.
-	Name string
-	// Reconciler does the work.
+	Name       string
 	Reconciler Reconciler
-	// Requests lists the objects. Nil stands for one object without a name.
+	// Requests lists the objects. Nil means one object without a name.
 	Requests func() []Request
 	// Interval is the time between two rounds. Default 1s.
 	Interval time.Duration
-	// Concurrency bounds the objects reconciled at once. Default 8.
+	// Concurrency bounds the number of objects reconciled concurrently. Default 8.
 	Concurrency int
 }
 
@@ -70,7 +69,7 @@
 // NewManager returns a manager without controllers.
 func NewManager(set *metrics.Set) *Manager { return &Manager{metrics: set} }
 
-// Add registers a controller. It must not be called once Run has been.
+// Add registers a controller. It must not be called after Run.
 func (m *Manager) Add(added Controller) {
 	if added.Interval == 0 {
 		added.Interval = defaultInterval
--- a/controller/rolechange/reconciler.go
+++ b/controller/rolechange/reconciler.go
@@ -17,36 +17,36 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// DemandSource tells what is asked of the pools that the node owns.
+// DemandSource reports the demand on the pools that the node owns.
 type DemandSource interface {
 	Demand(pool string) (owner.PoolDemand, bool)
 }
 
-// Acceptor confirms a plan.
+// Acceptor confirms plans.
 type Acceptor interface {
 	Accept(ctx context.Context, plan *operator.Plan) (configuration.Head, error)
 }
 
-// Options are the parts of a Reconciler.
+// Options configures a Reconciler.
 type Options struct {
 	Configuration *configuration.Holder
 	Demand        DemandSource
 	Acceptor      Acceptor
 	Metrics       *metrics.Set
 	Events        *timeline.Ring
-	// Rebalance are the thresholds. The zero value is the one measured.
+	// Rebalance are the thresholds. The zero value selects the measured defaults.
 	Rebalance rebalance.Options
-	// Now reads the clock. Default time.Now.
+	// Now returns the current time. Default time.Now.
 	Now func() time.Time
 }
 
-// Advice is a change that would help a pool.
+// Advice is a role change that is recommended for a pool.
 type Advice struct {
 	Pool   string   `json:"pool"`
 	Engine string   `json:"engine"`
 	Role   api.Role `json:"role"`
-	// PrefillUse and DecodeUse are the demands over what the engines of each role
-	// can do, when the advice was given.
+	// PrefillUse and DecodeUse are the utilizations of the roles when the advice was
+	// given: the demand divided by the capacity of the engines of the role.
 	PrefillUse float64 `json:"prefill_use"`
 	DecodeUse  float64 `json:"decode_use"`
 }
@@ -55,13 +55,13 @@
 type observedPool struct {
 	advisor   *rebalance.Advisor
 	startedAt time.Time
-	// observedAt is when the demand was last read.
+	// observedAt is when demand was read.
 	observedAt time.Time
 	demand     owner.PoolDemand
 	advice     *Advice
 }
 
-// Reconciler follows the owned pools. It is safe for concurrent use.
+// Reconciler monitors the owned pools. It is safe for concurrent use.
 type Reconciler struct {
 	options Options
 
@@ -69,7 +69,7 @@
 	pools map[string]*observedPool
 }
 
-// New returns a reconciler that has seen nothing.
+// New returns a reconciler without observations.
 func New(options Options) *Reconciler {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -82,21 +82,21 @@
 	return controller.RequestsFor(r.options.Configuration.Current().PoolNames())
 }
 
-// Advice returns the advice that stands, ordered by pool.
+// Advice returns the current advice, ordered by pool.
 func (r *Reconciler) Advice() []Advice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var standing []Advice
+	var current []Advice
 	for _, pool := range r.pools {
 		if pool.advice != nil {
-			standing = append(standing, *pool.advice)
+			current = append(current, *pool.advice)
 		}
 	}
-	slices.SortFunc(standing, func(a, b Advice) int { return strings.Compare(a.Pool, b.Pool) })
-	return standing
+	slices.SortFunc(current, func(a, b Advice) int { return strings.Compare(a.Pool, b.Pool) })
+	return current
 }
 
-// Reconcile looks at the demand of one pool since the last look.
+// Reconcile evaluates the demand on one pool since the previous call.
 func (r *Reconciler) Reconcile(ctx context.Context, request controller.Request) (controller.Result, error) {
 	configured, ok := r.options.Configuration.Current().Pool(request.Name)
 	demand, owned := r.options.Demand.Demand(request.Name)
@@ -122,14 +122,14 @@
 	delete(r.pools, pool)
 }
 
-// observe returns new advice for a pool, or nil.
+// observe records the demand on a pool and returns new advice for it, or nil.
 func (r *Reconciler) observe(configured *api.Pool, demand owner.PoolDemand) *Advice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Now()
 	known, ok := r.pools[configured.Name]
 	if !ok || demand.Epoch != known.demand.Epoch {
-		// The counts begin with the pool's state at this node.
+		// The demand counters start anew with each epoch of the pool's state at this node.
 		r.pools[configured.Name] = &observedPool{advisor: rebalance.New(r.options.Rebalance), startedAt: now, observedAt: now, demand: demand}
 		return nil
 	}
@@ -142,7 +142,7 @@
 		Prefill: (demand.Prefill - known.demand.Prefill) / elapsed, Decode: (demand.Decode - known.demand.Decode) / elapsed,
 	}
 	if known.advice != nil && roleOf(configured, known.advice.Engine) == known.advice.Role {
-		known.advice = nil // It has been carried out.
+		known.advice = nil // The advice has been applied.
 	}
 	known.observedAt, known.demand = now, demand
 	change, due := known.advisor.Observe(now.Sub(known.startedAt), load)
@@ -165,7 +165,7 @@
 	return ""
 }
 
-// lastEngineWithRole returns the last engine of a role by name.
+// lastEngineWithRole returns the engine of a role whose name sorts last.
 func lastEngineWithRole(pool *api.Pool, role api.Role) string {
 	last := ""
 	for _, member := range pool.Engines {
@@ -176,8 +176,8 @@
 	return last
 }
 
-// apply carries advice out under the standing policy. A change that loses against
-// another is advised again after the cool-down if it is still due.
+// apply applies advice under the policy "apply". A change that fails because of a
+// concurrent one is advised again after the cool-down if it is still due.
 func (r *Reconciler) apply(ctx context.Context, advice *Advice) error {
 	intent := operator.Intent{Action: operator.ActionEngine, Engine: advice.Engine, Role: advice.Role}
 	plan, _, err := operator.MakePlan(r.options.Configuration.Current(), intent)
