--- a/roles/controller.go
+++ b/roles/controller.go
@@ -25,7 +25,7 @@
 	UsedTokens int
 }
 
-// Order tells an engine to take a role.
+// Order is an order to an engine to take a role.
 type Order struct {
 	Role   backend.Role
 	Holder string
@@ -48,9 +48,9 @@
 
 // Options configure a Controller.
 type Options struct {
-	Dialect  EngineClient
-	Backends *backend.Registry
-	Lease    *lease.Lease
+	EngineClient EngineClient
+	Backends     *backend.Registry
+	Lease        *lease.Lease
 	// Holder names this node in orders.
 	Holder string
 	// Services returns the engine services for which this node is responsible.
--- a/roles/controller_test.go
+++ b/roles/controller_test.go
@@ -93,7 +93,7 @@
 				// share.
 				demand := &roles.Demand{Prefill: 0.1 * float64(engines), Decode: 0.4533 * float64(engines)}
 				controller := roles.New(roles.Options{
-					Dialect: service, Backends: service.backends, Holder: "n",
+					EngineClient: service, Backends: service.backends, Holder: "n",
 					Lease:    lease.New(lease.Options{Store: platformsim.NewStore(platformsim.Options{}), Name: "roles", Holder: "n"}),
 					Services: func() []string { return []string{"s"} },
 					Demand:   func(string) (*roles.Demand, map[string]int) { return demand, nil },
--- a/roles/order.go
+++ b/roles/order.go
@@ -85,10 +85,10 @@
 func (c *Controller) prepareOne(ctx context.Context, change Change) (*prepared, error) {
 	entry := c.options.Backends.Lookup(change.Engine)
 	if entry == nil {
-		return nil, nil //nolint:nilnil // an engine that is gone is no failure
+		return nil, nil //nolint:nilnil // an engine that was removed is no failure
 	}
 	target := entry.Backend()
-	report, err := c.options.Dialect.Report(ctx, target)
+	report, err := c.options.EngineClient.Report(ctx, target)
 	if err != nil {
 		return nil, errors.Wrapf(err, "get report of engine %s", change.Engine)
 	}
@@ -105,7 +105,7 @@
 func (c *Controller) send(ctx context.Context, ready []prepared, fence uint64) (definite bool, err error) {
 	failures := make([]error, len(ready))
 	forEach(ready, func(i int, one prepared) {
-		failures[i] = c.options.Dialect.ChangeRole(ctx, one.target, Order{
+		failures[i] = c.options.EngineClient.ChangeRole(ctx, one.target, Order{
 			Role: one.change.Role, Holder: c.options.Holder, Fence: fence, Expected: one.sequence,
 		})
 		c.options.Logger.Info("role ordered", "engine", one.change.Engine, "role", string(one.change.Role),
--- a/router/rolechange.go
+++ b/router/rolechange.go
@@ -23,8 +23,8 @@
 // newRoleController returns the controller of the engines' roles.
 func (r *Router) newRoleController() *roles.Controller {
 	return roles.New(roles.Options{
-		Dialect:  r.options.Environment.Dialect,
-		Backends: r.backends,
+		EngineClient: r.options.Environment.Dialect,
+		Backends:     r.backends,
 		Lease: lease.New(lease.Options{
 			Store: r.options.Environment.Store, Name: leaseRoles,
 			Holder:   r.options.Settings.Name + "/" + strconv.FormatInt(r.started.UnixNano(), 10),
