--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -61,8 +61,9 @@
 	// and 100 waiting requests missed 231 calls in one burst.
 	attemptsPerEvent    = 6
 	attemptsPerInterval = 48
-	// recentPrefillWindow is how recently an engine must have finished a prefill for another prompt
-	// without an answer not to count as its failure: about the time that the longest prompts take.
+	// recentPrefillWindow is the time after a finished prefill in which another prompt without an
+	// answer does not count as a failure of the engine: about the time that the longest prompts
+	// take.
 	recentPrefillWindow = 500 * time.Millisecond
 	// initialLocalPrefillFactor is the initial estimate of how much longer a prefill takes on a
 	// decode engine than on a prefill engine: it runs at half the rate, in smaller chunks, between
@@ -152,8 +153,8 @@
 	if request.Late {
 		return request.Wait
 	}
-	reading := current.prefill.model.Duration("", request.Run.Prompt)
-	return min(request.Wait, max(0, request.Objective-reading-c.options.FirstToken))
+	prefill := current.prefill.model.Duration("", request.Run.Prompt)
+	return min(request.Wait, max(0, request.Objective-prefill-c.options.FirstToken))
 }
 
 // enqueue tries to serve a request and queues it if it does not fit. maxWait stays zero for a
--- a/coordinator/demand.go
+++ b/coordinator/demand.go
@@ -57,10 +57,10 @@
 
 // add counts a request by the time for which its prefill occupies a prefill engine, and by the
 // share of a decode engine's memory that its run takes, multiplied by the run's duration.
-func (m *demandMeter) add(now time.Duration, reading time.Duration, decoding float64) {
+func (m *demandMeter) add(now time.Duration, prefill time.Duration, decode float64) {
 	m.smoothed = m.current(now)
-	m.smoothed.Prefill += reading.Seconds() / demandTime.Seconds()
-	m.smoothed.Decode += decoding / demandTime.Seconds()
+	m.smoothed.Prefill += prefill.Seconds() / demandTime.Seconds()
+	m.smoothed.Decode += decode / demandTime.Seconds()
 	m.at = now
 	m.requests++
 }
@@ -79,8 +79,8 @@
 	}
 	run := request.Run
 	run.Output = current.output.Mean(run.Output, run.MaxOutput)
-	reading := current.prefill.model.Duration("", run.Prompt)
-	current.demand.add(now, reading, current.decode.Occupancy(run))
+	prefill := current.prefill.model.Duration("", run.Prompt)
+	current.demand.add(now, prefill, current.decode.Occupancy(run))
 }
 
 // Demand returns the demand on a service, and whether enough requests have arrived to know it.
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -15,6 +15,7 @@
 //
 // Nothing is persisted. A node sends all its runs to a coordinator that is new
 // to it. Two coordinators at the same time may assign more than there is; the
-// engines then refuse the excess. Nodes skip a coordinator that does not answer
-// at once.
+// engines then refuse the excess. A node does not wait for a coordinator that
+// does not answer at once: it chooses engines for the request itself, and asks
+// the next candidate once the coordinator counts as unresponsive.
 package coordinator
--- a/coordinator/prefill_test.go
+++ b/coordinator/prefill_test.go
@@ -67,17 +67,17 @@
 // are a quarter as fast.
 func TestSlowPrefillOfNewDeploymentIsLearned(t *testing.T) {
 	g := NewWithT(t)
-	const pace = 12_000
+	const rate = 12_000
 	queue := newPrefillQueue()
 	now := time.Duration(0)
 	for i, tokens := range []int{3000, 800, 5200, 2400, 4100, 1500, 3300, 6000, 2900, 3700} {
 		id := strconv.Itoa(i)
 		queue.add(now, "e", promptOf(tokens, id))
-		now += time.Duration(tokens) * time.Second / pace
+		now += time.Duration(tokens) * time.Second / rate
 		queue.complete(now, id, "e")
 	}
 	_, ready := queue.shortest(now, []string{"e"}, promptOf(4000, "next"), nil)
-	want := 4000 * time.Second / pace
+	want := 4000 * time.Second / rate
 	g.Expect(ready).To(BeNumerically("~", want, want/10))
 }
 
@@ -140,12 +140,12 @@
 func TestEnginesMuchSlowerThanInitialRateAreLearned(t *testing.T) {
 	g := NewWithT(t)
 	const (
-		pace   = 2000
+		rate   = 2000
 		tokens = 6000
 	)
 	queue := newPrefillQueue()
 	now := time.Duration(0)
-	needed := tokens * time.Second / pace
+	needed := tokens * time.Second / rate
 	for i := range 4 {
 		id := strconv.Itoa(i)
 		engine, ready := queue.shortest(now, []string{"e"}, promptOf(tokens, id), nil)
--- a/coordinator/wire_test.go
+++ b/coordinator/wire_test.go
@@ -23,7 +23,7 @@
 func TestRemoteResultsTeachDecodeRate(t *testing.T) {
 	const (
 		runs  = 100
-		pace  = 200
+		rate  = 200
 		taken = 3 * time.Second
 	)
 	g := NewWithT(t)
@@ -39,10 +39,10 @@
 		g.Expect(learning.Assign(t.Context(), requestOf("run", 0)).Decode).To(Equal("d"))
 		now += taken
 		_, err := learning.Handle(t.Context(), &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeRunResult(RunResult{
-			Service: "s", ID: "run", Duration: taken, Output: int(pace * taken.Seconds()),
-			FirstEvent: taken / 10, RestTokens: int(pace * taken.Seconds() * 9 / 10),
+			Service: "s", ID: "run", Duration: taken, Output: int(rate * taken.Seconds()),
+			FirstEvent: taken / 10, RestTokens: int(rate * taken.Seconds() * 9 / 10),
 		})}})
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	g.Expect(learning.state("s").decode.DecodeRate()).To(BeNumerically("~", pace, pace/10))
+	g.Expect(learning.state("s").decode.DecodeRate()).To(BeNumerically("~", rate, rate/10))
 }
