--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -16,8 +16,8 @@
 }
 
 // learn updates the decode rate and the first-token delay from an answer. The rate is the total of
-// all tokens by the total time, weighted towards newer answers: the rate of a single answer is
-// meaningless if its events were held up on the way and arrive at once.
+// all tokens divided by the total time, weighted towards newer answers: the rate of a single answer
+// is meaningless if its events were held up on the way and arrive at once.
 func (l *Ledger) learn(answer AnswerTiming) {
 	l.answers++
 	l.tokens = (1-rateWeight)*l.tokens + float64(answer.RestTokens)
