--- a/estimate/output.go
+++ b/estimate/output.go
@@ -68,14 +68,14 @@
 
 // Mean returns the expected length of an answer, given the length that the caller expects and the
 // maximum length, zero for none.
-func (o *OutputLength) Mean(expected, most int) int {
+func (o *OutputLength) Mean(expected, maxOutput int) int {
 	if o.samples < minSamples || expected <= 0 {
 		return expected
 	}
 	// The mean of a log-normal distribution is above its median.
 	mean := math.Exp(o.intercept + o.slope*math.Log(float64(expected)) + o.variance/2)
-	if most > 0 {
-		mean = min(mean, float64(most))
+	if maxOutput > 0 {
+		mean = min(mean, float64(maxOutput))
 	}
 	return max(1, int(mean))
 }
