--- a/retrybudget/allocation.go
+++ b/retrybudget/allocation.go
@@ -70,7 +70,7 @@
 // Next returns the allocation for the given nodes, and whether it must be written. All nodes get about the same
 // share of the total. A share is increased only with units that other nodes have confirmed to have given up.
 func (a Allocation) Next(members []Member, total int) (next Allocation, changed bool) {
-	next = Allocation{Generation: a.Generation + 1, Shares: a.remaining(members)}
+	next = Allocation{Generation: a.Generation + 1, Shares: a.currentShares(members)}
 	targets := targetUnits(members, total)
 	if next.shortfall(targets) > next.free(total) {
 		for name, share := range next.Shares {
@@ -141,9 +141,9 @@
 	return shortfall
 }
 
-// remaining returns the shares of the current nodes. The next start of a node inherits the share of its
+// currentShares returns the shares of the current nodes. The next start of a node inherits the share of its
 // previous start.
-func (a Allocation) remaining(members []Member) map[string]Share {
+func (a Allocation) currentShares(members []Member) map[string]Share {
 	shares := make(map[string]Share, len(members))
 	for _, member := range members {
 		share, found := a.Shares[member.Name]
