--- a/quarantine/archive_test.go
+++ b/quarantine/archive_test.go
@@ -67,18 +67,18 @@
 }
 
 func newTestCoordinator(store objectapi.Store, now time.Duration) *testCoordinator {
-	k := &testCoordinator{now: now, announced: map[Fingerprint]Announcement{}}
-	k.Coordinator = NewCoordinator(CoordinatorOptions{
-		Announce: func(announcement Announcement) { k.announced[announcement.Request] = announcement },
-		Now:      func() time.Duration { return k.now },
+	c := &testCoordinator{now: now, announced: map[Fingerprint]Announcement{}}
+	c.Coordinator = NewCoordinator(CoordinatorOptions{
+		Announce: func(announcement Announcement) { c.announced[announcement.Request] = announcement },
+		Now:      func() time.Duration { return c.now },
 	})
-	k.archive = NewArchive(store, k.Coordinator, slog.New(slog.DiscardHandler), func() time.Time { return time.Unix(0, 0).Add(k.now) })
-	return k
+	c.archive = NewArchive(store, c.Coordinator, slog.New(slog.DiscardHandler), func() time.Time { return time.Unix(0, 0).Add(c.now) })
+	return c
 }
 
 // crash reports a new crash to the coordinator.
-func (k *testCoordinator) crash(request Fingerprint, backend string) {
-	k.handle(report{evidence: []Evidence{{Request: request, Backend: backend, At: k.now}}})
+func (c *testCoordinator) crash(request Fingerprint, backend string) {
+	c.handle(report{evidence: []Evidence{{Request: request, Backend: backend, At: c.now}}})
 }
 
 // TestQuarantineOutlivesAllNodes checks that the coordinator writes a quarantine once, also after an outage of
