--- a/gateway/charge.go
+++ b/gateway/charge.go
@@ -36,7 +36,7 @@
 	return time.Duration(float64(max(after, minQuotaRetryAfter)) * (1 + quotaRetryJitter*rand.Float64()))
 }
 
-// refund returns the charged units of a request that has not run on any backend.
+// refund returns the charged units of a request that has reached no backend which may have run it.
 func (x *exchange) refund() {
 	if x.charged > 0 && x.runs == 0 {
 		x.handler.options.Quotas.Refund(x.tenant, x.charged)
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -23,7 +23,7 @@
 	"github.com/reelrun/reelrun/tenant"
 )
 
-// Options are the parts of a Handler.
+// Options configure a Handler.
 type Options struct {
 	// Clock is used for deadlines and waits. Default: the runtime's clock.
 	Clock *clock.Clock
@@ -60,10 +60,10 @@
 	Assign(ctx context.Context, request coordinator.Request) (coordinator.Assignment, error)
 	// PrefillDone reports that an engine has prefilled the prompt of a run.
 	PrefillDone(service, id, engine string)
-	// EngineFailed reports an engine that did not do what was asked of it, if that ended no run.
+	// EngineFailed reports an engine failure that did not end a run.
 	EngineFailed(failure coordinator.EngineFailure)
-	// End reports that a run has ended.
-	End(ended coordinator.RunResult)
+	// End reports the result of a run that has ended.
+	End(result coordinator.RunResult)
 }
 
 // Quotas enforces the quotas of tenants over all nodes.
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -31,7 +31,7 @@
 
 func (c *assigningCoordinator) EngineFailed(coordinator.EngineFailure) {}
 
-func (c *assigningCoordinator) End(ended coordinator.RunResult) { c.ended = append(c.ended, ended) }
+func (c *assigningCoordinator) End(result coordinator.RunResult) { c.ended = append(c.ended, result) }
 
 // disconnectingDialect has the caller disconnect while memory is reserved.
 type disconnectingDialect struct {
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -21,7 +21,7 @@
 
 func (*recordingCoordinator) EngineFailed(coordinator.EngineFailure) {}
 
-func (c *recordingCoordinator) End(ended coordinator.RunResult) { c.ended = append(c.ended, ended) }
+func (c *recordingCoordinator) End(result coordinator.RunResult) { c.ended = append(c.ended, result) }
 
 // TestResumedStreamReportsOwnTokenRate ends a run of which another engine had generated the first part:
 // only the events of the engine itself measure its speed.
--- a/gateway/repeats.go
+++ b/gateway/repeats.go
@@ -41,8 +41,8 @@
 }
 
 // countPrefill counts a prefill call that has reached an engine, or may have.
-func (x *exchange) countPrefill(read bool) {
+func (x *exchange) countPrefill(accepted bool) {
 	x.arrivals = x.arrivals.withPrefill()
-	x.arrivals.prefilled = x.arrivals.prefilled || read
+	x.arrivals.prefilled = x.arrivals.prefilled || accepted
 	x.retryGrant.Arrived(x.arrivals.upstreamRetries())
 }
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -62,12 +62,12 @@
 	if s.run == "" {
 		return
 	}
-	ended := coordinator.RunResult{Service: s.exchange.service, ID: s.run, Refusal: s.refusal}
+	result := coordinator.RunResult{Service: s.exchange.service, ID: s.run, Refusal: s.refusal}
 	if complete && events > 0 {
-		ended.Duration, ended.Output = time.Since(s.reservedAt), events*eventTokens
-		ended.FirstEvent, ended.RestTokens = s.first, (s.events-1)*eventTokens
+		result.Duration, result.Output = time.Since(s.reservedAt), events*eventTokens
+		result.FirstEvent, result.RestTokens = s.first, (s.events-1)*eventTokens
 	}
-	s.exchange.handler.options.Coordinator.End(ended)
+	s.exchange.handler.options.Coordinator.End(result)
 }
 
 // reportPrefilled notifies the coordinator that an engine has prefilled the prompt.
@@ -78,10 +78,10 @@
 }
 
 // reportPrefillFailure notifies the coordinator that an engine has not prefilled the prompt.
-func (s *reservedEngine) reportPrefillFailure(engine string, silent bool) {
+func (s *reservedEngine) reportPrefillFailure(engine string, timedOut bool) {
 	if s.run != "" {
 		s.exchange.handler.options.Coordinator.EngineFailed(coordinator.EngineFailure{
-			Service: s.exchange.service, Engine: engine, ID: s.run, TimedOut: silent,
+			Service: s.exchange.service, Engine: engine, ID: s.run, TimedOut: timedOut,
 		})
 	}
 }
