--- a/router/freshness.go
+++ b/router/freshness.go
@@ -7,10 +7,10 @@
 
 // freshness returns bounds on the age of this node's configuration.
 func (r *Router) freshness() gateway.Freshness {
-	agreement := r.syncer.SyncStatus()
+	status := r.syncer.SyncStatus()
 	return gateway.Freshness{
 		RevisionInForce: r.revisionInForce.Load(), RevisionKnown: r.revisionKnown(),
-		SinceInSync: agreement.UrgentAge, Exchanges: agreement.Exchanges, OldestExchange: agreement.OldestExchange,
+		SinceInSync: status.UrgentAge, Exchanges: status.Exchanges, OldestExchange: status.OldestExchange,
 	}
 }
 
--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -52,7 +52,8 @@
 	isolatedSince time.Time
 	// missing is the time since which nodes with a share have had no object, by name.
 	missing map[string]time.Time
-	// members is their number at the last check, and writtenAt when this node last wrote the shares.
+	// members is the number of nodes that could have a share at the last check, and writtenAt when this node last
+	// wrote the shares.
 	members   int
 	writtenAt time.Time
 }
