--- a/backend/notice_test.go
+++ b/backend/notice_test.go
@@ -148,7 +148,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		clock := newManualClock()
 		registry := backend.NewRegistry(clock.read)
-		said := map[string]bool{}
+		announced := map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			clock.advance(time.Duration(rapid.IntRange(0, 1000).Draw(t, "pause")) * time.Millisecond)
 			next := incarnation(rapid.Int64Range(1, 2).Draw(t, "born"), rapid.SampledFrom([]backend.State{backend.StateReady, backend.StateDraining}).Draw(t, "state"))
@@ -159,10 +159,10 @@
 				registry.Remove(next.ID)
 			default:
 				registry.RecordNotice(next, backend.Notice{Leaving: true})
-				said[next.ID] = true
+				announced[next.ID] = true
 			}
 			for _, entry := range registry.Ready("first", backend.RoleNone) {
-				if said[entry.Backend().ID] {
+				if announced[entry.Backend().ID] {
 					t.Fatalf("%s is given work", entry.Backend().ID)
 				}
 			}
