--- a/owner/inspect.go
+++ b/owner/inspect.go
@@ -26,8 +26,8 @@
 type holderState struct {
 	// isTerminated reports that the node's incarnation has ended.
 	isTerminated func(engine.Holder) bool
-	// seesMajority is set if this node hears most of its zone, so that its view of a node whose
-	// connections still exist is reliable.
+	// seesMajority is set if this node has contact with most of its zone, so that its view of a node
+	// whose connections still exist is reliable.
 	seesMajority bool
 }
 
@@ -77,7 +77,7 @@
 // isOrphan reports whether a stream is orphaned. Its holder must have been terminated for the whole
 // resume window, in which another node may take the stream over. A stream that a connection still
 // reads belongs to a holder that may merely be unreachable from this node; it is cancelled after
-// twice the window, and only if this node hears most of its zone.
+// twice the window, and only if this node has contact with most of its zone.
 func (p *pool) isOrphan(suspect orphan, status engine.StreamStatus, holders holderState, window time.Duration, suspects map[orphan]time.Time, now time.Time) bool {
 	if !holders.isTerminated(status.Holder) {
 		delete(suspects, suspect)
