--- a/quota/coordinator.go
+++ b/quota/coordinator.go
@@ -9,7 +9,7 @@
 
 const (
 	// presenceLifetime is how long a node belongs to a coordinator after its last call. Nodes call every half
-	// second. Until it expires, the share of nodes that were cut off is granted twice.
+	// second. Until it expires, the share of nodes that a network partition separated is granted twice.
 	presenceLifetime = 800 * time.Millisecond
 	// aboveUsualLevel is the fraction of its burst below which a tenant counts as above its usual rate. A
 	// tenant at its usual rate, 0.55 of its limit, has a full bucket but for a few requests.
--- a/quota/local.go
+++ b/quota/local.go
@@ -25,7 +25,7 @@
 // limit. In a large fleet that share is less than the cost of one request: such a request is granted with the
 // probability at which the nodes together use the limit.
 //
-// This covers the loss of a coordinator, which lasts about a second, and nodes that are cut off for longer. It
+// This covers the loss of a coordinator, which lasts about a second, and nodes that reach none for longer. It
 // is safe for concurrent use.
 type LocalLimiter struct {
 	// nodes returns how many nodes share a limit.
