--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -17,7 +17,7 @@
 
 const (
 	// kindRetryShares is the kind of the object that allocates the retry budget to the nodes. It is kept in the store
-	// and exchanged between the nodes, so that nobody watches it.
+	// and exchanged between the nodes, so that no node watches it.
 	kindRetryShares objectapi.Kind = "retryshares"
 	// nameRetryShares is the name of that object.
 	nameRetryShares = "main"
