--- a/settings/settings.go
+++ b/settings/settings.go
@@ -15,15 +15,16 @@
 	"github.com/reelrun/reelrun/api"
 )
 
-// EnvironmentPrefix precedes the name of a flag, in capitals and with
-// underscores, in the environment: -peer-address is REELRUN_PEER_ADDRESS.
+// EnvironmentPrefix is the prefix of environment variables. The rest is the name
+// of the flag in capitals and with underscores: -peer-address is
+// REELRUN_PEER_ADDRESS.
 const EnvironmentPrefix = "REELRUN"
 
-// Settings are the daemon's settings.
+// Settings holds the daemon's settings.
 type Settings struct {
 	// Name identifies the node; it is a DNS label, unique in the fleet.
 	Name string
-	// Zone is where the node stands.
+	// Zone is the zone of the node.
 	Zone string
 	// CallerAddress, PeerAddress and OperatorAddress are the IP addresses and
 	// ports to listen on.
@@ -36,7 +37,7 @@
 	Seeds []string
 	// OperatorTokenHash is the hex SHA-256 digest of the operators' token.
 	OperatorTokenHash string
-	// PlainText allows peers without mutual TLS and callers without TLS.
+	// PlainText allows connections without TLS, both of peers and of callers.
 	PlainText bool
 	// PeerCertificate, PeerKey and PeerAuthority are PEM files for mutual TLS
 	// between nodes. They are read again when they change.
@@ -49,15 +50,16 @@
 	// MaxBodyBytes bounds a caller's request body.
 	MaxBodyBytes int64
 	// DrainDelay is the time between becoming unready and closing the listeners,
-	// in which the balancer takes the node out.
+	// in which the load balancer stops sending requests to the node.
 	DrainDelay time.Duration
-	// DrainTimeout bounds the wait for requests in flight at a planned stop.
+	// DrainTimeout bounds the wait for requests in flight during a graceful shutdown.
 	DrainTimeout time.Duration
 	// HeartbeatInterval is the time between heartbeats of two nodes.
 	HeartbeatInterval time.Duration
-	// ResumeWindow is how long the stream of a failed node waits to be taken over.
+	// ResumeWindow is how long the stream of a failed node is kept for another node
+	// to take over.
 	ResumeWindow time.Duration
-	// Check only checks the settings.
+	// Check makes the daemon validate the settings and exit.
 	Check bool
 }
 
@@ -70,14 +72,14 @@
 	defaultResumeWindow      = 5 * time.Second
 )
 
-// place names a flag together with its variable.
+// place returns the place of a finding: a flag with its environment variable.
 func place(flagName string) string {
 	variable := strings.ToUpper(strings.ReplaceAll(flagName, "-", "_"))
 	return "-" + flagName + " (" + EnvironmentPrefix + "_" + variable + ")"
 }
 
-// Parse reads the settings and returns every finding. It returns flag.ErrHelp if
-// help was asked for.
+// Parse reads the settings and returns all findings. It returns flag.ErrHelp if
+// help was requested.
 func Parse(arguments []string, output io.Writer) (*Settings, api.Findings, error) {
 	parsed := &Settings{}
 	flags := flag.NewFlagSet("reelrund", flag.ContinueOnError)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -10,14 +10,14 @@
 	. "github.com/onsi/gomega"
 )
 
-var sound = []string{
+var validArguments = []string{
 	"-plain-text", "-name", "node-1", "-zone", "zone-a", "-caller-address", "127.0.0.1:7101", "-peer-address", "127.0.0.1:7201",
 	"-operator-address", "127.0.0.1:7301", "-platform-address", "127.0.0.1:7000", "-operator-token-hash", strings.Repeat("0", 64),
 }
 
-func TestSoundSettings(t *testing.T) {
+func TestValidSettings(t *testing.T) {
 	g := NewWithT(t)
-	parsed, findings, err := Parse(append(sound, "-seeds", "127.0.0.1:7201, 127.0.0.1:7202"), io.Discard)
+	parsed, findings, err := Parse(append(validArguments, "-seeds", "127.0.0.1:7201, 127.0.0.1:7202"), io.Discard)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(findings).To(BeEmpty())
 	g.Expect(parsed.Seeds).To(Equal([]string{"127.0.0.1:7201", "127.0.0.1:7202"}))
@@ -36,8 +36,8 @@
 func TestEnvironment(t *testing.T) {
 	g := NewWithT(t)
 	t.Setenv("REELRUN_ZONE", "zone-of-the-environment")
-	arguments := append([]string{}, sound[:3]...)
-	arguments = append(arguments, sound[5:]...)
+	arguments := append([]string{}, validArguments[:3]...)
+	arguments = append(arguments, validArguments[5:]...)
 	parsed, findings, err := Parse(arguments, io.Discard)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(findings).To(BeEmpty())
