--- a/logging/doc.go
+++ b/logging/doc.go
@@ -1,4 +1,4 @@
-// Package logging writes structured lines that cost a bounded amount and never
-// hold anyone up: lines beyond a rate are dropped and counted by their message,
-// and a reader that stops reading loses lines, nothing else.
+// Package logging writes structured log lines at a bounded rate and never blocks
+// the caller. Lines beyond the rate are dropped and counted by message; if the
+// output blocks, lines are lost, but the process continues.
 package logging
--- a/logging/errortext.go
+++ b/logging/errortext.go
@@ -1,6 +1,6 @@
 package logging
 
-// ErrorText is an error as an attribute of a line: its text, or nothing where there is none.
+// ErrorText returns the text of an error for a log attribute; it is empty if err is nil.
 func ErrorText(err error) string {
 	if err == nil {
 		return ""
--- a/logging/handler.go
+++ b/logging/handler.go
@@ -9,15 +9,15 @@
 	"golang.org/x/time/rate"
 )
 
-// Options bound a log.
+// Options configures the limits of a Log.
 type Options struct {
 	// LinesPerSecond is the rate beyond which lines are dropped. Default 100.
 	LinesPerSecond float64
-	// Burst is how many lines may come at once. Default 400.
+	// Burst is how many lines may be written at once. Default 400.
 	Burst int
-	// QueuedLines is how many lines wait for a reader that is slow. Default 1024.
+	// QueuedLines bounds the lines that are queued for a slow output. Default 1024.
 	QueuedLines int
-	// ReportInterval is the least time between two lines that tell of dropped ones.
+	// ReportInterval is the minimum time between two reports of dropped lines.
 	// Default 1s.
 	ReportInterval time.Duration
 }
@@ -27,7 +27,7 @@
 	defaultBurst          = 400
 	defaultQueuedLines    = 1024
 	defaultReportInterval = time.Second
-	// messageDropped is the message of the lines that tell of dropped ones.
+	// messageDropped is the message of a report of dropped lines.
 	messageDropped = "lines dropped"
 )
 
@@ -46,17 +46,18 @@
 	}
 }
 
-// limiter counts what it drops. It is shared by all handlers of one log.
+// limiter limits the rate of lines and counts the dropped ones. It is shared by all
+// handlers of one log.
 type limiter struct {
-	rate     *rate.Limiter
-	interval time.Duration
+	rate           *rate.Limiter
+	reportInterval time.Duration
 
-	mu       sync.Mutex
-	dropped  map[string]int
-	reported time.Time
+	mu         sync.Mutex
+	dropped    map[string]int // By message.
+	reportedAt time.Time
 }
 
-// allow reports whether a line may be written.
+// allow reports whether a line may be written, and counts it if not.
 func (l *limiter) allow(message string) bool {
 	if l.rate.Allow() {
 		return true
@@ -71,19 +72,20 @@
 	l.dropped[message]++
 }
 
-// due returns what was dropped since the last report, if one is due.
-func (l *limiter) due(now time.Time) map[string]int {
+// takeReport returns and resets the counts of dropped lines, by message, if a report
+// is due; otherwise it returns nil.
+func (l *limiter) takeReport(now time.Time) map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.dropped) == 0 || now.Sub(l.reported) < l.interval {
+	if len(l.dropped) == 0 || now.Sub(l.reportedAt) < l.reportInterval {
 		return nil
 	}
 	dropped := l.dropped
-	l.dropped, l.reported = map[string]int{}, now
+	l.dropped, l.reportedAt = map[string]int{}, now
 	return dropped
 }
 
-// handler is a slog.Handler that drops lines beyond the rate.
+// handler is a slog.Handler that drops lines beyond the rate and reports how many.
 type handler struct {
 	slog.Handler
 	limiter *limiter
@@ -91,7 +93,7 @@
 
 // Handle implements slog.Handler.
 func (h *handler) Handle(ctx context.Context, record slog.Record) error {
-	if dropped := h.limiter.due(record.Time); dropped != nil {
+	if dropped := h.limiter.takeReport(record.Time); dropped != nil {
 		report := slog.NewRecord(record.Time, slog.LevelWarn, messageDropped, 0)
 		for message, count := range dropped {
 			report.AddAttrs(slog.Int(message, count))
--- a/logging/log.go
+++ b/logging/log.go
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Log writes lines in the background.
+// Log writes lines to its output in a background goroutine.
 type Log struct {
 	logger  *slog.Logger
 	lines   chan []byte
@@ -26,8 +26,8 @@
 	l := &Log{
 		lines: make(chan []byte, options.QueuedLines), stop: make(chan struct{}), done: make(chan struct{}),
 		limiter: &limiter{
-			rate:     rate.NewLimiter(rate.Limit(options.LinesPerSecond), options.Burst),
-			interval: options.ReportInterval, dropped: map[string]int{},
+			rate:           rate.NewLimiter(rate.Limit(options.LinesPerSecond), options.Burst),
+			reportInterval: options.ReportInterval, dropped: map[string]int{},
 		},
 	}
 	l.logger = slog.New(&handler{slog.NewJSONHandler(queueWriter{l}, nil), l.limiter})
@@ -38,10 +38,10 @@
 // Logger returns the logger that writes to the log.
 func (l *Log) Logger() *slog.Logger { return l.logger }
 
-// queueWriter hands each line to the background.
+// queueWriter queues each line for the background goroutine.
 type queueWriter struct{ log *Log }
 
-// Write implements io.Writer. The handler writes one whole line at a time.
+// Write implements io.Writer. The handler passes one whole line per call.
 func (w queueWriter) Write(line []byte) (int, error) {
 	select {
 	case w.log.lines <- bytes.Clone(line):
@@ -56,7 +56,7 @@
 	for {
 		select {
 		case line := <-l.lines:
-			_, _ = output.Write(line) // Nobody could be told.
+			_, _ = output.Write(line) // An error of the log's output cannot be reported anywhere.
 		case <-l.stop:
 			l.flush(output)
 			return
@@ -64,7 +64,7 @@
 	}
 }
 
-// flush writes what is queued.
+// flush writes the queued lines.
 func (l *Log) flush(output io.Writer) {
 	for {
 		select {
@@ -76,11 +76,11 @@
 	}
 }
 
-// Close writes what is queued, unless the reader has stopped reading: then it
-// gives up after the given time.
-func (l *Log) Close(longest time.Duration) {
+// Close writes the queued lines. If the output blocks, it gives up after the
+// timeout.
+func (l *Log) Close(timeout time.Duration) {
 	l.once.Do(func() { close(l.stop) })
-	timer := time.NewTimer(longest)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-l.done:
--- a/logging/log_test.go
+++ b/logging/log_test.go
@@ -41,8 +41,9 @@
 	})
 }
 
-// TestAStoppedReaderStopsNothing writes to a pipe that nobody reads.
-func TestAStoppedReaderStopsNothing(t *testing.T) {
+// TestBlockedOutputDoesNotBlockCallers writes to a pipe that is never read. Info must
+// not block, and Close must give up after its timeout.
+func TestBlockedOutputDoesNotBlockCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		reader, writer := io.Pipe()
