--- a/api/defaults.go
+++ b/api/defaults.go
@@ -20,7 +20,7 @@
 	DefaultServiceTimeout         = 10 * time.Second
 )
 
-// SetDefaults fills every optional field that is zero.
+// SetDefaults sets every optional field that is zero to its default.
 func (c *Configuration) SetDefaults() {
 	for i := range c.Tenants {
 		setDefault(&c.Tenants[i].Weight, DefaultWeight)
@@ -36,8 +36,8 @@
 	for i := range c.Services {
 		service := &c.Services[i]
 		setDefault(&service.Timeout, Duration(DefaultServiceTimeout))
-		if len(service.OnceMethods) == 0 {
-			service.OnceMethods = []string{http.MethodPost, http.MethodPatch}
+		if len(service.NonIdempotentMethods) == 0 {
+			service.NonIdempotentMethods = []string{http.MethodPost, http.MethodPatch}
 		}
 	}
 }
