--- a/metrics/doc.go
+++ b/metrics/doc.go
@@ -1,5 +1,5 @@
 // Package metrics publishes counters and latency histograms through expvar.
 //
-// Counters come before log lines: every refusal, retry and failure counts here,
-// and a log line is written only on a change of state.
+// Every rejection, retry and failure is counted here. Log lines are written only
+// on changes of state.
 package metrics
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -17,8 +17,9 @@
 	significantFigures  = 2
 )
 
-// Set is the metrics of one node. It is safe for concurrent use. A Set is an
-// expvar.Var, so a process that runs several nodes publishes each by itself.
+// Set holds the metrics of one node. It is safe for concurrent use. A Set is an
+// expvar.Var, so a process that runs several nodes can publish the metrics of
+// each node separately.
 type Set struct {
 	counters *expvar.Map
 
@@ -34,7 +35,7 @@
 // Add adds delta to the named counter.
 func (s *Set) Add(name string, delta int64) { s.counters.Add(name, delta) }
 
-// Gauge publishes a value that is read when the set is.
+// Gauge registers a function that returns a value each time the set is read.
 func (s *Set) Gauge(name string, read func() float64) {
 	s.counters.Set(name, expvar.Func(func() any { return read() }))
 }
@@ -58,7 +59,7 @@
 		s.histograms[name] = histogram
 	}
 	value := min(max(duration.Microseconds(), lowestMicroseconds), highestMicroseconds)
-	_ = histogram.RecordValue(value) // The value was bounded above.
+	_ = histogram.RecordValue(value) // It fails only for values outside of the bounds.
 }
 
 // Quantiles is the published form of a histogram, in milliseconds.
@@ -78,10 +79,10 @@
 	defer s.mu.Unlock()
 	quantiles := make(map[string]Quantiles, len(s.histograms))
 	for name, histogram := range s.histograms {
-		at := func(q float64) float64 {
-			return float64(histogram.ValueAtQuantile(q)) / microsecondsPerMillisecond
+		percentile := func(percent float64) float64 {
+			return float64(histogram.ValueAtQuantile(percent)) / microsecondsPerMillisecond
 		}
-		quantiles[name] = Quantiles{histogram.TotalCount(), at(50), at(95), at(99), at(100)}
+		quantiles[name] = Quantiles{histogram.TotalCount(), percentile(50), percentile(95), percentile(99), percentile(100)}
 	}
 	return quantiles
 }
