--- a/tlsfiles/doc.go
+++ b/tlsfiles/doc.go
@@ -1,3 +1,3 @@
-// Package tlsfiles builds TLS configurations from PEM files and reads the files
-// again when they change, so that certificates are renewed without a restart.
+// Package tlsfiles builds TLS configurations from PEM files and reloads the files
+// when they change, so that certificates can be renewed without a restart.
 package tlsfiles
--- a/tlsfiles/tlsfiles.go
+++ b/tlsfiles/tlsfiles.go
@@ -10,57 +10,58 @@
 	"github.com/cockroachdb/errors"
 )
 
-// checkInterval is the least time between two looks at the files.
+// checkInterval is the minimum time between two checks of the files for changes.
 const checkInterval = time.Second
 
-// Files names the PEM files of one side.
+// Files lists the PEM files of one side of a connection.
 type Files struct {
 	Certificate string
 	Key         string
-	// Authority verifies the other side; empty leaves it unverified.
+	// Authority holds the CA certificates that verify the other side. If it is
+	// empty, a server does not verify its clients.
 	Authority string
 }
 
-// Source holds what the files last contained. It is safe for concurrent use.
+// Source holds the last valid content of the files. It is safe for concurrent use.
 type Source struct {
 	files Files
 
 	mu          sync.Mutex
-	checked     time.Time
-	modified    time.Time
+	checkedAt   time.Time
+	modifiedAt  time.Time
 	certificate *tls.Certificate
 	authority   *x509.CertPool
 }
 
-// NewSource reads the files.
+// NewSource loads the files.
 func NewSource(files Files) (*Source, error) {
 	source := &Source{files: files}
-	if err := source.read(); err != nil {
+	if err := source.load(); err != nil {
 		return nil, err
 	}
 	return source, nil
 }
 
-// newest returns when any of the files was last changed.
-func (s *Source) newest() (time.Time, error) {
-	var newest time.Time
+// lastModified returns the latest modification time of the files.
+func (s *Source) lastModified() (time.Time, error) {
+	var latest time.Time
 	for _, name := range []string{s.files.Certificate, s.files.Key, s.files.Authority} {
 		if name == "" {
 			continue
 		}
 		info, err := os.Stat(name)
 		if err != nil {
-			return time.Time{}, errors.Wrap(err, "look at TLS file")
+			return time.Time{}, errors.Wrap(err, "check TLS file for changes")
 		}
-		if info.ModTime().After(newest) {
-			newest = info.ModTime()
+		if info.ModTime().After(latest) {
+			latest = info.ModTime()
 		}
 	}
-	return newest, nil
+	return latest, nil
 }
 
-func (s *Source) read() error {
-	modified, err := s.newest()
+func (s *Source) load() error {
+	modifiedAt, err := s.lastModified()
 	if err != nil {
 		return err
 	}
@@ -74,26 +75,26 @@
 			return err
 		}
 	}
-	s.certificate, s.authority, s.modified, s.checked = &certificate, authority, modified, time.Now()
+	s.certificate, s.authority, s.modifiedAt, s.checkedAt = &certificate, authority, modifiedAt, time.Now()
 	return nil
 }
 
-// current returns the newest readable content. Files that are being replaced
-// leave the content before in use.
+// current returns the newest valid content. While the files are being replaced and
+// cannot be loaded, the previous content stays in use.
 func (s *Source) current() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.checked) >= checkInterval {
-		s.checked = time.Now()
-		if modified, err := s.newest(); err == nil && modified.After(s.modified) {
-			_ = s.read() // The content before stays in use.
+	if time.Since(s.checkedAt) >= checkInterval {
+		s.checkedAt = time.Now()
+		if modifiedAt, err := s.lastModified(); err == nil && modifiedAt.After(s.modifiedAt) {
+			_ = s.load() // After an error the previous content stays in use.
 		}
 	}
 	return s.certificate, s.authority
 }
 
 // ServerConfig returns a configuration for accepting connections. With an authority,
-// the other side must show a certificate of it.
+// clients must present a certificate that it has issued.
 func (s *Source) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -110,15 +111,15 @@
 	}
 }
 
-// ClientConfig returns a configuration for opening a connection. Nodes are addressed
-// by IP, so the certificate is verified against the authority and its purpose,
-// and not against a name.
+// ClientConfig returns a configuration for opening a connection to a node. Nodes are
+// addressed by IP, so the certificate's authority and extended key usage are
+// verified, but not its name.
 func (s *Source) ClientConfig() *tls.Config {
 	certificate, authority := s.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{*certificate},
-		// The chain is verified below; only the check of the name is left out.
+		// VerifyConnection verifies the chain; only the verification of the name is omitted.
 		InsecureSkipVerify: true, //nolint:gosec // see VerifyConnection
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verify(state, authority)
@@ -128,7 +129,7 @@
 
 func verify(state tls.ConnectionState, authority *x509.CertPool) error {
 	if authority == nil || len(state.PeerCertificates) == 0 {
-		return errors.New("no authority or no certificate")
+		return errors.New("authority or node certificate is missing")
 	}
 	intermediates := x509.NewCertPool()
 	for _, certificate := range state.PeerCertificates[1:] {
--- a/tlsfiles/trust.go
+++ b/tlsfiles/trust.go
@@ -8,28 +8,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ClientConfig returns a configuration for a caller or an operator. It trusts
-// the certificates of a PEM file; an empty name means those of the machine.
+// ClientConfig returns a configuration for a caller or an operator. It trusts the
+// CA certificates in a PEM file; an empty name selects those of the system.
 func ClientConfig(authority string) (*tls.Config, error) {
 	if authority == "" {
 		return &tls.Config{MinVersion: tls.VersionTLS13}, nil
 	}
-	trusted, err := readAuthority(authority)
+	authorities, err := readAuthority(authority)
 	if err != nil {
 		return nil, err
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: trusted}, nil
+	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: authorities}, nil
 }
 
-// readAuthority reads the certificates of a PEM file.
+// readAuthority reads the CA certificates in a PEM file.
 func readAuthority(name string) (*x509.CertPool, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return nil, errors.Wrap(err, "read authority")
 	}
-	trusted := x509.NewCertPool()
-	if !trusted.AppendCertsFromPEM(data) {
+	authorities := x509.NewCertPool()
+	if !authorities.AppendCertsFromPEM(data) {
 		return nil, errors.Newf("no certificate in %s", name)
 	}
-	return trusted, nil
+	return authorities, nil
 }
