--- a/processtest/doc.go
+++ b/processtest/doc.go
@@ -1,3 +1,3 @@
-// Package processtest holds the tests that need real processes: kills, pauses
-// and planned stops by signals. It has no other code.
+// Package processtest contains the tests that need real processes: it kills, freezes
+// and stops them by signals. It has no other code.
 package processtest
--- a/processtest/fleet_test.go
+++ b/processtest/fleet_test.go
@@ -29,7 +29,7 @@
 
 const operatorToken = "operator"
 
-// binaries is the folder with the built commands.
+// binaries is the folder of the built commands.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -52,14 +52,14 @@
 	return m.Run()
 }
 
-// process is one started command.
+// process is a started command.
 type process struct {
 	command *exec.Cmd
 	output  *lockedBuffer
 	ended   chan error
 }
 
-// lockedBuffer collects a process's output.
+// lockedBuffer collects a process's output. It is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -102,28 +102,28 @@
 	}
 }
 
-// kill ends the process at once and waits for its end.
+// kill terminates the process and waits for its end.
 func (p *process) kill(t *testing.T) {
 	t.Helper()
 	p.signal(t, syscall.SIGKILL)
 	<-p.ended
 }
 
-// Ports of the processes lie below those that the system gives to connections, so that no connection
-// of another process takes one between its choice and the start of the process.
+// Ports of the processes lie below the system's range of ephemeral ports, so that no connection of another
+// process takes a port between its choice and the start of the process.
 const (
 	firstPort = 30_000
 	portCount = 2_500
 )
 
-// portsTaken counts the ports that were chosen; processes of this test begin at different ones.
-var portsTaken atomic.Int64
+// portsChosen counts the ports chosen so far; each test process begins at a different port.
+var portsChosen atomic.Int64
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address that no process listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range portCount {
-		port := firstPort + (int64(os.Getpid())*31+portsTaken.Add(1))%portCount
+		port := firstPort + (int64(os.Getpid())*31+portsChosen.Add(1))%portCount
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err == nil {
 			_ = listener.Close()
@@ -154,7 +154,7 @@
 
 const limit = 60 * time.Second
 
-// eventually waits for a condition; the limit only ends a test that has failed.
+// eventually waits for a condition; the limit is only reached by a test that fails.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
@@ -162,7 +162,7 @@
 			return
 		}
 	}
-	t.Fatalf("%s did not come about", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
 func startFleet(t *testing.T, nodes int) *fleet {
@@ -214,7 +214,7 @@
 	return &operator.Client{BaseURL: f.security.url(through.operator), Token: operatorToken, HTTP: f.security.client()}
 }
 
-// accept plans and confirms an intent through any node.
+// accept plans an intent and confirms the plan through the first node.
 func (f *fleet) accept(t *testing.T, intent operator.Intent) {
 	t.Helper()
 	eventually(t, "acceptance", func() bool {
@@ -253,7 +253,7 @@
 	return json.NewDecoder(response.Body).Decode(value) == nil
 }
 
-// ledgers returns what the engines did.
+// ledgers returns the engines' reports of what they have executed.
 func (f *fleet) ledgers() []enginesim.Report {
 	var reports []enginesim.Report
 	for _, address := range f.engines {
@@ -265,7 +265,7 @@
 	return reports
 }
 
-func (f *fleet) held() int {
+func (f *fleet) heldStreams() int {
 	held := 0
 	for _, report := range f.ledgers() {
 		held += report.HeldStreams
@@ -273,7 +273,7 @@
 	return held
 }
 
-func (f *fleet) count(kind enginesim.EntryKind) int {
+func (f *fleet) countEntries(kind enginesim.EntryKind) int {
 	count := 0
 	for _, report := range f.ledgers() {
 		for _, entry := range report.Entries {
@@ -311,7 +311,7 @@
 	return id.String()
 }
 
-// send starts a request and returns its result when it comes.
+// send starts a request. Its result is sent on the returned channel.
 func (f *fleet) send(ctx context.Context, key string, tokens int, nodes ...*node) <-chan load.Result {
 	done := make(chan load.Result, 1)
 	var addresses []string
@@ -334,6 +334,6 @@
 func expectAnswer(t *testing.T, result load.Result) {
 	t.Helper()
 	if result.Ending != load.EndingAnswered || result.Repeated != 0 {
-		t.Fatalf("%s after %d tries, %d repeated: %s %v", result.Ending, result.Tries, result.Repeated, result.Detail, result.Failure)
+		t.Fatalf("%s after %d attempts, %d tokens repeated: %s %v", result.Ending, result.Tries, result.Repeated, result.Detail, result.Failure)
 	}
 }
--- a/processtest/security_test.go
+++ b/processtest/security_test.go
@@ -16,11 +16,11 @@
 	"github.com/reelrun/reelrun/tlsfiles"
 )
 
-// security is the TLS of a fleet; nil is a fleet in plain text.
+// security is the TLS configuration of a fleet; nil for a fleet without TLS.
 type security struct {
-	authority *certificates.Authority
-	folder    string
-	trusting  *tls.Config
+	authority    *certificates.Authority
+	folder       string
+	clientConfig *tls.Config
 }
 
 func newSecurity(t *testing.T) *security {
@@ -29,15 +29,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	made := &security{authority: authority, folder: t.TempDir()}
-	files, _ := made.issue(t, "caller")
-	if made.trusting, err = tlsfiles.ClientTrusting(files.Authority); err != nil {
+	created := &security{authority: authority, folder: t.TempDir()}
+	files, _ := created.issue(t, "caller")
+	if created.clientConfig, err = tlsfiles.ClientTrusting(files.Authority); err != nil {
 		t.Fatal(err)
 	}
-	return made
+	return created
 }
 
-// issue writes a certificate over an earlier one of the same name.
+// issue writes a certificate, replacing an earlier one of the same name.
 func (s *security) issue(t *testing.T, name string) (certificates.Files, int64) {
 	t.Helper()
 	files, serial, err := s.authority.Issue(s.folder, name)
@@ -47,7 +47,7 @@
 	return files, serial
 }
 
-// arguments are a node's flags for its certificates.
+// arguments returns a node's flags for its certificates.
 func (s *security) arguments(t *testing.T, name string) []string {
 	t.Helper()
 	if s == nil {
@@ -70,14 +70,14 @@
 func (s *security) client() *http.Client {
 	transport := &http.Transport{DisableKeepAlives: true}
 	if s != nil {
-		transport.TLSClientConfig = s.trusting
+		transport.TLSClientConfig = s.clientConfig
 	}
 	return &http.Client{Transport: transport}
 }
 
-// shownSerial returns the serial number of the certificate that an address
-// shows, or zero.
-func shownSerial(address string, config *tls.Config) int64 {
+// servedSerial returns the serial number of the certificate that an address serves,
+// or zero.
+func servedSerial(address string, config *tls.Config) int64 {
 	dialed, err := tls.Dial("tcp", address, config)
 	if err != nil {
 		return 0
@@ -87,7 +87,7 @@
 }
 
 // TestSecuredFleet serves requests with mutual TLS between nodes and TLS to
-// callers and operators, survives the death of a node, and shows a renewed
+// callers and operators, keeps serving after a node is killed, and serves a renewed
 // certificate without a restart.
 func TestSecuredFleet(t *testing.T) {
 	secured := newSecurity(t)
@@ -96,22 +96,22 @@
 		expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, through))
 	}
 	done := f.send(context.Background(), newKey(t), 150, f.nodes[0], f.nodes[1], f.nodes[2])
-	eventually(t, "decoding", func() bool { return f.count(enginesim.EntryDecodeStart) == len(f.nodes)+1 })
+	eventually(t, "decoding", func() bool { return f.countEntries(enginesim.EntryDecodeStart) == len(f.nodes)+1 })
 	f.nodes[0].kill(t)
 	expectAnswer(t, <-done)
 
-	before := shownSerial(f.nodes[1].caller, secured.trusting)
+	before := servedSerial(f.nodes[1].caller, secured.clientConfig)
 	_, renewed := secured.issue(t, f.nodes[1].name)
 	if before == renewed {
 		t.Fatal("the certificate was not renewed")
 	}
-	eventually(t, "the renewed certificate", func() bool { return shownSerial(f.nodes[1].caller, secured.trusting) == renewed })
+	eventually(t, "the renewed certificate", func() bool { return servedSerial(f.nodes[1].caller, secured.clientConfig) == renewed })
 	expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[1]))
 }
 
-// TestStrangerCannotSpeakToNodes shows that the port between nodes accepts
-// neither plain text nor a certificate of another authority.
-func TestStrangerCannotSpeakToNodes(t *testing.T) {
+// TestNodesRejectUnknownCertificates checks that the port between nodes accepts neither
+// a connection without a certificate nor a certificate of another authority.
+func TestNodesRejectUnknownCertificates(t *testing.T) {
 	secured, foreign := newSecurity(t), newSecurity(t)
 	f := startFleetWith(t, 2, secured)
 	files, _ := foreign.issue(t, "stranger")
@@ -133,7 +133,7 @@
 		"a certificate of the fleet":         {[]tls.Certificate{own}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			config := secured.trusting.Clone()
+			config := secured.clientConfig.Clone()
 			config.Certificates = attempt.certificates
 			if accepted := answersPeer(f.nodes[0].peer, config); accepted != attempt.accepted {
 				t.Fatalf("accepted: %t", accepted)
--- a/processtest/signals_test.go
+++ b/processtest/signals_test.go
@@ -10,59 +10,59 @@
 	"github.com/reelrun/reelrun/sim/fault"
 )
 
-// TestKilledNode kills the node of a running answer. The caller comes back to
-// another node and gets the rest of the same stream.
+// TestKilledNode kills the node of a running answer. The caller retries at another
+// node and gets the rest of the same stream.
 func TestKilledNode(t *testing.T) {
 	f := startFleet(t, 3)
 	done := f.send(context.Background(), newKey(t), 150, f.nodes[0], f.nodes[1], f.nodes[2])
-	eventually(t, "decoding", func() bool { return f.count(enginesim.EntryDecodeStart) == 1 })
+	eventually(t, "decoding", func() bool { return f.countEntries(enginesim.EntryDecodeStart) == 1 })
 	f.nodes[0].signal(t, syscall.SIGKILL)
 	expectAnswer(t, <-done)
-	if starts := f.count(enginesim.EntryDecodeStart); starts != 1 {
+	if starts := f.countEntries(enginesim.EntryDecodeStart); starts != 1 {
 		t.Fatalf("the request was decoded %d times", starts)
 	}
-	eventually(t, "freedom of the engines", func() bool { return f.held() == 0 })
+	eventually(t, "freedom of the engines", func() bool { return f.heldStreams() == 0 })
 }
 
-// TestFrozenNodeHoldsNothing freezes the node of a running answer and lets its
-// caller go. The engine is freed while the node is still frozen, and the thawed
-// node serves again.
+// TestFrozenNodeHoldsNothing freezes the node of a running answer, and its caller
+// disconnects. The engine must be released while the node is still frozen, and the
+// node must serve again after it is resumed.
 func TestFrozenNodeHoldsNothing(t *testing.T) {
 	f := startFleet(t, 3)
-	ctx, hangUp := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	done := f.send(ctx, newKey(t), 20000, f.nodes[0])
-	eventually(t, "decoding", func() bool { return f.count(enginesim.EntryDecodeStart) == 1 })
+	eventually(t, "decoding", func() bool { return f.countEntries(enginesim.EntryDecodeStart) == 1 })
 	f.nodes[0].signal(t, syscall.SIGSTOP)
-	hangUp()
+	disconnect()
 	<-done
-	eventually(t, "freedom of the engines", func() bool { return f.held() == 0 })
+	eventually(t, "freedom of the engines", func() bool { return f.heldStreams() == 0 })
 	f.nodes[0].signal(t, syscall.SIGCONT)
 	f.awaitReady(t, f.nodes[0])
 	expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[0]))
 }
 
-// TestThawedNodeCancelsNothing freezes a node that owns nothing of a running
-// answer and thaws it. It must not take the others for gone.
+// TestThawedNodeCancelsNothing freezes the nodes that own no part of a running answer
+// and resumes them. They must not consider the other nodes lost and cancel the answer.
 func TestThawedNodeCancelsNothing(t *testing.T) {
 	f := startFleet(t, 3)
 	done := f.send(context.Background(), newKey(t), 600, f.nodes[0])
-	eventually(t, "decoding", func() bool { return f.count(enginesim.EntryDecodeStart) == 1 })
+	eventually(t, "decoding", func() bool { return f.countEntries(enginesim.EntryDecodeStart) == 1 })
 	for _, other := range f.nodes[1:] {
 		other.signal(t, syscall.SIGSTOP)
 	}
-	eventually(t, "half of the answer", func() bool { return f.produced() > 300 })
+	eventually(t, "half of the answer", func() bool { return f.producedTokens() > 300 })
 	for _, other := range f.nodes[1:] {
 		other.signal(t, syscall.SIGCONT)
 	}
 	result := <-done
 	expectAnswer(t, result)
-	if result.Tries != 1 || f.count(enginesim.EntryDecodeCancelled) != 0 {
-		t.Fatalf("%d tries, %d streams cancelled", result.Tries, f.count(enginesim.EntryDecodeCancelled))
+	if result.Tries != 1 || f.countEntries(enginesim.EntryDecodeCancelled) != 0 {
+		t.Fatalf("%d attempts, %d streams cancelled", result.Tries, f.countEntries(enginesim.EntryDecodeCancelled))
 	}
 }
 
-// produced returns the tokens that the held streams have produced.
-func (f *fleet) produced() int {
+// producedTokens returns the number of tokens that the held streams have produced.
+func (f *fleet) producedTokens() int {
 	produced := 0
 	for _, address := range f.engines {
 		var streams []struct {
@@ -81,7 +81,7 @@
 func TestPlannedStop(t *testing.T) {
 	f := startFleet(t, 2)
 	done := f.send(context.Background(), newKey(t), 200, f.nodes[0])
-	eventually(t, "decoding", func() bool { return f.count(enginesim.EntryDecodeStart) == 1 })
+	eventually(t, "decoding", func() bool { return f.countEntries(enginesim.EntryDecodeStart) == 1 })
 	f.nodes[0].signal(t, syscall.SIGTERM)
 	result := <-done
 	expectAnswer(t, result)
@@ -94,8 +94,8 @@
 	expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[1]))
 }
 
-// TestPlatformOutage takes the platform away: service goes on, a restarted node
-// learns the configuration from its peers, and a change is refused.
+// TestPlatformOutage makes the platform unavailable: service continues, a restarted node
+// fetches the configuration from its peers, and a change is rejected.
 func TestPlatformOutage(t *testing.T) {
 	f := startFleet(t, 3)
 	setFaults(t, f.platformAddress, fault.Faults{Outage: true})
@@ -120,7 +120,7 @@
 }
 
 // TestEngineChangesRole confirms a change of role and waits until the engine has
-// taken the order.
+// executed the order.
 func TestEngineChangesRole(t *testing.T) {
 	f := startFleet(t, 2)
 	f.accept(t, operator.Intent{Action: operator.ActionEngine, Engine: "engine-3", Role: "prefill"})
