--- a/cmd/reelrun-router/main.go
+++ b/cmd/reelrun-router/main.go
@@ -1,9 +1,9 @@
-// Command reelrun-router serves by routes on the users' platform, the same on every entry
-// machine. The variable REELRUN_SETTINGS names the settings file that the platform lays
-// out.
+// Command reelrun-router routes requests on the users' platform. All entry machines run the
+// same program. The variable REELRUN_SETTINGS contains the path of the settings file that the
+// platform provides.
 //
-// It is a program of its own beside reelrund, which serves the product's own interface:
-// it does without that one's libraries, which are half of a small node's memory.
+// It is separate from reelrund, which serves the product's own interface, so that it does not
+// link the libraries of that interface: they take half of a small node's memory.
 //
 // Exit codes: 0 after a planned stop, 1 for a failure, 2 for faulty settings.
 package main
@@ -31,7 +31,7 @@
 	"github.com/reelrun/reelrun/settings"
 )
 
-// logCloseTimeout bounds the wait for the reader of the log at the end.
+// logCloseTimeout limits how long the end of the process waits until the log has been read.
 const logCloseTimeout = 200 * time.Millisecond
 
 // Exit codes.
@@ -46,11 +46,11 @@
 func run(arguments []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// Taken before anything else and until the process ends: a hangup while it starts or
-	// stops must not end it.
+	// Registered first and kept until the process ends, so that a hangup during start or stop
+	// does not terminate it.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	given, err := parseFlags(arguments)
+	values, err := parseFlags(arguments)
 	if errors.Is(err, flag.ErrHelp) {
 		return 0
 	}
@@ -58,29 +58,29 @@
 		return exitSettings
 	}
 	path := os.Getenv(platform.SettingsVariable)
-	parsed, err := readSettings(path, given)
+	parsed, err := readSettings(path, values)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
-	if given.check {
+	if values.check {
 		fmt.Println("settings: ok")
 		return 0
 	}
 	log := logging.New(os.Stdout, logging.Options{})
 	defer log.Close(logCloseTimeout)
 	logger := log.Logger().With("node", parsed.Name)
-	// Libraries that write to the log of the process write to this one: net/http does so of
-	// answers that nobody asked for.
+	// Libraries that write to the process's log write to this logger: net/http logs responses
+	// that belong to no request.
 	slog.SetDefault(logger)
-	counting, err := clock.Boot()
+	bootClock, err := clock.Boot()
 	if err != nil {
 		logger.Error("node failed", "error", err)
 		return exitFailure
 	}
-	daemon := newRouter(parsed, given, counting, logger)
+	daemon := newRouter(parsed, values, bootClock, logger)
 	go heaplimit.Run(ctx, parsed.MemoryBytes)
-	go followSettings(ctx, path, hangups, daemon, logger)
+	go watchSettings(ctx, path, hangups, daemon, logger)
 	if err := daemon.Run(ctx); err != nil {
 		logger.Error("node failed", "error", err)
 		return exitFailure
@@ -88,34 +88,34 @@
 	return 0
 }
 
-// flagValues are what the command line says.
+// flagValues are the values of the command line's flags.
 type flagValues struct {
 	check     bool
 	placement router.Placement
 	keepRoles bool
 }
 
-// parseFlags reads the command line. The flag package prints what is wrong with it.
+// parseFlags parses the command line. The flag package prints errors.
 func parseFlags(arguments []string) (flagValues, error) {
-	var given flagValues
+	var values flagValues
 	flags := flag.NewFlagSet("reelrun-router", flag.ContinueOnError)
 	flags.Usage = func() {
 		_, _ = fmt.Fprintf(flags.Output(), "%s=FILE reelrun-router [flags]\n", platform.SettingsVariable)
 		flags.PrintDefaults()
 	}
-	flags.BoolVar(&given.check, "check", false, "check the settings file and exit")
-	flags.StringVar((*string)(&given.placement), "placement", string(router.PlacementCoordinator),
+	flags.BoolVar(&values.check, "check", false, "check the settings file and exit")
+	flags.StringVar((*string)(&values.placement), "placement", string(router.PlacementCoordinator),
 		"who chooses engines: coordinator (one node a service), or reservation (each node asks the engines)")
-	flags.BoolVar(&given.keepRoles, "keep-roles", false, "leave the roles of engines as they are")
-	return given, flags.Parse(arguments)
+	flags.BoolVar(&values.keepRoles, "keep-roles", false, "leave the roles of engines as they are")
+	return values, flags.Parse(arguments)
 }
 
-// readSettings reads the settings file. All findings are reported together, those of the
-// command line included.
-func readSettings(path string, given flagValues) (*settings.Router, error) {
+// readSettings reads the settings file. All findings are reported together, including those
+// about the command line.
+func readSettings(path string, values flagValues) (*settings.Router, error) {
 	var findings api.Findings
-	if given.placement != router.PlacementCoordinator && given.placement != router.PlacementReservation {
-		findings.Addf("-placement", "%q is neither coordinator nor reservation", given.placement)
+	if values.placement != router.PlacementCoordinator && values.placement != router.PlacementReservation {
+		findings.Addf("-placement", "%q is neither coordinator nor reservation", values.placement)
 	}
 	if path == "" {
 		findings.Addf(platform.SettingsVariable, "names no settings file")
@@ -136,27 +136,27 @@
 	return errors.New(findings.String())
 }
 
-// newRouter connects the daemon to the platform.
-func newRouter(parsed *settings.Router, given flagValues, counting *clock.Clock, logger *slog.Logger) *router.Router {
+// newRouter creates the router and connects it to the platform.
+func newRouter(parsed *settings.Router, values flagValues, bootClock *clock.Clock, logger *slog.Logger) *router.Router {
 	dialer := &net.Dialer{}
 	var daemon *router.Router
-	pacer := func(kind objectapi.Kind) platform.WatchPace {
+	watchPace := func(kind objectapi.Kind) platform.WatchPace {
 		wait, pause := daemon.WatchTiming(kind)
 		return platform.WatchPace{Wait: wait, Pause: pause}
 	}
-	store := platform.NewStore(parsed.StoreAddress, dialer.DialContext, pacer)
+	store := platform.NewStore(parsed.StoreAddress, dialer.DialContext, watchPace)
 	store.Observe(func(operation platform.Operation, kind objectapi.Kind) {
 		daemon.CountStoreCall(string(operation), kind)
 	})
 	daemon = router.New(router.Options{
 		Settings:  parsed,
-		Placement: given.placement,
-		KeepRoles: given.keepRoles,
+		Placement: values.placement,
+		KeepRoles: values.keepRoles,
 		Logger:    logger,
-		Clock:     counting,
+		Clock:     bootClock,
 		Environment: router.Environment{
 			Store:               store,
-			Dialect:             platform.NewDialect(dialer.DialContext, counting),
+			Dialect:             platform.NewDialect(dialer.DialContext, bootClock),
 			ConfigurationKind:   platform.KindConfiguration,
 			BackendKind:         platform.KindServer,
 			DecodeConfiguration: platform.DecodeConfiguration,
--- a/cmd/reelrun-router/main_test.go
+++ b/cmd/reelrun-router/main_test.go
@@ -12,8 +12,8 @@
 	"github.com/reelrun/reelrun/router"
 )
 
-// TestFindingsComeTogether checks a faulty flag beside a faulty settings file.
-func TestFindingsComeTogether(t *testing.T) {
+// TestFindingsAreReportedTogether checks an invalid flag together with an invalid settings file.
+func TestFindingsAreReportedTogether(t *testing.T) {
 	g := NewWithT(t)
 	path := filepath.Join(t.TempDir(), "node.json")
 	g.Expect(os.WriteFile(path, []byte(`{"node": "", "ip": "not-an-address"}`), 0o600)).To(Succeed())
@@ -26,7 +26,7 @@
 	g.Expect(err).NotTo(MatchError(ContainSubstring("-placement")))
 }
 
-// TestExitCodes runs what ends before anything is served.
+// TestExitCodes runs commands that end before anything is served.
 func TestExitCodes(t *testing.T) {
 	g := NewWithT(t)
 	t.Setenv("REELRUN_SETTINGS", "")
@@ -35,10 +35,10 @@
 	g.Expect(run([]string{"-check"})).To(Equal(exitSettings))
 }
 
-// TestLinksNothingOfTheOwnInterface keeps the packages of the product's own interface,
-// and the libraries that come with them, out of this program: they were half of the
-// memory of a small node.
-func TestLinksNothingOfTheOwnInterface(t *testing.T) {
+// TestLinksNoPackageOfReelrund checks that the packages of the product's own interface are not
+// linked into this program: they and the libraries that they import took half of the memory of
+// a small node.
+func TestLinksNoPackageOfReelrund(t *testing.T) {
 	g := NewWithT(t)
 	output, err := exec.Command("go", "list", "-deps", ".").Output()
 	g.Expect(err).NotTo(HaveOccurred())
--- a/cmd/reelrun-router/reload.go
+++ b/cmd/reelrun-router/reload.go
@@ -15,8 +15,8 @@
 // settingsInterval is how often the settings file is read again without a signal.
 const settingsInterval = 5 * time.Second
 
-// followSettings reads the settings file again at each hangup and at intervals.
-func followSettings(ctx context.Context, path string, hangups <-chan os.Signal, daemon *router.Router, logger *slog.Logger) {
+// watchSettings reads the settings file again on each SIGHUP and at intervals.
+func watchSettings(ctx context.Context, path string, hangups <-chan os.Signal, daemon *router.Router, logger *slog.Logger) {
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
 	for {
