--- a/cmd/reelrund/main.go
+++ b/cmd/reelrund/main.go
@@ -1,6 +1,6 @@
-// Command reelrund is the daemon of the product's own interface (completions, operators'
-// API), the same on every entry machine. It takes flags and environment variables. On the
-// users' platform, reelrun-router serves.
+// Command reelrund is the daemon for the product's own interface (completions and operators'
+// API). All entry machines run the same program. It is configured by flags and environment
+// variables. On the users' platform, reelrun-router is used instead.
 //
 // Exit codes: 0 after a planned stop, 1 for a failure, 2 for faulty settings.
 package main
