--- a/cmd/reelrunctl/account.go
+++ b/cmd/reelrunctl/account.go
@@ -10,10 +10,10 @@
 	"github.com/reelrun/reelrun/account"
 )
 
-// accountCommand reads logs; it calls no node.
+// accountCommand reads logs and calls no node.
 func accountCommand(shared *command) *ffcli.Command {
 	flags := flag.NewFlagSet("account", flag.ContinueOnError)
-	picture := flags.String("plot", "", "file for a picture of the time, svg or png; default none")
+	plotFile := flags.String("plot", "", "file for a picture of the time, svg or png; default none")
 	return &ffcli.Command{
 		Name:       "account",
 		ShortUsage: "reelrunctl account [-plot FILE] [LOG ...]",
@@ -21,16 +21,16 @@
 		FlagSet:    flags,
 		Exec: func(_ context.Context, files []string) error {
 			return withLogs(files, func(logs []io.Reader) error {
-				made, err := account.Read(logs...)
+				summary, err := account.Read(logs...)
 				if err != nil {
 					return err
 				}
-				if *picture != "" {
-					if err := made.Plot(*picture); err != nil {
+				if *plotFile != "" {
+					if err := summary.Plot(*plotFile); err != nil {
 						return err
 					}
 				}
-				return made.Write(shared.out)
+				return summary.Write(shared.out)
 			})
 		},
 	}
--- a/cmd/reelrunctl/builds.go
+++ b/cmd/reelrunctl/builds.go
@@ -16,21 +16,21 @@
 	"github.com/reelrun/reelrun/loglines"
 )
 
-// nodeStart is a start or a stop of a node, as its log tells of it.
-type nodeStart struct {
+// nodeEvent is a start or a planned stop of a node, as logged by the node.
+type nodeEvent struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
 	Node    string    `json:"node"`
 	Build   string    `json:"build"`
 }
 
-// The messages by which a node tells of a start and of the end of a planned stop.
+// The messages that a node logs for a start and for the end of a planned stop.
 const (
 	messageStart   = "start"
 	messageStopped = "stopped"
 )
 
-// buildsCommand reads logs; it calls no node.
+// buildsCommand reads logs and calls no node.
 func buildsCommand(shared *command) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "builds",
@@ -38,7 +38,7 @@
 		ShortHelp:  "Show which build each node started last, from the logs of all nodes; without files, standard input.",
 		Exec: func(_ context.Context, files []string) error {
 			return withLogs(files, func(logs []io.Reader) error {
-				latest, err := latestStarts(logs)
+				latest, err := latestEvents(logs)
 				if err != nil {
 					return err
 				}
@@ -48,17 +48,17 @@
 	}
 }
 
-// latestStarts returns the newest start, or planned end, of each node.
-func latestStarts(logs []io.Reader) (map[string]nodeStart, error) {
-	latest := map[string]nodeStart{}
+// latestEvents returns the latest start or planned stop of each node.
+func latestEvents(logs []io.Reader) (map[string]nodeEvent, error) {
+	latest := map[string]nodeEvent{}
 	for _, log := range logs {
 		err := loglines.Each(log, func(text []byte) {
-			var line nodeStart
+			var line nodeEvent
 			if json.Unmarshal(text, &line) != nil {
-				return // Cut short, or not a node's.
+				return // A truncated line, or not a node's.
 			}
-			tells := line.Message == messageStart || line.Message == messageStopped
-			if tells && line.Node != "" && !line.Time.Before(latest[line.Node].Time) {
+			relevant := line.Message == messageStart || line.Message == messageStopped
+			if relevant && line.Node != "" && !line.Time.Before(latest[line.Node].Time) {
 				latest[line.Node] = line
 			}
 		})
@@ -69,9 +69,9 @@
 	return latest, nil
 }
 
-// writeBuilds writes a line a node, and how many run each build.
-func writeBuilds(out io.Writer, latest map[string]nodeStart) error {
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) //nolint:mnd // two blanks between columns
+// writeBuilds writes one line per node, and the number of nodes that run each build.
+func writeBuilds(out io.Writer, latest map[string]nodeEvent) error {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) //nolint:mnd // two spaces between columns
 	running := map[string]int{}
 	_, _ = fmt.Fprintln(table, "node\tbuild\tsince")
 	for _, name := range slices.Sorted(maps.Keys(latest)) {
--- a/cmd/reelrunctl/builds_test.go
+++ b/cmd/reelrunctl/builds_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestBuildsOfNodes takes the newest start of each node from logs in any order.
+// TestBuildsOfNodes checks that the latest start of each node is found in logs in any order.
 func TestBuildsOfNodes(t *testing.T) {
 	g := NewWithT(t)
 	logs := []string{
@@ -27,7 +27,7 @@
 	for _, log := range logs {
 		readers = append(readers, strings.NewReader(log))
 	}
-	latest, err := latestStarts(readers)
+	latest, err := latestEvents(readers)
 	g.Expect(err).NotTo(HaveOccurred())
 	var out bytes.Buffer
 	g.Expect(writeBuilds(&out, latest)).To(Succeed())
--- a/cmd/reelrunctl/change.go
+++ b/cmd/reelrunctl/change.go
@@ -15,10 +15,10 @@
 	"github.com/reelrun/reelrun/operator"
 )
 
-// errUsage marks wrong arguments.
-var errUsage = errors.New("wrong usage")
+// errUsage is wrapped by errors about invalid arguments.
+var errUsage = errors.New("invalid usage")
 
-// readObjects reads objects from a YAML or JSON file. YAML is turned into JSON
+// readObjects reads objects from a YAML or JSON file. YAML is converted to JSON
 // first, so that one set of field names and one strict decoder serve both.
 func readObjects(path string) (api.Configuration, error) {
 	var objects api.Configuration
@@ -46,30 +46,30 @@
 	return &operator.FindingsError{Findings: api.Findings{{Place: path, Problem: err.Error()}}}
 }
 
-// readAll reads and joins several files.
-func readAll(paths []string) (api.Configuration, error) {
-	var joined api.Configuration
+// readFiles reads several files and merges their objects.
+func readFiles(paths []string) (api.Configuration, error) {
+	var merged api.Configuration
 	if len(paths) == 0 {
-		return joined, errors.Wrap(errUsage, "name at least one file")
+		return merged, errors.Wrap(errUsage, "at least one file is required")
 	}
 	for _, path := range paths {
 		objects, err := readObjects(path)
 		if err != nil {
-			return joined, err
+			return merged, err
 		}
-		joined.Tenants = append(joined.Tenants, objects.Tenants...)
-		joined.Classes = append(joined.Classes, objects.Classes...)
-		joined.Pools = append(joined.Pools, objects.Pools...)
-		joined.Services = append(joined.Services, objects.Services...)
+		merged.Tenants = append(merged.Tenants, objects.Tenants...)
+		merged.Classes = append(merged.Classes, objects.Classes...)
+		merged.Pools = append(merged.Pools, objects.Pools...)
+		merged.Services = append(merged.Services, objects.Services...)
 	}
-	return joined, nil
+	return merged, nil
 }
 
 func planCommand(shared *command) *ffcli.Command {
 	return &ffcli.Command{
 		Name: "plan", ShortUsage: "reelrunctl plan <file>...", ShortHelp: "Show what applying objects would change.",
 		Exec: func(ctx context.Context, paths []string) error {
-			objects, err := readAll(paths)
+			objects, err := readFiles(paths)
 			if err != nil {
 				return err
 			}
@@ -91,7 +91,7 @@
 		Name: "confirm", ShortUsage: "reelrunctl confirm <plan.json>", ShortHelp: "Confirm a plan that was saved with -output json.",
 		Exec: func(ctx context.Context, paths []string) error {
 			if len(paths) != 1 {
-				return errors.Wrap(errUsage, "name one plan file")
+				return errors.Wrap(errUsage, "exactly one plan file is required")
 			}
 			data, err := os.ReadFile(paths[0])
 			if err != nil {
@@ -135,7 +135,7 @@
 	return &ffcli.Command{
 		Name: "apply", ShortUsage: "reelrunctl apply [-dry-run] <file>...", ShortHelp: "Plan and confirm in one step.", FlagSet: flags,
 		Exec: func(ctx context.Context, paths []string) error {
-			objects, err := readAll(paths)
+			objects, err := readFiles(paths)
 			if err != nil {
 				return err
 			}
@@ -151,7 +151,7 @@
 		Name: "remove", ShortUsage: "reelrunctl remove [-dry-run] <kind/name>...", ShortHelp: "Remove objects such as tenants/x.", FlagSet: flags,
 		Exec: func(ctx context.Context, references []string) error {
 			if len(references) == 0 {
-				return errors.Wrap(errUsage, "name at least one object")
+				return errors.Wrap(errUsage, "at least one object is required")
 			}
 			return shared.planAndConfirm(ctx, operator.Intent{Action: operator.ActionRemove, References: references}, *dryRun)
 		},
@@ -168,7 +168,7 @@
 		Name: "engine", ShortUsage: "reelrunctl engine [flags] <engine>", ShortHelp: "Change an engine's role, model version or adapters.", FlagSet: flags,
 		Exec: func(ctx context.Context, names []string) error {
 			if len(names) != 1 {
-				return errors.Wrap(errUsage, "name one engine")
+				return errors.Wrap(errUsage, "exactly one engine is required")
 			}
 			intent := operator.Intent{Action: operator.ActionEngine, Engine: names[0], Role: api.Role(*role), ModelVersion: *version, Adapter: *adapter}
 			return shared.planAndConfirm(ctx, intent, *dryRun)
--- a/cmd/reelrunctl/explain.go
+++ b/cmd/reelrunctl/explain.go
@@ -12,7 +12,7 @@
 	"github.com/reelrun/reelrun/explain"
 )
 
-// explainCommand reads logs; it calls no node.
+// explainCommand reads logs and calls no node.
 func explainCommand(shared *command) *ffcli.Command {
 	flags := flag.NewFlagSet("explain", flag.ContinueOnError)
 	request := flags.String("request", "", "the request's identifier")
@@ -23,7 +23,7 @@
 		FlagSet:    flags,
 		Exec: func(_ context.Context, files []string) error {
 			if *request == "" {
-				return errors.Wrap(errUsage, "-request is needed")
+				return errors.Wrap(errUsage, "-request is required")
 			}
 			return explainRequest(shared.out, *request, files)
 		},
@@ -37,13 +37,13 @@
 			return err
 		}
 		if len(lines) == 0 {
-			return errors.Newf("no line on request %s", request)
+			return errors.Newf("no log line mentions request %s", request)
 		}
 		return explain.Write(output, lines)
 	})
 }
 
-// withLogs opens files, or takes standard input where there are none.
+// withLogs calls read with the opened files, or with standard input if no files are given.
 func withLogs(files []string, read func([]io.Reader) error) error {
 	var logs []io.Reader
 	for _, name := range files {
--- a/cmd/reelrunctl/main.go
+++ b/cmd/reelrunctl/main.go
@@ -1,7 +1,7 @@
-// Command reelrunctl is the operators' command: it sends intents, confirms plans,
-// and shows the configuration, the status and the time line of a fleet.
+// Command reelrunctl is the operators' command line: it sends intents, confirms plans,
+// and shows the configuration, the status and the timeline of a fleet.
 //
-// Exit codes: 0 for success, 1 for a failure, 2 for wrong usage or faulty
+// Exit codes: 0 for success, 1 for a failure, 2 for invalid usage or invalid
 // objects, 3 for a conflict with another operator, 4 if the node cannot be
 // reached.
 package main
@@ -34,18 +34,18 @@
 	exitUnreachable = 4
 )
 
-// command is what all subcommands share.
+// command holds the flags and the output that all subcommands share.
 type command struct {
 	node   string
 	token  string
 	output string
-	// secured is how nodes are called by TLS.
-	secured *tls.Config
-	out     io.Writer
+	// tlsConfig is used to connect to nodes over TLS.
+	tlsConfig *tls.Config
+	out       io.Writer
 }
 
 func (c *command) client() *operator.Client {
-	transport := &http.Transport{TLSClientConfig: c.secured}
+	transport := &http.Transport{TLSClientConfig: c.tlsConfig}
 	return &operator.Client{BaseURL: c.node, Token: c.token, HTTP: &http.Client{Transport: transport}}
 }
 
@@ -81,7 +81,7 @@
 		return exitUsage
 	}
 	var err error
-	if shared.secured, err = tlsfiles.ClientTrusting(*authority); err != nil {
+	if shared.tlsConfig, err = tlsfiles.ClientTrusting(*authority); err != nil {
 		_, _ = fmt.Fprintln(errOut, err)
 		return exitUsage
 	}
--- a/cmd/reelrunctl/show.go
+++ b/cmd/reelrunctl/show.go
@@ -20,7 +20,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// show writes a value as JSON, or as the given table.
+// show writes a value as JSON, or calls table, depending on the -output flag.
 func (c *command) show(value any, table func() error) error {
 	switch c.output {
 	case "json":
@@ -39,7 +39,7 @@
 	return errors.Wrap(err, "write output")
 }
 
-// rows writes lines of tab-separated columns.
+// rows writes lines of tab-separated columns as an aligned table.
 func (c *command) rows(lines ...string) error {
 	const minWidth, tabWidth, padding = 0, 8, 2
 	table := tabwriter.NewWriter(c.out, minWidth, tabWidth, padding, ' ', 0)
@@ -125,7 +125,7 @@
 }
 
 func (c *command) statusTable(statuses []json.RawMessage) error {
-	var advised []string
+	var adviceLines []string
 	lines := []string{"NODE\tZONE\tSTATE\tVERSION\tLIVE NODES\tGRANTS\tPOOLS"}
 	for _, raw := range statuses {
 		var status struct {
@@ -151,11 +151,11 @@
 		}
 		lines = append(lines, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%d\t%s", status.Node.Name, status.Node.Zone, status.State, status.Version, status.Live, status.Grants, strings.Join(pools, ",")))
 		for _, advice := range status.Advice {
-			advised = append(advised, fmt.Sprintf("advice for pool %s (prefill use %.2f, decode use %.2f): reelrunctl engine -role %s %s",
+			adviceLines = append(adviceLines, fmt.Sprintf("advice for pool %s (prefill use %.2f, decode use %.2f): reelrunctl engine -role %s %s",
 				advice.Pool, advice.PrefillUse, advice.DecodeUse, advice.Role, advice.Engine))
 		}
 	}
-	return c.rows(append(lines, advised...)...)
+	return c.rows(append(lines, adviceLines...)...)
 }
 
 func timelineCommand(shared *command) *ffcli.Command {
@@ -184,13 +184,13 @@
 			case "json":
 				return json.NewEncoder(shared.out).Encode(events)
 			default:
-				return errors.Wrapf(errUsage, "-format %q", *format)
+				return errors.Wrapf(errUsage, "-format %q is neither text, json nor html", *format)
 			}
 		},
 	}
 }
 
-// withProcesses adds the events of processes that are no nodes.
+// withProcesses adds the events of processes that are not nodes.
 func withProcesses(ctx context.Context, events []timeline.Event, selected timeline.Filter, list string) ([]timeline.Event, error) {
 	rings := [][]timeline.Event{events}
 	for address := range strings.SplitSeq(list, ",") {
@@ -225,7 +225,7 @@
 		Name: "hash-token", ShortUsage: "reelrunctl hash-token <token>", ShortHelp: "Print the stored form of a token.",
 		Exec: func(_ context.Context, tokens []string) error {
 			if len(tokens) != 1 || tokens[0] == "" {
-				return errors.Wrap(errUsage, "name one token")
+				return errors.Wrap(errUsage, "exactly one token is required")
 			}
 			return shared.printf("%s\n", configuration.HashToken(tokens[0]))
 		},
