--- a/cmd/reelrun-sim/certificates.go
+++ b/cmd/reelrun-sim/certificates.go
@@ -47,7 +47,7 @@
 func issueAll(folder string, names []string, options certificates.Options) error {
 	const ownerOnly = 0o700
 	if err := os.MkdirAll(folder, ownerOnly); err != nil {
-		return errors.Wrap(err, "make folder")
+		return errors.Wrap(err, "create folder")
 	}
 	authority, err := certificates.NewAuthority(options)
 	if err != nil {
--- a/cmd/reelrun-sim/compare.go
+++ b/cmd/reelrun-sim/compare.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// compareSite plays policies before the engines of one of the users' sites.
+// compareSite simulates policies with the engines of one of the users' sites.
 func compareSite(options model.Options, policy string, seeds int, format string) error {
 	policies := []string{policy}
 	if policy == "all" {
@@ -99,7 +99,7 @@
 	return errors.Wrap(table.Flush(), "write table")
 }
 
-// checkRequests is the length of the trace of -check, about half a minute.
+// checkRequests is the number of requests of the trace for -check, which takes about half a minute.
 const checkRequests = 300
 
 func checkModel(ctx context.Context, options modelcheck.Options) error {
--- a/cmd/reelrun-sim/load.go
+++ b/cmd/reelrun-sim/load.go
@@ -16,8 +16,8 @@
 	"github.com/reelrun/reelrun/tlsfiles"
 )
 
-// errViolations makes the command exit with a failure.
-var errViolations = errors.New("promises were broken")
+// errViolations is returned if answers violated guarantees, so that the command exits with a failure.
+var errViolations = errors.New("answers violated guarantees")
 
 func loadCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("load", flag.ContinueOnError)
@@ -38,11 +38,11 @@
 			if err != nil {
 				return err
 			}
-			secured, err := tlsfiles.ClientTrusting(*authority)
+			tlsConfig, err := tlsfiles.ClientTrusting(*authority)
 			if err != nil {
 				return err
 			}
-			results, err := load.Run(ctx, load.Options{Workload: workload, TLS: secured, Nodes: split(*nodes), Requests: *requests, Rate: *rate, Seed: *seed})
+			results, err := load.Run(ctx, load.Options{Workload: workload, TLS: tlsConfig, Nodes: split(*nodes), Requests: *requests, Rate: *rate, Seed: *seed})
 			if err != nil {
 				return err
 			}
@@ -51,12 +51,12 @@
 			if err != nil {
 				return err
 			}
-			return conclude(load.Judge(results, ledgers), *report)
+			return reportVerdict(load.Judge(results, ledgers), *report)
 		},
 	}
 }
 
-func conclude(verdict *load.Verdict, report string) error {
+func reportVerdict(verdict *load.Verdict, report string) error {
 	data, err := json.MarshalIndent(verdict, "", "  ")
 	if err != nil {
 		return errors.Wrap(err, "encode verdict")
--- a/cmd/reelrun-sim/main.go
+++ b/cmd/reelrun-sim/main.go
@@ -1,5 +1,5 @@
-// Command reelrun-sim is the rehearsal kit: stand-ins for the platform, the model
-// engines and the plain services, a load generator, and experiments.
+// Command reelrun-sim provides stand-ins for the platform, the model engines and the plain
+// services, a load generator, and experiments.
 package main
 
 import (
--- a/cmd/reelrun-sim/standins.go
+++ b/cmd/reelrun-sim/standins.go
@@ -20,7 +20,7 @@
 
 const stopTimeout = 2 * time.Second
 
-// serve serves the handler, behind a fault injector, until the context ends.
+// serve serves the handler, with injectable faults, until the context ends.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -86,14 +86,14 @@
 		Exec: func(ctx context.Context, _ []string) error {
 			options.Role = api.Role(*role)
 			options.HTTP = &http.Client{}
-			options.LoadModel = loadFrom(*platformAddress)
+			options.LoadModel = weightLoader(*platformAddress)
 			return serve(ctx, *address, enginesim.Handler(enginesim.New(options)))
 		},
 	}
 }
 
-// loadFrom reads a model's weights from the platform's weight store.
-func loadFrom(platformAddress string) func(ctx context.Context, model, version string) error {
+// weightLoader returns a function that reads a model's weights from the platform's weight store.
+func weightLoader(platformAddress string) func(ctx context.Context, model, version string) error {
 	return func(ctx context.Context, model, version string) error {
 		target := "http://" + platformAddress + platformsim.PathWeights + model + "/" + version
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
