--- a/admission/replay_test.go
+++ b/admission/replay_test.go
@@ -91,7 +91,7 @@
 
 func play(plan load) replayCounts {
 	world := build(plan)
-	world.queue.Play(replayLength + replayWait)
+	world.queue.RunUntil(replayLength + replayWait)
 	return world.counts
 }
 
--- a/sim/eventqueue/queue.go
+++ b/sim/eventqueue/queue.go
@@ -24,15 +24,15 @@
 	heap.Push(&q.planned, event{q.now + delay, q.count, run})
 }
 
-// Play runs the events that are planned up to a time.
-func (q *Queue) Play(until time.Duration) {
+// RunUntil runs the events that are planned up to a time.
+func (q *Queue) RunUntil(until time.Duration) {
 	for len(q.planned) > 0 && q.planned[0].at <= until {
 		q.next()
 	}
 }
 
-// PlayAll runs all events, those included that others plan.
-func (q *Queue) PlayAll() {
+// RunAll runs all events, those included that others plan.
+func (q *Queue) RunAll() {
 	for len(q.planned) > 0 {
 		q.next()
 	}
--- a/sim/eventqueue/queue_test.go
+++ b/sim/eventqueue/queue_test.go
@@ -39,11 +39,11 @@
 		for range rapid.IntRange(0, 20).Draw(t, "events") {
 			plan(rapid.Bool().Draw(t, "plans another"))
 		}
-		queue.Play(2)
+		queue.RunUntil(2)
 		if slices.ContainsFunc(ran, func(s seen) bool { return s.at > 2 }) {
 			t.Fatal("an event ran after the end")
 		}
-		queue.PlayAll()
+		queue.RunAll()
 		if len(ran) != planned {
 			t.Fatalf("%d of %d events ran", len(ran), planned)
 		}
--- a/sim/model/compare.go
+++ b/sim/model/compare.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	s.Play(options.Length + drainTime)
+	s.RunUntil(options.Length + drainTime)
 	return s.outcome(jobs, options), nil
 }
 
--- a/sim/model/model_test.go
+++ b/sim/model/model_test.go
@@ -72,6 +72,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Play(options.Length + drainTime)
+	s.RunUntil(options.Length + drainTime)
 	return s, jobs
 }
--- a/sim/model/trace.go
+++ b/sim/model/trace.go
@@ -54,7 +54,7 @@
 	if len(trace) > 0 {
 		end += trace[len(trace)-1].At
 	}
-	s.Play(end)
+	s.RunUntil(end)
 	timings := make([]Timing, len(jobs))
 	for i, j := range jobs {
 		timings[i] = Timing{Answered: j.state.answered, Refused: j.state.refused}
--- a/sim/sitemodel/run.go
+++ b/sim/sitemodel/run.go
@@ -96,7 +96,7 @@
 	for _, arriving := range requests {
 		s.After(arriving.arrival, func() { s.arrive(arriving) })
 	}
-	s.PlayAll()
+	s.RunAll()
 	return s.outcome(options, requests), nil
 }
 
