--- a/cmd/reelrun-sim/standins.go
+++ b/cmd/reelrun-sim/standins.go
@@ -75,7 +75,7 @@
 	flags.DurationVar(&options.StepTime, "step", api.DefaultStepTime, "time between tokens with a full batch")
 	flags.Float64Var(&options.LinkTokensPerSecond, "link-rate", api.DefaultLinkTokensPerSecond, "KV tokens exported a second")
 	flags.DurationVar(&options.Hold, "hold", api.DefaultHold, "time for which a prefill result is kept")
-	flags.DurationVar(&options.Linger, "linger", 5*time.Second, "time for which an ended stream can be read again")
+	flags.DurationVar(&options.StreamRetention, "linger", 5*time.Second, "time for which an ended stream can be read again")
 	flags.DurationVar(&options.LoadLag, "load-lag", 500*time.Millisecond, "age of load reports")
 	flags.BoolVar(&options.ChecksFence, "checks-fence", false, "reject orders with a stale fence")
 	flags.IntVar(&options.CacheBlocks, "cache-blocks", 4096, "blocks of the prefix cache")
--- a/engine/dialect/dialect_test.go
+++ b/engine/dialect/dialect_test.go
@@ -99,7 +99,7 @@
 	t.Cleanup(fetch.CloseIdleConnections)
 	f.engines[name] = enginesim.New(enginesim.Options{
 		Name: name, Model: model, Role: api.Role(role), Slots: 4, KVTokens: memory,
-		PrefillTokensPerSecond: 1e6, LinkTokensPerSecond: 1e6, StepTime: step, Hold: time.Minute, Linger: time.Second,
+		PrefillTokensPerSecond: 1e6, LinkTokensPerSecond: 1e6, StepTime: step, Hold: time.Minute, StreamRetention: time.Second,
 		HTTP: &http.Client{Transport: fetch},
 	})
 	server := httptest.NewServer(enginesim.Handler(f.engines[name]))
--- a/sim/enginesim/decode.go
+++ b/sim/enginesim/decode.go
@@ -180,7 +180,7 @@
 	held.kvTokens = 0
 	e.finished++
 	e.record(held, EntryDecodeDone, held.produced)
-	time.AfterFunc(e.options.Linger, func() {
+	time.AfterFunc(e.options.StreamRetention, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.streams, held.attempt)
--- a/sim/enginesim/engine.go
+++ b/sim/enginesim/engine.go
@@ -29,8 +29,8 @@
 	LinkTokensPerSecond float64
 	// Hold is how long a prefill result is kept.
 	Hold time.Duration
-	// Linger is how long an ended stream can be read again.
-	Linger time.Duration
+	// StreamRetention is how long an ended stream can be read again.
+	StreamRetention time.Duration
 	// LoadLag is the age of its load reports.
 	LoadLag time.Duration
 	// ChecksFence rejects orders with a stale fence.
--- a/sim/enginesim/handler.go
+++ b/sim/enginesim/handler.go
@@ -157,7 +157,7 @@
 	if !decodeBody(w, r, &order) {
 		return
 	}
-	respond(w, struct{}{}, h.engine.Take(r.Context(), order))
+	respond(w, struct{}{}, h.engine.ExecuteOrder(r.Context(), order))
 }
 
 func (h handler) ledger(w http.ResponseWriter, _ *http.Request) { respond(w, h.engine.Report(), nil) }
--- a/sim/enginesim/ledger.go
+++ b/sim/enginesim/ledger.go
@@ -15,13 +15,13 @@
 	EntryPrefillStart     EntryKind = "prefill-start"
 	EntryPrefillDone      EntryKind = "prefill-done"
 	EntryPrefillUsed      EntryKind = "prefill-used"
-	EntryPrefillLapsed    EntryKind = "prefill-lapsed"
+	EntryPrefillExpired    EntryKind = "prefill-lapsed"
 	EntryPrefillCancelled EntryKind = "prefill-cancelled"
 	EntryDecodeStart      EntryKind = "decode-start"
 	EntryDecodeDone       EntryKind = "decode-done"
 	EntryDecodeCancelled  EntryKind = "decode-cancelled"
 	EntryRefused          EntryKind = "refused"
-	EntryOrderTaken       EntryKind = "order-taken"
+	EntryOrderExecuted       EntryKind = "order-taken"
 	EntryOrderRefused     EntryKind = "order-refused"
 )
 
@@ -65,7 +65,7 @@
 	switch entry.Kind {
 	case EntryPrefillDone:
 		l.prefill += entry.Tokens
-	case EntryPrefillCancelled, EntryPrefillLapsed:
+	case EntryPrefillCancelled, EntryPrefillExpired:
 		l.wasted += entry.Tokens
 	}
 	if len(l.entries) < maxEntries {
--- a/sim/enginesim/orders.go
+++ b/sim/enginesim/orders.go
@@ -11,8 +11,8 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// Take carries out an order. An order that was taken before has no further effect.
-func (e *Engine) Take(ctx context.Context, order engine.Order) error {
+// ExecuteOrder carries out an order. An order that was taken before has no further effect.
+func (e *Engine) ExecuteOrder(ctx context.Context, order engine.Order) error {
 	if err := e.checkFence(order); err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 		}
 	}
 	e.orders[order.ID] = true
-	e.ledger.add(Entry{Kind: EntryOrderTaken, Order: &order})
+	e.ledger.add(Entry{Kind: EntryOrderExecuted, Order: &order})
 	return nil
 }
 
--- a/sim/enginesim/prefill.go
+++ b/sim/enginesim/prefill.go
@@ -136,7 +136,7 @@
 		return
 	}
 	if !held.used {
-		e.record(held, EntryPrefillLapsed, held.computed)
+		e.record(held, EntryPrefillExpired, held.computed)
 	}
 	e.remove(held, phaseEnded)
 }
--- a/sim/rehearsal/generate.go
+++ b/sim/rehearsal/generate.go
@@ -89,6 +89,6 @@
 	return enginesim.Options{
 		Slots: api.DefaultSlots, KVTokens: api.DefaultKVTokens, PrefillTokensPerSecond: api.DefaultPrefillTokensPerSecond,
 		StepTime: api.DefaultStepTime, LinkTokensPerSecond: api.DefaultLinkTokensPerSecond, Hold: api.DefaultHold,
-		Linger: linger, LoadLag: 500 * time.Millisecond, CacheBlocks: cacheBlocks, CacheDelay: time.Second, CacheGapEvery: 17,
+		StreamRetention: linger, LoadLag: 500 * time.Millisecond, CacheBlocks: cacheBlocks, CacheDelay: time.Second, CacheGapEvery: 17,
 	}
 }
