--- a/sim/model/compare.go
+++ b/sim/model/compare.go
@@ -76,12 +76,12 @@
 	jobs := mix.generate(rand.New(rand.NewPCG(options.Seed, requestStream)), rate*options.Load, options.Length, options.Flood)
 	engineRandom := rand.New(rand.NewPCG(options.Seed, engineStream))
 	for _, j := range jobs {
-		j.hangUp = j.kind.maxOutput > 1 && engineRandom.Float64() < parameters.HangUpShare
+		j.hangUp = j.kind.maxOutput > 1 && engineRandom.Float64() < parameters.DisconnectShare
 	}
 	s := &simulation{
 		parameters: parameters,
 		stalls:     func() bool { return engineRandom.Float64() < parameters.StallShare },
-		gaps:       func() bool { return engineRandom.Float64() < parameters.EventGaps },
+		gaps:       func() bool { return engineRandom.Float64() < parameters.EventLossShare },
 	}
 	for range prefills {
 		s.prefills = append(s.prefills, &prefillEngine{cache: newPrefixCache(parameters.CacheBlocks)})
--- a/sim/model/parameters.go
+++ b/sim/model/parameters.go
@@ -28,13 +28,13 @@
 	// reach the router after EventDelay, and EventGaps of them never.
 	CacheBlocks int
 	EventDelay  time.Duration
-	EventGaps   float64
+	EventLossShare   float64
 	// LoadLag is the age of the load reports that the baselines choose by.
 	LoadLag time.Duration
 	// Patience is how many first-token targets a caller waits for its first token.
 	Patience float64
-	// HangUpShare is the share of callers that leave in the middle of an answer.
-	HangUpShare float64
+	// DisconnectShare is the share of callers that leave in the middle of an answer.
+	DisconnectShare float64
 	// DecodeEngines is the number of decode engines; that of prefill engines
 	// follows from the workload.
 	DecodeEngines int
@@ -49,7 +49,7 @@
 		Step:  scheduler.StepModel{Base: 10 * time.Millisecond, PerRequest: 250 * time.Microsecond, PerContextToken: 40 * time.Nanosecond},
 		Slots: 32, KVTokens: 200_000,
 		LinkTokensPerSecond: 150_000, StallShare: 0.002, StallTime: 2 * time.Second, Hold: 5 * time.Second,
-		CacheBlocks: 2048, EventDelay: time.Second, EventGaps: 0.05, LoadLag: 500 * time.Millisecond,
-		Patience: 4, HangUpShare: 0.02, DecodeEngines: 8, PrefillUtilization: 0.8,
+		CacheBlocks: 2048, EventDelay: time.Second, EventLossShare: 0.05, LoadLag: 500 * time.Millisecond,
+		Patience: 4, DisconnectShare: 0.02, DecodeEngines: 8, PrefillUtilization: 0.8,
 	}
 }
--- a/sim/modelcheck/check.go
+++ b/sim/modelcheck/check.go
@@ -96,7 +96,7 @@
 	same.PrefillTokensPerSecond, same.PrefillOverhead = prefillRate, 0
 	same.Step = scheduler.StepModel{Base: stepTime / 2, PerRequest: stepTime / 2 / slots}
 	same.Slots, same.KVTokens, same.LinkTokensPerSecond = slots, api.DefaultKVTokens, linkRate
-	same.DecodeEngines, same.StallShare, same.HangUpShare = decodeEngines, 0, 0
+	same.DecodeEngines, same.StallShare, same.DisconnectShare = decodeEngines, 0, 0
 	same.Hold = api.DefaultHold
 	return same
 }
