--- a/sim/modelcheck/check.go
+++ b/sim/modelcheck/check.go
@@ -44,8 +44,8 @@
 	Requests int
 }
 
-// Side is what one side made of the trace. Times are in seconds.
-type Side struct {
+// Summary is what one side made of the trace. Times are in seconds.
+type Summary struct {
 	Answered    float64 `json:"answered"`
 	Refused     float64 `json:"refused"`
 	Goodput     float64 `json:"goodput"`
@@ -58,8 +58,8 @@
 type Report struct {
 	Load    float64 `json:"load"`
 	Seed    uint64  `json:"seed"`
-	Model   Side    `json:"model"`
-	Engines Side    `json:"engines"`
+	Model   Summary    `json:"model"`
+	Engines Summary    `json:"engines"`
 }
 
 // Check plays one trace on both sides.
@@ -173,8 +173,8 @@
 	}, nil
 }
 
-func summarize(timings []model.Timing) Side {
-	var side Side
+func summarize(timings []model.Timing) Summary {
+	var side Summary
 	var first, intervals []time.Duration
 	for _, timing := range timings {
 		switch {
