--- a/engine/dialect/dialect_test.go
+++ b/engine/dialect/dialect_test.go
@@ -164,7 +164,7 @@
 	g.Expect(response.StatusCode).To(Equal(http.StatusOK))
 	ids, joined, err := text(response.Body)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(joined).To(Equal(answer.Whole(model, prompt, 20)))
+	g.Expect(joined).To(Equal(answer.Text(model, prompt, 20)))
 	g.Expect(ids).To(HaveLen(20))
 	g.Expect(ids[19]).To(Equal("19"))
 }
@@ -175,8 +175,8 @@
 	response := f.send(t.Context(), t, "/plan/draft", generation(20), "11")
 	ids, joined, err := text(response.Body)
 	g.Expect(err).NotTo(HaveOccurred())
-	whole := answer.Whole(model, prompt, 20)
-	g.Expect(joined).To(Equal(strings.TrimPrefix(whole, answer.Whole(model, prompt, 12))))
+	whole := answer.Text(model, prompt, 20)
+	g.Expect(joined).To(Equal(strings.TrimPrefix(whole, answer.Text(model, prompt, 12))))
 	g.Expect(ids[0]).To(Equal("12"))
 }
 
@@ -193,7 +193,7 @@
 	f.servers["writer"].CloseClientConnections()
 	ids, joined, err := text(io.MultiReader(strings.NewReader(first), reader))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(joined).To(Equal(answer.Whole(model, prompt, 300)))
+	g.Expect(joined).To(Equal(answer.Text(model, prompt, 300)))
 	g.Expect(ids).To(HaveLen(300))
 	f.expectNothingHeld(g)
 }
--- a/sim/answer/answer.go
+++ b/sim/answer/answer.go
@@ -13,8 +13,8 @@
 	return strconv.FormatUint(sum%46656, 36) + " "
 }
 
-// Whole returns the answer of the given length.
-func Whole(model, prompt string, tokens int) string {
+// Text returns the answer of the given length.
+func Text(model, prompt string, tokens int) string {
 	var text strings.Builder
 	for offset := range tokens {
 		text.WriteString(Token(model, prompt, offset))
--- a/sim/load/caller.go
+++ b/sim/load/caller.go
@@ -262,7 +262,7 @@
 // judge compares what arrived with the only right answer.
 func (c *caller) judge() {
 	c.result.Ending = EndingAnswered
-	if c.received.String() != answer.Whole(c.kind.Model, c.prompt, c.tokens) {
+	if c.received.String() != answer.Text(c.kind.Model, c.prompt, c.tokens) {
 		c.result.Ending = EndingAltered
 	}
 	c.result.FirstToken = c.first.Sub(c.started)
