--- a/cmd/reelrun-sim/certificates.go
+++ b/cmd/reelrun-sim/certificates.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			return issueAll(*out, split(*names), certificates.Options{Valid: *valid, Addresses: parsed})
+			return issueAll(*out, split(*names), certificates.Options{Validity: *valid, Addresses: parsed})
 		},
 	}
 }
--- a/sim/certificates/authority.go
+++ b/sim/certificates/authority.go
@@ -39,8 +39,8 @@
 
 // Options describe an authority.
 type Options struct {
-	// Valid is how long its certificates are valid. Default 24h.
-	Valid time.Duration
+	// Validity is how long its certificates are valid. Default 24h.
+	Validity time.Duration
 	// Addresses are the IP addresses that its certificates name, for callers that
 	// check them. Default 127.0.0.1.
 	Addresses []net.IP
@@ -59,8 +59,8 @@
 
 // NewAuthority creates an authority with a new key.
 func NewAuthority(options Options) (*Authority, error) {
-	if options.Valid == 0 {
-		options.Valid = 24 * time.Hour
+	if options.Validity == 0 {
+		options.Validity = 24 * time.Hour
 	}
 	if len(options.Addresses) == 0 {
 		options.Addresses = []net.IP{net.IPv4(127, 0, 0, 1)}
@@ -89,7 +89,7 @@
 	a.serial++
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name},
-		NotBefore: time.Now().Add(-clockSlack), NotAfter: time.Now().Add(a.options.Valid),
+		NotBefore: time.Now().Add(-clockSlack), NotAfter: time.Now().Add(a.options.Validity),
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 		IPAddresses: a.options.Addresses,
