--- a/sim/model/bound.go
+++ b/sim/model/bound.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// boundWindow is the length of the windows in which the bound counts.
+// boundWindow is the length of the windows for which the bound counts arrivals.
 const boundWindow = 5 * time.Second
 
-// Bound returns a share of requests that no policy can exceed. It knows
-// everything beforehand, has no transfers and no queue per engine, caches every
-// shared prefix, and serves the cheapest requests first: in each window it counts
-// how many of the arrivals the pooled prefill engines could finish by the last
-// deadline, and over the whole run how many the prefill and the decode engines
-// could serve at their best rate.
+// Bound returns an upper bound on the goodput of any policy. It assumes full
+// knowledge of the requests in advance, no transfers, no queue per engine, a cache
+// hit on every shared prefix, and that the cheapest requests are served first. For
+// each window it counts how many arrivals the prefill engines together could finish
+// by the last deadline, and for the whole run how many requests the prefill and the
+// decode engines could serve at their maximum rate.
 func Bound(options Options) (float64, error) {
 	mix, err := findWorkload(options.Workload)
 	if err != nil {
@@ -25,35 +25,35 @@
 	rate, prefills := capacity(mix, parameters)
 	jobs := mix.generate(rand.New(rand.NewPCG(options.Seed, requestStream)), rate*options.Load, options.Length, options.Flood)
 	prefillRate := float64(prefills)
-	var all, decodeWork []float64
+	var prefillCosts, decodeCosts []float64
 	windows := map[time.Duration][]float64{}
-	slackest := time.Duration(0)
+	longestFirstTokenTarget := time.Duration(0)
 	for _, j := range jobs {
-		cost := float64(j.prompt-min(j.kind.shared, j.prompt))/parameters.PrefillTokensPerSecond + parameters.PrefillOverhead.Seconds()
-		all = append(all, cost)
+		cost := float64(j.prompt-min(j.kind.sharedTokens, j.prompt))/parameters.PrefillTokensPerSecond + parameters.PrefillOverhead.Seconds()
+		prefillCosts = append(prefillCosts, cost)
 		windows[j.arrival/boundWindow] = append(windows[j.arrival/boundWindow], cost)
-		slackest = max(slackest, j.kind.firstToken)
+		longestFirstTokenTarget = max(longestFirstTokenTarget, j.kind.firstToken)
 		decodeTokens := 0.0
 		if j.kind.maxOutput > 1 {
 			decodeTokens = float64(j.output)
 		}
-		decodeWork = append(decodeWork, decodeTokens)
+		decodeCosts = append(decodeCosts, decodeTokens)
 	}
 	inWindows := 0
 	for _, costs := range windows {
-		inWindows += countWithin(costs, prefillRate*(boundWindow+slackest).Seconds())
+		inWindows += countWithin(costs, prefillRate*(boundWindow+longestFirstTokenTarget).Seconds())
 	}
-	horizon := (options.Length + slackest).Seconds()
+	horizon := (options.Length + longestFirstTokenTarget).Seconds()
 	step := parameters.Step.Time(parameters.Slots, 0).Seconds()
 	decodeRate := float64(parameters.DecodeEngines*parameters.Slots) / step
-	// An answer may go on for as long as its interval target allows.
+	// An answer can take as long as its token interval target allows.
 	const longest = longestOutput
 	decodeHorizon := horizon + longest*mix.kinds[len(mix.kinds)-1].tokenInterval.Seconds()
-	best := min(inWindows, countWithin(all, prefillRate*horizon), countWithin(decodeWork, decodeRate*decodeHorizon))
+	best := min(inWindows, countWithin(prefillCosts, prefillRate*horizon), countWithin(decodeCosts, decodeRate*decodeHorizon))
 	return round(float64(best) / float64(max(len(jobs), 1))), nil
 }
 
-// countWithin returns how many of the cheapest costs fit into a capacity.
+// countWithin returns how many costs, taken in ascending order, fit into a capacity.
 func countWithin(costs []float64, capacity float64) int {
 	sorted := slices.Clone(costs)
 	slices.Sort(sorted)
--- a/sim/model/compare.go
+++ b/sim/model/compare.go
@@ -9,31 +9,31 @@
 	"github.com/reelrun/reelrun/sim/quantile"
 )
 
-// Options describe one comparison.
+// Options configure one run or comparison.
 type Options struct {
 	Workload string
 	Seed     uint64
-	// Load is one when the decode pool is full on average.
+	// Load is the offered load; 1 fills the decode pool on average.
 	Load float64
 	// Policy is the name of the policy.
 	Policy string
 	// Length is the virtual time over which requests arrive.
 	Length time.Duration
-	// Flood adds one tenant that floods, and Fail takes a decode engine away at
-	// the peak.
+	// Flood adds one tenant with excessive load, and Fail makes a decode engine
+	// unavailable at the peak.
 	Flood bool
 	Fail  bool
 	// Parameters describe the engines.
 	Parameters Parameters
 }
 
-// Outcome is the result of one run.
+// Outcome is the result of one policy on one workload.
 type Outcome struct {
 	Workload string  `json:"workload"`
 	Seed     uint64  `json:"seed"`
 	Load     float64 `json:"load"`
 	Policy   string  `json:"policy"`
-	// Goodput is the share of all offered requests that met both targets.
+	// Goodput is the share of offered requests that met both latency targets.
 	Goodput float64 `json:"goodput"`
 	// WastedPrefill is the share of prefilled tokens whose result was never used.
 	WastedPrefill float64 `json:"wasted_prefill"`
@@ -43,29 +43,30 @@
 	Jain    float64 `json:"jain"`
 	TTFTP95 float64 `json:"ttft_p95_s"`
 	TBTP95  float64 `json:"tbt_p95_s"`
-	// VictimGoodput is the goodput of all tenants but the flooding one.
+	// VictimGoodput is the goodput of all tenants except the flooding one.
 	VictimGoodput float64 `json:"victim_goodput"`
 	Offered       int     `json:"offered"`
 }
 
-// failTime is how long a decode engine stays away.
+// failTime is how long a failed decode engine is unavailable.
 const failTime = 20 * time.Second
 
-// Run plays one policy over one workload.
+// Run simulates one policy on one workload.
 func Run(options Options) (Outcome, error) {
-	s, jobs, err := prepare(options)
+	s, jobs, err := newSimulation(options)
 	if err != nil {
 		return Outcome{}, err
 	}
-	s.RunUntil(options.Length + drainTime)
+	s.RunUntil(options.Length + settleTime)
 	return s.outcome(jobs, options), nil
 }
 
-// drainTime is how long a run goes on after the last arrival.
-const drainTime = 60 * time.Second
+// settleTime is how long a run continues after the last arrival.
+const settleTime = 60 * time.Second
 
-// prepare builds the engines and the requests of a run and plans its events.
-func prepare(options Options) (*simulation, []*job, error) {
+// newSimulation creates the engines and the requests of a run and schedules its
+// initial events.
+func newSimulation(options Options) (*simulation, []*job, error) {
 	mix, err := findWorkload(options.Workload)
 	if err != nil {
 		return nil, nil, err
@@ -76,18 +77,18 @@
 	jobs := mix.generate(rand.New(rand.NewPCG(options.Seed, requestStream)), rate*options.Load, options.Length, options.Flood)
 	engineRandom := rand.New(rand.NewPCG(options.Seed, engineStream))
 	for _, j := range jobs {
-		j.hangUp = j.kind.maxOutput > 1 && engineRandom.Float64() < parameters.DisconnectShare
+		j.disconnects = j.kind.maxOutput > 1 && engineRandom.Float64() < parameters.DisconnectShare
 	}
 	s := &simulation{
-		parameters: parameters,
-		stalls:     func() bool { return engineRandom.Float64() < parameters.StallShare },
-		gaps:       func() bool { return engineRandom.Float64() < parameters.EventLossShare },
+		parameters:     parameters,
+		transferStalls: func() bool { return engineRandom.Float64() < parameters.StallShare },
+		eventLost:      func() bool { return engineRandom.Float64() < parameters.EventLossShare },
 	}
 	for range prefills {
 		s.prefills = append(s.prefills, &prefillEngine{cache: newPrefixCache(parameters.CacheBlocks)})
 	}
 	for range parameters.DecodeEngines {
-		s.decodes = append(s.decodes, &decodeEngine{up: true})
+		s.decodes = append(s.decodes, &decodeEngine{available: true})
 	}
 	s.router, err = newRouter(options.Policy, s, jobs, rand.New(rand.NewPCG(options.Seed, policyStream)))
 	if err != nil {
@@ -97,23 +98,24 @@
 	return s, jobs, nil
 }
 
-// schedule plans the arrivals, the callers' patience and the failure.
+// schedule adds the events of arrivals, of callers that give up waiting, and of the
+// engine failure.
 func (s *simulation) schedule(jobs []*job, options Options) {
 	for _, j := range jobs {
 		s.After(j.arrival, func() {
 			patience := time.Duration(s.parameters.Patience * float64(j.kind.firstToken))
-			s.After(patience, func() { s.leave(j) })
-			s.router.arrive(j)
+			s.After(patience, func() { s.abandon(j) })
+			s.router.submit(j)
 		})
 	}
 	if options.Fail {
-		s.After(options.Length/2, func() { s.fail(0, failTime) })
+		s.After(options.Length/2, func() { s.failDecodeEngine(0, failTime) })
 	}
 }
 
-// capacity returns the rate of requests a second at which the decode pool is
-// full on average, and the number of prefill engines that then have the wanted
-// utilization.
+// capacity returns the request rate per second at which the decode pool is full on
+// average, and the number of prefill engines that have the target utilization at
+// that rate.
 func capacity(mix workload, parameters Parameters) (rate float64, prefills int) {
 	uncached, decodeTokens := mix.means()
 	const typicalContext = 1500
@@ -124,34 +126,34 @@
 	return rate, int(math.Ceil(work / parameters.PrefillUtilization))
 }
 
-// meets reports whether a job met both targets.
-func (j *job) meets() bool {
-	if !j.state.answered || j.state.first-j.arrival > j.kind.firstToken {
+// meetsTargets reports whether a job met both latency targets.
+func (j *job) meetsTargets() bool {
+	if !j.state.answered || j.state.firstTokenAt-j.arrival > j.kind.firstToken {
 		return false
 	}
-	return j.state.produced < 2 || j.interval() <= j.kind.tokenInterval
+	return j.state.outputTokens < 2 || j.interval() <= j.kind.tokenInterval
 }
 
 func (j *job) interval() time.Duration {
-	return (j.state.last - j.state.first) / time.Duration(max(j.state.produced-1, 1))
+	return (j.state.lastTokenAt - j.state.firstTokenAt) / time.Duration(max(j.state.outputTokens-1, 1))
 }
 
 func (s *simulation) outcome(jobs []*job, options Options) Outcome {
 	result := Outcome{Workload: options.Workload, Seed: options.Seed, Load: options.Load, Policy: options.Policy}
-	var first, intervals []time.Duration
-	met, refused, late, victims, victimsMet := 0, 0, 0, 0, 0
+	var firstTokens, intervals []time.Duration
+	met, refused, late, victimsOffered, victimsMet := 0, 0, 0, 0, 0
 	offeredBy, metBy := map[string]float64{}, map[string]float64{}
 	for _, j := range jobs {
-		if j.hangUp {
-			continue // A caller that leaves by itself counts neither way.
+		if j.disconnects {
+			continue // A caller that disconnects on its own is not counted.
 		}
 		result.Offered++
 		offeredBy[j.tenant]++
 		if !j.flood {
-			victims++
+			victimsOffered++
 		}
 		switch {
-		case j.meets():
+		case j.meetsTargets():
 			met++
 			metBy[j.tenant]++
 			if !j.flood {
@@ -163,8 +165,8 @@
 			late++
 		}
 		if j.state.answered {
-			first = append(first, j.state.first-j.arrival)
-			if j.state.produced > 1 {
+			firstTokens = append(firstTokens, j.state.firstTokenAt-j.arrival)
+			if j.state.outputTokens > 1 {
 				intervals = append(intervals, j.interval())
 			}
 		}
@@ -173,26 +175,27 @@
 	result.Goodput = round(float64(met) / offered)
 	result.Refused = round(float64(refused) / offered)
 	result.Late = round(float64(late) / offered)
-	result.VictimGoodput = round(float64(victimsMet) / float64(max(victims, 1)))
-	result.WastedPrefill = round(float64(s.wasted) / float64(max(s.prefilled, 1)))
+	result.VictimGoodput = round(float64(victimsMet) / float64(max(victimsOffered, 1)))
+	result.WastedPrefill = round(float64(s.wastedTokens) / float64(max(s.prefilledTokens, 1)))
 	result.Jain = round(jain(offeredBy, metBy))
-	result.TTFTP95, result.TBTP95 = round(quantile.P95(first)), round(quantile.P95(intervals))
+	result.TTFTP95, result.TBTP95 = round(quantile.P95(firstTokens)), round(quantile.P95(intervals))
 	return result
 }
 
-// round keeps five decimals, so that output does not depend on the last bits.
+// round rounds to five decimals, so that output does not depend on the last bits of
+// floating-point results.
 func round(value float64) float64 {
 	const scale = 1e5
 	return math.Round(value*scale) / scale
 }
 
-// jain is Jain's index over the tenants' shares of met requests. Tenants with
-// few requests are left out, since their share is mostly chance.
+// jain returns Jain's fairness index of the tenants' goodput. Tenants with few
+// requests are left out, since their goodput is mostly random.
 func jain(offered, met map[string]float64) float64 {
-	const fewest = 20
+	const minRequests = 20
 	names := make([]string, 0, len(offered))
 	for name, count := range offered {
-		if count >= fewest {
+		if count >= minRequests {
 			names = append(names, name)
 		}
 	}
--- a/sim/model/doc.go
+++ b/sim/model/doc.go
@@ -1,7 +1,7 @@
-// Package model is a discrete-event model of separate prefill and decode pools in
-// virtual time. It is seeded and deterministic: the same seed gives the same
-// bytes. It calls the scheduler package that the router calls, and compares it
-// with baselines over the same engines and the same requests.
+// Package model is a discrete-event simulation of separate prefill and decode pools
+// in virtual time. It is seeded and deterministic: the same seed gives byte-identical
+// output. It uses the scheduler package of the router, and compares it with baseline
+// policies on the same engines and the same requests.
 //
-// docs/MODEL.md names its parameters, their units and where they come from.
+// docs/MODEL.md lists its parameters with their units and sources.
 package model
--- a/sim/model/engines.go
+++ b/sim/model/engines.go
@@ -6,7 +6,7 @@
 	"github.com/reelrun/reelrun/sim/eventqueue"
 )
 
-// phase is where a job stands.
+// phase is the current stage of a job.
 type phase int
 
 const (
@@ -14,158 +14,159 @@
 	phaseQueued
 	phasePrefilling
 	phaseHeld
-	phaseMoving
+	phaseTransferring
 	phaseDecoding
 	phaseDone
 )
 
-// run is the state of a job.
-type run struct {
+// jobState is the mutable state of a job.
+type jobState struct {
 	phase phase
-	// attempt tells events of an earlier attempt from those of the present one.
-	attempt int
-	prefill int
-	decode  int
-	// computed is the uncached tokens of the present prefill.
-	computed int
-	used     bool
-	produced int
-	first    time.Duration
-	last     time.Duration
-	refused  bool
-	answered bool
+	// attempt counts attempts, so that events of an earlier attempt are ignored.
+	attempt       int
+	prefillEngine int
+	decodeEngine  int
+	// uncachedTokens is the number of prompt tokens that the current prefill computes.
+	uncachedTokens  int
+	transferStarted bool
+	outputTokens    int
+	firstTokenAt    time.Duration
+	lastTokenAt     time.Duration
+	refused         bool
+	answered        bool
 }
 
-// prefillEngine prefills one prompt at a time.
+// prefillEngine processes one prompt at a time.
 type prefillEngine struct {
-	queue  []*job
-	busy   bool
-	queued int
-	cache  *prefixCache
-	// linkFree is when its link is free.
-	linkFree time.Duration
-	// gone states that it has changed its role.
-	gone bool
+	queue        []*job
+	busy         bool
+	queuedTokens int
+	cache        *prefixCache
+	// linkFreeAt is when the last transfer on the engine's link ends.
+	linkFreeAt time.Duration
+	// removed is set when the engine begins to change its role.
+	removed bool
 }
 
-// decodeEngine decodes a batch, one token a step.
+// decodeEngine decodes a batch and produces one token per request and step.
 type decodeEngine struct {
-	// waiting are held prefill results that wait for a slot, in order.
+	// waiting are jobs with a held prefill result that wait for a slot, in FIFO order.
 	waiting []*job
-	// moving counts transfers under way, which have their slot and memory.
-	moving int
-	batch  []*job
-	kv     int
-	up     bool
-	ticks  bool
-	// gone states that it has changed its role.
-	gone bool
+	// transfers counts transfers in progress. Each has its slot and memory reserved.
+	transfers int
+	batch     []*job
+	kvTokens  int
+	available bool
+	stepping  bool
+	// removed is set when the engine begins to change its role.
+	removed bool
 }
 
-func (e *decodeEngine) slotsUsed() int { return len(e.batch) + e.moving }
+func (e *decodeEngine) slotsUsed() int { return len(e.batch) + e.transfers }
 
-// simulation is one run of the model.
+// simulation is the state of one run of the model.
 type simulation struct {
 	eventqueue.Queue
-	parameters Parameters
-	prefills   []*prefillEngine
-	decodes    []*decodeEngine
-	router     router
-	stalls     func() bool
-	gaps       func() bool
+	parameters     Parameters
+	prefills       []*prefillEngine
+	decodes        []*decodeEngine
+	router         router
+	transferStalls func() bool
+	eventLost      func() bool
 
-	prefilled int
-	wasted    int
+	prefilledTokens int
+	wastedTokens    int
 }
 
-// startPrefill queues a job at a prefill engine.
-func (s *simulation) startPrefill(j *job, engine int) {
+// enqueuePrefill adds a job to the queue of a prefill engine.
+func (s *simulation) enqueuePrefill(j *job, engine int) {
 	j.state.phase = phaseQueued
 	j.state.attempt++
-	j.state.prefill = engine
+	j.state.prefillEngine = engine
 	target := s.prefills[engine]
 	target.queue = append(target.queue, j)
-	target.queued += j.prompt
-	s.nextPrefill(engine)
+	target.queuedTokens += j.prompt
+	s.startNextPrefill(engine)
 }
 
-func (s *simulation) nextPrefill(engine int) {
+func (s *simulation) startNextPrefill(engine int) {
 	target := s.prefills[engine]
 	for !target.busy && len(target.queue) > 0 {
 		j := target.queue[0]
 		target.queue = target.queue[1:]
-		target.queued -= j.prompt
+		target.queuedTokens -= j.prompt
 		if j.state.phase != phaseQueued {
 			continue
 		}
 		target.busy = true
 		j.state.phase = phasePrefilling
 		cached := min(target.cache.match(j.blocks), j.prompt)
-		j.state.computed = j.prompt - cached
-		duration := s.parameters.PrefillOverhead + time.Duration(float64(j.state.computed)/s.parameters.PrefillTokensPerSecond*float64(second))
-		s.After(duration, func() { s.endPrefill(j, engine) })
+		j.state.uncachedTokens = j.prompt - cached
+		duration := s.parameters.PrefillOverhead + time.Duration(float64(j.state.uncachedTokens)/s.parameters.PrefillTokensPerSecond*float64(second))
+		s.After(duration, func() { s.finishPrefill(j, engine) })
 	}
 }
 
-func (s *simulation) endPrefill(j *job, engine int) {
+func (s *simulation) finishPrefill(j *job, engine int) {
 	target := s.prefills[engine]
 	target.busy = false
-	s.prefilled += j.state.computed
+	s.prefilledTokens += j.state.uncachedTokens
 	evicted := target.cache.store(j.blocks)
-	s.tellEvictions(engine, evicted)
+	s.publishEvictions(engine, evicted)
 	switch {
 	case j.state.phase != phasePrefilling:
-		s.wasted += j.state.computed // Its caller has gone.
+		s.wastedTokens += j.state.uncachedTokens // The caller has disconnected.
 	case j.kind.maxOutput <= 1:
-		s.emit(j)
+		s.emitToken(j)
 		s.finish(j, true)
 	default:
 		s.hold(j)
 	}
-	s.nextPrefill(engine)
-	s.router.changed()
+	s.startNextPrefill(engine)
+	s.router.capacityChanged()
 }
 
-// tellEvictions brings cache events to the router late, and not all of them.
-func (s *simulation) tellEvictions(engine int, evicted []uint64) {
+// publishEvictions sends eviction events to the router after a delay and loses some.
+func (s *simulation) publishEvictions(engine int, evicted []uint64) {
 	if len(evicted) == 0 {
 		return
 	}
-	told := make([]uint64, 0, len(evicted))
+	published := make([]uint64, 0, len(evicted))
 	for _, block := range evicted {
-		if !s.gaps() {
-			told = append(told, block)
+		if !s.eventLost() {
+			published = append(published, block)
 		}
 	}
-	s.After(s.parameters.EventDelay, func() { s.router.evicted(engine, told) })
+	s.After(s.parameters.EventDelay, func() { s.router.blocksEvicted(engine, published) })
 }
 
-// hold keeps a prefill result for a few seconds.
+// hold keeps a prefill result for Parameters.Hold.
 func (s *simulation) hold(j *job) {
 	j.state.phase = phaseHeld
-	j.state.used = false
+	j.state.transferStarted = false
 	attempt := j.state.attempt
 	s.After(s.parameters.Hold, func() {
 		if j.state.attempt == attempt && j.state.phase == phaseHeld {
-			s.lapse(j)
+			s.expire(j)
 		}
 	})
 	s.router.prefillDone(j)
 }
 
-// lapse drops a result that no decode engine took in time.
-func (s *simulation) lapse(j *job) {
-	s.wasted += j.state.computed
-	s.dropWaiting(j)
+// expire discards a prefill result that no decode engine fetched within
+// Parameters.Hold.
+func (s *simulation) expire(j *job) {
+	s.wastedTokens += j.state.uncachedTokens
+	s.removeWaiting(j)
 	const maxAttempts = 2
 	if j.state.attempt >= maxAttempts {
 		s.finish(j, false)
 		return
 	}
-	s.router.failed(j)
+	s.router.attemptFailed(j)
 }
 
-func (s *simulation) dropWaiting(j *job) {
+func (s *simulation) removeWaiting(j *job) {
 	for _, engine := range s.decodes {
 		for i, waiting := range engine.waiting {
 			if waiting == j {
@@ -176,116 +177,117 @@
 	}
 }
 
-// enqueueDecode lets a held result wait for a slot of a decode engine.
+// enqueueDecode adds a job with a held result to the queue of a decode engine.
 func (s *simulation) enqueueDecode(j *job, engine int) {
-	j.state.decode = engine
+	j.state.decodeEngine = engine
 	s.decodes[engine].waiting = append(s.decodes[engine].waiting, j)
-	s.admit(engine)
+	s.startTransfers(engine)
 }
 
-// admit starts the transfers for which an engine has room.
-func (s *simulation) admit(engine int) {
+// startTransfers starts the transfers for which a decode engine has slots and memory.
+func (s *simulation) startTransfers(engine int) {
 	target := s.decodes[engine]
-	for target.up && len(target.waiting) > 0 {
+	for target.available && len(target.waiting) > 0 {
 		j := target.waiting[0]
-		need := j.prompt + longestOutput
-		if target.slotsUsed() >= s.parameters.Slots || target.kv+need > s.parameters.KVTokens {
+		kvNeeded := j.prompt + longestOutput
+		if target.slotsUsed() >= s.parameters.Slots || target.kvTokens+kvNeeded > s.parameters.KVTokens {
 			return
 		}
 		target.waiting = target.waiting[1:]
-		target.moving++
-		target.kv += need
-		s.move(j, engine)
+		target.transfers++
+		target.kvTokens += kvNeeded
+		s.transfer(j, engine)
 	}
 }
 
-// move transfers a KV cache over the link of its prefill engine.
-func (s *simulation) move(j *job, engine int) {
-	j.state.phase = phaseMoving
-	j.state.used = true
-	source := s.prefills[j.state.prefill]
-	start := max(s.Now(), source.linkFree)
+// transfer sends a KV cache over the link of its prefill engine.
+func (s *simulation) transfer(j *job, engine int) {
+	j.state.phase = phaseTransferring
+	j.state.transferStarted = true
+	source := s.prefills[j.state.prefillEngine]
+	start := max(s.Now(), source.linkFreeAt)
 	duration := time.Duration(float64(j.prompt) / s.parameters.LinkTokensPerSecond * float64(second))
-	if s.stalls() {
+	if s.transferStalls() {
 		duration += s.parameters.StallTime
 	}
-	source.linkFree = start + duration
+	source.linkFreeAt = start + duration
 	attempt := j.state.attempt
-	s.After(start+duration-s.Now(), func() { s.moved(j, engine, attempt) })
+	s.After(start+duration-s.Now(), func() { s.finishTransfer(j, engine, attempt) })
 }
 
-func (s *simulation) moved(j *job, engine, attempt int) {
+func (s *simulation) finishTransfer(j *job, engine, attempt int) {
 	target := s.decodes[engine]
-	if !target.up {
+	if !target.available {
 		return
 	}
-	target.moving--
-	if j.state.phase != phaseMoving || j.state.attempt != attempt {
-		target.kv -= j.prompt + longestOutput
-		s.admit(engine)
+	target.transfers--
+	if j.state.phase != phaseTransferring || j.state.attempt != attempt {
+		target.kvTokens -= j.prompt + longestOutput
+		s.startTransfers(engine)
 		return
 	}
 	j.state.phase = phaseDecoding
 	target.batch = append(target.batch, j)
-	s.step(engine)
+	s.startStep(engine)
 }
 
-// step lets an engine produce one token for each job of its batch, again and again.
-func (s *simulation) step(engine int) {
+// startStep schedules the next decode step, which produces one token for each job of
+// the batch. Each step starts the next one while the batch is not empty.
+func (s *simulation) startStep(engine int) {
 	target := s.decodes[engine]
-	if target.ticks || len(target.batch) == 0 || !target.up {
+	if target.stepping || len(target.batch) == 0 || !target.available {
 		return
 	}
-	target.ticks = true
+	target.stepping = true
 	context := 0
 	for _, j := range target.batch {
-		context += j.prompt + j.state.produced
+		context += j.prompt + j.state.outputTokens
 	}
-	s.After(s.parameters.Step.Time(len(target.batch), context), func() { s.endStep(engine) })
+	s.After(s.parameters.Step.Time(len(target.batch), context), func() { s.finishStep(engine) })
 }
 
-func (s *simulation) endStep(engine int) {
+func (s *simulation) finishStep(engine int) {
 	target := s.decodes[engine]
-	target.ticks = false
-	if !target.up {
+	target.stepping = false
+	if !target.available {
 		return
 	}
-	still := target.batch[:0]
+	remaining := target.batch[:0]
 	var ended []*job
 	for _, j := range target.batch {
 		if j.state.phase == phaseDecoding {
-			s.emit(j)
+			s.emitToken(j)
 		}
-		if j.state.phase != phaseDecoding || j.state.produced >= j.output || (j.hangUp && j.state.produced >= j.output/2) {
-			target.kv -= j.prompt + longestOutput
+		if j.state.phase != phaseDecoding || j.state.outputTokens >= j.output || (j.disconnects && j.state.outputTokens >= j.output/2) {
+			target.kvTokens -= j.prompt + longestOutput
 			ended = append(ended, j)
 			continue
 		}
-		still = append(still, j)
+		remaining = append(remaining, j)
 	}
-	clear(target.batch[len(still):])
-	target.batch = still
+	clear(target.batch[len(remaining):])
+	target.batch = remaining
 	for _, j := range ended {
 		if j.state.phase == phaseDecoding {
-			s.finish(j, !j.hangUp)
+			s.finish(j, !j.disconnects)
 		}
 	}
-	s.admit(engine)
-	s.step(engine)
+	s.startTransfers(engine)
+	s.startStep(engine)
 	if len(ended) > 0 {
-		s.router.changed()
+		s.router.capacityChanged()
 	}
 }
 
-func (s *simulation) emit(j *job) {
-	if j.state.produced == 0 {
-		j.state.first = s.Now()
+func (s *simulation) emitToken(j *job) {
+	if j.state.outputTokens == 0 {
+		j.state.firstTokenAt = s.Now()
 	}
-	j.state.last = s.Now()
-	j.state.produced++
+	j.state.lastTokenAt = s.Now()
+	j.state.outputTokens++
 }
 
-// finish ends a job; answered is false if its caller did not get all of it.
+// finish ends a job; answered is false if the caller did not get the whole answer.
 func (s *simulation) finish(j *job, answered bool) {
 	if j.state.phase == phaseDone {
 		return
@@ -295,54 +297,55 @@
 	s.router.finished(j)
 }
 
-// leave ends a job whose caller has lost its patience.
-func (s *simulation) leave(j *job) {
-	if j.state.phase == phaseDone || j.state.produced > 0 {
+// abandon ends a job whose caller gave up waiting for the first token.
+func (s *simulation) abandon(j *job) {
+	if j.state.phase == phaseDone || j.state.outputTokens > 0 {
 		return
 	}
 	if j.state.phase == phaseHeld {
-		s.wasted += j.state.computed
-		s.dropWaiting(j)
+		s.wastedTokens += j.state.uncachedTokens
+		s.removeWaiting(j)
 	}
-	if j.state.phase == phaseMoving {
-		s.wasted += j.state.computed
+	if j.state.phase == phaseTransferring {
+		s.wastedTokens += j.state.uncachedTokens
 	}
 	s.finish(j, false)
-	s.router.changed()
+	s.router.capacityChanged()
 }
 
-// refuse gives a job its final answer at once.
+// refuse ends a job that the router rejected.
 func (s *simulation) refuse(j *job) {
 	j.state.refused = true
 	j.state.phase = phaseDone
 }
 
-// fail takes a decode engine away and brings it back.
-func (s *simulation) fail(engine int, down time.Duration) {
+// failDecodeEngine makes a decode engine unavailable for a time. Its jobs must start
+// again.
+func (s *simulation) failDecodeEngine(engine int, downtime time.Duration) {
 	target := s.decodes[engine]
-	target.up = false
-	lost := append(append([]*job(nil), target.batch...), target.waiting...)
-	lost = append(lost, s.allMoving(engine)...)
-	target.batch, target.waiting, target.moving, target.kv, target.ticks = nil, nil, 0, 0, false
+	target.available = false
+	interrupted := append(append([]*job(nil), target.batch...), target.waiting...)
+	interrupted = append(interrupted, s.transfersTo(engine)...)
+	target.batch, target.waiting, target.transfers, target.kvTokens, target.stepping = nil, nil, 0, 0, false
 	s.router.engineDown(engine)
-	for _, j := range lost {
+	for _, j := range interrupted {
 		if j.state.phase != phaseDone {
-			s.router.failed(j)
+			s.router.attemptFailed(j)
 		}
 	}
-	s.After(down, func() {
-		target.up = true
+	s.After(downtime, func() {
+		target.available = true
 		s.router.engineUp(engine)
-		s.router.changed()
+		s.router.capacityChanged()
 	})
 }
 
-func (s *simulation) allMoving(engine int) []*job {
-	var moving []*job
+func (s *simulation) transfersTo(engine int) []*job {
+	var transferring []*job
 	for _, j := range s.router.jobs() {
-		if j.state.phase == phaseMoving && j.state.decode == engine {
-			moving = append(moving, j)
+		if j.state.phase == phaseTransferring && j.state.decodeEngine == engine {
+			transferring = append(transferring, j)
 		}
 	}
-	return moving
+	return transferring
 }
--- a/sim/model/model_test.go
+++ b/sim/model/model_test.go
@@ -10,7 +10,8 @@
 	return Options{Workload: name, Seed: 7, Load: 1, Length: 4 * time.Second, Flood: true, Fail: true, Parameters: DefaultParameters()}
 }
 
-// TestSameSeedSameOutcome runs every policy and some ablations twice.
+// TestSameSeedSameOutcome runs every policy and some ablations twice with one seed
+// and compares the outcomes.
 func TestSameSeedSameOutcome(t *testing.T) {
 	policies := append(Policies(), Ablations()[:4]...)
 	first, err := Compare(testOptions("amrc"), policies)
@@ -22,12 +23,13 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(first, second) {
-		t.Fatalf("%+v and then %+v", first, second)
+		t.Fatalf("outcomes of the same seed differ: %+v and %+v", first, second)
 	}
 }
 
-// TestOutcomesAreShares checks what must hold of every outcome.
-func TestOutcomesAreShares(t *testing.T) {
+// TestOutcomesAddUpToOne checks that goodput, refused and late requests add up to one
+// for each policy, and that no policy exceeds the bound.
+func TestOutcomesAddUpToOne(t *testing.T) {
 	for _, name := range Workloads() {
 		outcomes, err := Compare(testOptions(name), Policies())
 		if err != nil {
@@ -46,32 +48,32 @@
 	}
 }
 
-// TestEveryJobEnds drains a run and looks for jobs that were forgotten, and for
-// memory and slots that were not given back.
+// TestEveryJobEnds runs each policy until settleTime after the last arrival, and checks
+// that no job is left unfinished and that all KV memory and slots are freed.
 func TestEveryJobEnds(t *testing.T) {
 	for _, policy := range Policies() {
-		s, jobs := playOut(t, policy)
+		s, jobs := runToEnd(t, policy)
 		for _, j := range jobs {
 			if j.state.phase != phaseDone {
-				t.Errorf("%s: job %d stands in phase %d", policy, j.id, j.state.phase)
+				t.Errorf("%s: job %d is still in phase %d", policy, j.id, j.state.phase)
 			}
 		}
 		for i, engine := range s.decodes {
-			if engine.kv != 0 || engine.slotsUsed() != 0 {
-				t.Errorf("%s: decode engine %d keeps %d tokens and %d slots", policy, i, engine.kv, engine.slotsUsed())
+			if engine.kvTokens != 0 || engine.slotsUsed() != 0 {
+				t.Errorf("%s: decode engine %d still holds %d KV tokens and %d slots", policy, i, engine.kvTokens, engine.slotsUsed())
 			}
 		}
 	}
 }
 
-func playOut(t *testing.T, policy string) (*simulation, []*job) {
+func runToEnd(t *testing.T, policy string) (*simulation, []*job) {
 	t.Helper()
 	options := testOptions("fisio-xela")
 	options.Policy = policy
-	s, jobs, err := prepare(options)
+	s, jobs, err := newSimulation(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.RunUntil(options.Length + drainTime)
+	s.RunUntil(options.Length + settleTime)
 	return s, jobs
 }
--- a/sim/model/policies.go
+++ b/sim/model/policies.go
@@ -10,28 +10,31 @@
 	"github.com/reelrun/reelrun/scheduler"
 )
 
-// router decides where jobs go.
+// router assigns jobs to engines.
 type router interface {
-	arrive(j *job)
-	// prefillDone says that a result is held; the router places its decode.
+	submit(j *job)
+	// prefillDone reports that a prefill result is held; the router chooses its decode
+	// engine.
 	prefillDone(j *job)
-	// failed says that a job lost its engine or its result and must start again.
-	failed(j *job)
+	// attemptFailed reports that a job lost its engine or its prefill result and must
+	// start again.
+	attemptFailed(j *job)
 	finished(j *job)
-	// changed says that capacity may have become free.
-	changed()
-	evicted(engine int, blocks []uint64)
+	// capacityChanged reports that capacity may have become free.
+	capacityChanged()
+	blocksEvicted(engine int, blocks []uint64)
 	engineDown(decode int)
 	engineUp(decode int)
 	jobs() []*job
 }
 
-// Policies are the names of the policies, the router's own last.
+// Policies returns the names of the compared policies. The router's own is the last.
 func Policies() []string {
 	return []string{"random", "round-robin", "least-loaded", "power-of-two", "prefix-affinity", "vtc", "reelrun"}
 }
 
-// Ablations are the names of the router's policy with one idea changed.
+// Ablations returns the names of the variants of the router's policy, the unchanged
+// one first.
 func Ablations() []string {
 	names := make([]string, len(ablations))
 	for i, variant := range ablations {
@@ -43,11 +46,11 @@
 type ablation struct {
 	name    string
 	options scheduler.Options
-	// changesRoles lets engines change their role by the load.
+	// changesRoles lets engines change their role depending on the load.
 	changesRoles bool
 }
 
-// ablations change one idea each.
+// ablations change one part of the router's policy each.
 var ablations = []ablation{
 	{name: "reelrun"},
 	{name: "reelrun-changes-roles", changesRoles: true},
@@ -75,116 +78,116 @@
 func newRouter(name string, s *simulation, jobs []*job, random *rand.Rand) (router, error) {
 	for _, variant := range ablations {
 		if variant.name == name {
-			pooled := newPooled(s, jobs, variant.options)
+			poolRouter := newPoolRouter(s, jobs, variant.options)
 			if variant.changesRoles {
-				newRoleChanger(pooled).start()
+				newRoleChanger(poolRouter).start()
 			}
-			return pooled, nil
+			return poolRouter, nil
 		}
 	}
 	if name == "vtc" {
-		return newPooled(s, jobs, scheduler.Options{
+		return newPoolRouter(s, jobs, scheduler.Options{
 			Ordering: scheduler.OrderVTC, NoAdmission: true, NoAffinity: true, NoBatchLimit: true, Reservation: scheduler.ReserveNone,
 		}), nil
 	}
-	choices := map[string]chooser{
+	choices := map[string]engineChooser{
 		"random": chooseRandom, "round-robin": chooseRoundRobin, "least-loaded": chooseLeastLoaded,
-		"power-of-two": choosePowerOfTwo, "prefix-affinity": choosePrefix,
+		"power-of-two": choosePowerOfTwo, "prefix-affinity": choosePrefixAffinity,
 	}
 	choose, ok := choices[name]
 	if !ok {
 		return nil, errors.Newf("unknown policy %q", name)
 	}
-	return newIndependent(s, jobs, choose, random), nil
+	return newIndependentRouter(s, jobs, choose, random), nil
 }
 
-// pooled routes by a scheduler.Pool, as the owner of a pool does.
-type pooled struct {
-	simulation *simulation
-	all        []*job
-	pool       *scheduler.Pool
-	byID       map[string]*job
-	requests   map[*job]*scheduler.Request
-	armed      bool
+// poolRouter routes with a scheduler.Pool, as the owner of a pool does.
+type poolRouter struct {
+	simulation     *simulation
+	allJobs        []*job
+	pool           *scheduler.Pool
+	byID           map[string]*job
+	requests       map[*job]*scheduler.Request
+	recheckPending bool
 }
 
 func prefillName(engine int) string { return "p" + strconv.Itoa(engine) }
 func decodeName(engine int) string  { return "d" + strconv.Itoa(engine) }
 
-func engineNumber(name string) int {
+func engineIndex(name string) int {
 	number, err := strconv.Atoi(name[1:])
 	if err != nil {
-		panic(err) // Names are made above.
+		panic(err) // All names come from prefillName and decodeName.
 	}
 	return number
 }
 
-func newPooled(s *simulation, jobs []*job, options scheduler.Options) *pooled {
-	p := &pooled{
-		simulation: s, all: jobs, pool: scheduler.NewPool(options, s.parameters.LinkTokensPerSecond),
+func newPoolRouter(s *simulation, jobs []*job, options scheduler.Options) *poolRouter {
+	p := &poolRouter{
+		simulation: s, allJobs: jobs, pool: scheduler.NewPool(options, s.parameters.LinkTokensPerSecond),
 		byID: map[string]*job{}, requests: map[*job]*scheduler.Request{},
 	}
 	p.setEngines()
 	return p
 }
 
-// setEngines tells the pool the engines that have their roles.
-func (p *pooled) setEngines() {
+// setEngines passes the engines of each role to the pool.
+func (p *poolRouter) setEngines() {
 	s := p.simulation
 	var prefill []scheduler.PrefillState
 	for i, engine := range s.prefills {
-		if !engine.gone {
+		if !engine.removed {
 			prefill = append(prefill, scheduler.PrefillState{Name: prefillName(i), Ready: true, TokensPerSecond: s.parameters.PrefillTokensPerSecond})
 		}
 	}
 	var decode []scheduler.DecodeState
 	for i, engine := range s.decodes {
-		if !engine.gone {
+		if !engine.removed {
 			decode = append(decode, scheduler.DecodeState{Name: decodeName(i), Ready: true, Slots: s.parameters.Slots, KVTokens: s.parameters.KVTokens, Step: s.parameters.Step})
 		}
 	}
 	p.pool.SetEngines(prefill, decode)
 }
 
-func (p *pooled) jobs() []*job { return p.all }
+func (p *poolRouter) jobs() []*job { return p.allJobs }
 
-func (p *pooled) arrive(j *job) {
+func (p *poolRouter) submit(j *job) {
 	request := &scheduler.Request{
 		ID: strconv.Itoa(j.id) + "/" + strconv.Itoa(j.state.attempt), Tenant: j.tenant, Weight: 1, Arrival: j.arrival,
 		PromptTokens: j.prompt, MaxTokens: j.kind.maxOutput, FirstToken: j.kind.firstToken, TokenInterval: j.kind.tokenInterval,
-		Prefixes: j.blocks, LateAllowed: j.state.produced > 0,
+		Prefixes: j.blocks, LateAllowed: j.state.outputTokens > 0,
 	}
 	p.byID[request.ID], p.requests[j] = j, request
 	if refused := p.pool.Submit(p.simulation.Now(), request); refused != nil {
 		p.refuse(j)
 		return
 	}
-	p.changed()
+	p.capacityChanged()
 }
 
-func (p *pooled) refuse(j *job) {
-	p.forget(j)
+func (p *poolRouter) refuse(j *job) {
+	p.untrack(j)
 	p.simulation.refuse(j)
 }
 
-func (p *pooled) forget(j *job) {
+func (p *poolRouter) untrack(j *job) {
 	if request, ok := p.requests[j]; ok {
 		delete(p.byID, request.ID)
 		delete(p.requests, j)
 	}
 }
 
-func (p *pooled) prefillDone(j *job) {
+func (p *poolRouter) prefillDone(j *job) {
 	p.pool.PrefillDone(p.simulation.Now(), p.requests[j].ID)
-	p.changed()
+	p.capacityChanged()
 }
 
-func (p *pooled) failed(j *job) {
+func (p *poolRouter) attemptFailed(j *job) {
 	p.release(j, -1)
-	p.arrive(j)
+	p.submit(j)
 }
 
-func (p *pooled) release(j *job, tokens int) {
+func (p *poolRouter) release(j *job, tokens int) {
 	request, ok := p.requests[j]
 	if !ok {
 		return
@@ -192,144 +195,147 @@
 	if !p.pool.Withdraw(request) {
 		p.pool.Finished(p.simulation.Now(), request.ID, tokens)
 	}
-	p.forget(j)
+	p.untrack(j)
 }
 
-func (p *pooled) finished(j *job) {
+func (p *poolRouter) finished(j *job) {
 	tokens := -1
 	if j.state.answered {
-		tokens = j.state.produced
+		tokens = j.state.outputTokens
 	}
 	p.release(j, tokens)
 }
 
-// changed carries out what is due, and looks again later while requests wait.
-func (p *pooled) changed() {
+// capacityChanged carries out the scheduler's decisions, and schedules a recheck while
+// requests wait.
+func (p *poolRouter) capacityChanged() {
 	for _, decision := range p.pool.Schedule(p.simulation.Now()) {
 		j := p.byID[decision.RequestID]
 		switch decision.Kind {
 		case scheduler.KindPrefill:
-			p.simulation.startPrefill(j, engineNumber(decision.Prefill))
+			p.simulation.enqueuePrefill(j, engineIndex(decision.Prefill))
 		case scheduler.KindDecode:
-			p.simulation.enqueueDecode(j, engineNumber(decision.Decode))
+			p.simulation.enqueueDecode(j, engineIndex(decision.Decode))
 		case scheduler.KindRefuse:
 			p.refuse(j)
 		default:
 		}
 	}
-	if p.pool.Waiting() > 0 && !p.armed {
-		p.armed = true
+	if p.pool.Waiting() > 0 && !p.recheckPending {
+		p.recheckPending = true
 		p.simulation.After(scheduler.RecheckInterval, func() {
-			p.armed = false
-			p.changed()
+			p.recheckPending = false
+			p.capacityChanged()
 		})
 	}
 }
 
-func (p *pooled) evicted(engine int, blocks []uint64) {
+func (p *poolRouter) blocksEvicted(engine int, blocks []uint64) {
 	for _, block := range blocks {
 		p.pool.Index().Evict(prefillName(engine), block)
 	}
 }
 
-func (p *pooled) engineDown(decode int) { p.pool.SetReady(decodeName(decode), false) }
-func (p *pooled) engineUp(decode int)   { p.pool.SetReady(decodeName(decode), true) }
+func (p *poolRouter) engineDown(decode int) { p.pool.SetReady(decodeName(decode), false) }
+func (p *poolRouter) engineUp(decode int)   { p.pool.SetReady(decodeName(decode), true) }
 
-// loads is what an independent router knows: reports from some time ago.
-type loads struct {
-	queued []int
-	slots  []int
-	down   []bool
+// loadReport is a snapshot of the engines' load. An independent router sees it only
+// after Parameters.LoadLag.
+type loadReport struct {
+	queuedTokens []int
+	slotsInUse   []int
+	decodeDown   []bool
 }
 
-// chooser picks a prefill and a decode engine for a job.
-type chooser func(p *independent, j *job) (prefill, decode int)
+// engineChooser selects a prefill and a decode engine for a job.
+type engineChooser func(p *independentRouter, j *job) (prefill, decode int)
 
-// independent routes each request at its arrival by lagging reports, without a
-// queue of its own and without refusals.
-type independent struct {
+// independentRouter assigns each request on arrival by delayed load reports. It has
+// no queue and refuses no request.
+type independentRouter struct {
 	simulation *simulation
-	all        []*job
-	choose     chooser
+	allJobs    []*job
+	choose     engineChooser
 	random     *rand.Rand
-	known      loads
-	turn       int
+	lastReport loadReport
+	nextEngine int
 	index      *scheduler.PrefixIndex
 }
 
-func newIndependent(s *simulation, jobs []*job, choose chooser, random *rand.Rand) *independent {
-	p := &independent{simulation: s, all: jobs, choose: choose, random: random, index: scheduler.NewPrefixIndex()}
-	p.known = loads{queued: make([]int, len(s.prefills)), slots: make([]int, len(s.decodes)), down: make([]bool, len(s.decodes))}
+func newIndependentRouter(s *simulation, jobs []*job, choose engineChooser, random *rand.Rand) *independentRouter {
+	p := &independentRouter{simulation: s, allJobs: jobs, choose: choose, random: random, index: scheduler.NewPrefixIndex()}
+	p.lastReport = loadReport{queuedTokens: make([]int, len(s.prefills)), slotsInUse: make([]int, len(s.decodes)), decodeDown: make([]bool, len(s.decodes))}
 	p.report()
 	return p
 }
 
-// report brings the loads of now to the router after the lag, again and again.
-func (p *independent) report() {
+// report takes a load snapshot, makes it visible after Parameters.LoadLag, and
+// repeats.
+func (p *independentRouter) report() {
 	s := p.simulation
-	current := loads{queued: make([]int, len(s.prefills)), slots: make([]int, len(s.decodes)), down: make([]bool, len(s.decodes))}
+	current := loadReport{queuedTokens: make([]int, len(s.prefills)), slotsInUse: make([]int, len(s.decodes)), decodeDown: make([]bool, len(s.decodes))}
 	for i, engine := range s.prefills {
-		current.queued[i] = engine.queued
+		current.queuedTokens[i] = engine.queuedTokens
 	}
 	for i, engine := range s.decodes {
-		current.slots[i] = engine.slotsUsed() + len(engine.waiting)
-		current.down[i] = !engine.up
+		current.slotsInUse[i] = engine.slotsUsed() + len(engine.waiting)
+		current.decodeDown[i] = !engine.available
 	}
 	s.After(s.parameters.LoadLag, func() {
-		p.known = current
+		p.lastReport = current
 		p.report()
 	})
 }
 
-func (p *independent) jobs() []*job { return p.all }
+func (p *independentRouter) jobs() []*job { return p.allJobs }
 
-func (p *independent) arrive(j *job) {
+func (p *independentRouter) submit(j *job) {
 	prefill, decode := p.choose(p, j)
-	j.state.decode = decode
+	j.state.decodeEngine = decode
 	p.index.Store(prefillName(prefill), j.blocks)
-	p.simulation.startPrefill(j, prefill)
+	p.simulation.enqueuePrefill(j, prefill)
 }
 
-func (p *independent) prefillDone(j *job) {
-	p.simulation.enqueueDecode(j, j.state.decode)
+func (p *independentRouter) prefillDone(j *job) {
+	p.simulation.enqueueDecode(j, j.state.decodeEngine)
 }
-func (p *independent) failed(j *job)  { p.arrive(j) }
-func (p *independent) finished(*job)  {}
-func (p *independent) changed()       {}
-func (p *independent) engineDown(int) {}
-func (p *independent) engineUp(int)   {}
-func (p *independent) evicted(engine int, blocks []uint64) {
+func (p *independentRouter) attemptFailed(j *job) { p.submit(j) }
+func (p *independentRouter) finished(*job)        {}
+func (p *independentRouter) capacityChanged()     {}
+func (p *independentRouter) engineDown(int)       {}
+func (p *independentRouter) engineUp(int)         {}
+func (p *independentRouter) blocksEvicted(engine int, blocks []uint64) {
 	for _, block := range blocks {
 		p.index.Evict(prefillName(engine), block)
 	}
 }
 
-func chooseRandom(p *independent, _ *job) (int, int) {
-	return p.random.IntN(len(p.known.queued)), p.random.IntN(len(p.known.slots))
+func chooseRandom(p *independentRouter, _ *job) (int, int) {
+	return p.random.IntN(len(p.lastReport.queuedTokens)), p.random.IntN(len(p.lastReport.slotsInUse))
 }
 
-func chooseRoundRobin(p *independent, _ *job) (int, int) {
-	p.turn++
-	return p.turn % len(p.known.queued), p.turn % len(p.known.slots)
+func chooseRoundRobin(p *independentRouter, _ *job) (int, int) {
+	p.nextEngine++
+	return p.nextEngine % len(p.lastReport.queuedTokens), p.nextEngine % len(p.lastReport.slotsInUse)
 }
 
-func chooseLeastLoaded(p *independent, _ *job) (int, int) {
-	return least(p.known.queued, nil, p.random), least(p.known.slots, p.known.down, p.random)
+func chooseLeastLoaded(p *independentRouter, _ *job) (int, int) {
+	return leastLoaded(p.lastReport.queuedTokens, nil, p.random), leastLoaded(p.lastReport.slotsInUse, p.lastReport.decodeDown, p.random)
 }
 
-// least returns the place of the smallest value; equal ones are drawn by lot.
-func least(values []int, skip []bool, random *rand.Rand) int {
-	best, equals := -1, 0
+// leastLoaded returns the index of the smallest value. Ties are broken at random.
+func leastLoaded(values []int, skip []bool, random *rand.Rand) int {
+	best, ties := -1, 0
 	for i, value := range values {
 		if skip != nil && skip[i] {
 			continue
 		}
 		switch {
 		case best < 0 || value < values[best]:
-			best, equals = i, 1
+			best, ties = i, 1
 		case value == values[best]:
-			equals++
-			if random.IntN(equals) == 0 {
+			ties++
+			if random.IntN(ties) == 0 {
 				best = i
 			}
 		}
@@ -337,22 +343,23 @@
 	return max(best, 0)
 }
 
-func choosePowerOfTwo(p *independent, _ *job) (int, int) {
-	better := func(values []int) int {
+func choosePowerOfTwo(p *independentRouter, _ *job) (int, int) {
+	lessLoaded := func(values []int) int {
 		first, second := p.random.IntN(len(values)), p.random.IntN(len(values))
 		if values[second] < values[first] {
 			return second
 		}
 		return first
 	}
-	return better(p.known.queued), better(p.known.slots)
+	return lessLoaded(p.lastReport.queuedTokens), lessLoaded(p.lastReport.slotsInUse)
 }
 
-// choosePrefix takes the prefill engine with the longest cached prefix, as a
-// locality-aware router does, and the least loaded one when none has any.
-func choosePrefix(p *independent, j *job) (int, int) {
+// choosePrefixAffinity selects the prefill engine with the longest cached prefix, as a
+// locality-aware router does, and the least loaded one if no engine has a prefix
+// cached.
+func choosePrefixAffinity(p *independentRouter, j *job) (int, int) {
 	best, longest := -1, 0
-	for i := range p.known.queued {
+	for i := range p.lastReport.queuedTokens {
 		if cached := p.index.CachedTokens(prefillName(i), j.blocks); cached > longest {
 			best, longest = i, cached
 		}
--- a/sim/model/sweep.go
+++ b/sim/model/sweep.go
@@ -12,25 +12,25 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// boundPolicy is the name under which the bound appears among the outcomes.
+// boundPolicy is the policy name of the bound among the outcomes.
 const boundPolicy = "bound"
 
-// Compare runs several policies over the same requests, each on its own core,
-// and adds the bound. The order of the outcomes is that of the policies.
+// Compare runs several policies concurrently on the same requests. It returns their
+// outcomes in the order of the policies, followed by the bound.
 func Compare(options Options, policies []string) ([]Outcome, error) {
 	outcomes := make([]Outcome, len(policies))
 	failures := make([]error, len(policies))
-	var running sync.WaitGroup
+	var workers sync.WaitGroup
 	for i, policy := range policies {
-		running.Add(1)
+		workers.Add(1)
 		go func() {
-			defer running.Done()
+			defer workers.Done()
 			run := options
 			run.Policy = policy
 			outcomes[i], failures[i] = Run(run)
 		}()
 	}
-	running.Wait()
+	workers.Wait()
 	if err := errors.Join(failures...); err != nil {
 		return nil, err
 	}
@@ -41,18 +41,19 @@
 	return append(outcomes, Outcome{Workload: options.Workload, Seed: options.Seed, Load: options.Load, Policy: boundPolicy, Goodput: bound, VictimGoodput: bound}), nil
 }
 
-// sweepLoads are the loads of a plot.
+// sweepLoads are the offered loads of a plot.
 var sweepLoads = []float64{0.6, 0.7, 0.8, 0.9, 1.0, 1.1, 1.2, 1.3, 1.4}
 
-// Plot draws goodput and wasted prefill over a load sweep, as the mean of seeds.
+// Plot writes plots of goodput and wasted prefill over a load sweep. Each value is the
+// mean over the seeds.
 func Plot(options Options, policies []string, seeds int, folder string) error {
 	const folderMode = 0o755
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "make folder")
+		return errors.Wrap(err, "create plot folder")
 	}
 	goodput, wasted := map[string]plotter.XYs{}, map[string]plotter.XYs{}
 	for _, load := range sweepLoads {
-		means, err := meansOver(options, policies, load, seeds)
+		means, err := meanOutcomes(options, policies, load, seeds)
 		if err != nil {
 			return err
 		}
@@ -62,13 +63,13 @@
 		}
 	}
 	names := append(append([]string{}, policies...), boundPolicy)
-	if err := draw(filepath.Join(folder, options.Workload+"-goodput.svg"), options.Workload+": goodput", names, goodput); err != nil {
+	if err := savePlot(filepath.Join(folder, options.Workload+"-goodput.svg"), options.Workload+": goodput", names, goodput); err != nil {
 		return err
 	}
-	return draw(filepath.Join(folder, options.Workload+"-wasted.svg"), options.Workload+": wasted prefill", policies, wasted)
+	return savePlot(filepath.Join(folder, options.Workload+"-wasted.svg"), options.Workload+": wasted prefill", policies, wasted)
 }
 
-func meansOver(options Options, policies []string, load float64, seeds int) (map[string]Outcome, error) {
+func meanOutcomes(options Options, policies []string, load float64, seeds int) (map[string]Outcome, error) {
 	means := map[string]Outcome{}
 	for seed := range seeds {
 		run := options
@@ -87,21 +88,21 @@
 	return means, nil
 }
 
-func draw(path, title string, names []string, series map[string]plotter.XYs) error {
-	drawn := plot.New()
-	drawn.Title.Text = title
-	drawn.X.Label.Text = "load"
-	drawn.Legend.Top = false
-	drawn.Legend.Left = true
+func savePlot(path, title string, names []string, series map[string]plotter.XYs) error {
+	chart := plot.New()
+	chart.Title.Text = title
+	chart.X.Label.Text = "load"
+	chart.Legend.Top = false
+	chart.Legend.Left = true
 	for i, name := range names {
 		line, err := plotter.NewLine(series[name])
 		if err != nil {
-			return errors.Wrap(err, "make line")
+			return errors.Wrap(err, "create plot line")
 		}
 		line.Color, line.Dashes = plotutil.Color(i), plotutil.Dashes(i/len(plotutil.SoftColors))
-		drawn.Add(line)
-		drawn.Legend.Add(name, line)
+		chart.Add(line)
+		chart.Legend.Add(name, line)
 	}
 	const width, height = 18 * vg.Centimeter, 12 * vg.Centimeter
-	return errors.Wrap(drawn.Save(width, height, path), "save "+path)
+	return errors.Wrap(chart.Save(width, height, path), "save "+path)
 }
--- a/sim/model/trace.go
+++ b/sim/model/trace.go
@@ -7,7 +7,7 @@
 	"github.com/reelrun/reelrun/scheduler"
 )
 
-// Arrival is one request of a trace. Its prompt shares nothing with others.
+// Arrival is one request of a trace. Its prompt shares no prefix with others.
 type Arrival struct {
 	At            time.Duration
 	Tenant        string
@@ -17,22 +17,22 @@
 	TokenInterval time.Duration
 }
 
-// Timing is what became of a request.
+// Timing is the result of one request.
 type Timing struct {
 	Answered bool
 	Refused  bool
-	// FirstToken is the time to the first token, Interval the mean between tokens.
+	// FirstToken is the time to the first token, Interval the mean time between tokens.
 	FirstToken time.Duration
 	Interval   time.Duration
 }
 
-// RunTrace plays a trace by the router's policy on a given number of engines. It
-// is meant for comparing the model with other engines on the same requests.
+// RunTrace simulates a trace with the router's policy on the given number of prefill
+// engines. It serves to compare the model with other engines on the same requests.
 func RunTrace(parameters Parameters, prefillEngines int, trace []Arrival) []Timing {
 	random := rand.New(rand.NewPCG(1, 1))
 	jobs := make([]*job, len(trace))
 	for i, arrival := range trace {
-		chosen := &kind{
+		chosen := &requestKind{
 			name: "trace", maxOutput: arrival.OutputTokens, firstToken: arrival.FirstToken, tokenInterval: arrival.TokenInterval,
 		}
 		jobs[i] = &job{
@@ -41,16 +41,16 @@
 		}
 	}
 	never := func() bool { return false }
-	s := &simulation{parameters: parameters, stalls: never, gaps: never}
+	s := &simulation{parameters: parameters, transferStalls: never, eventLost: never}
 	for range prefillEngines {
 		s.prefills = append(s.prefills, &prefillEngine{cache: newPrefixCache(parameters.CacheBlocks)})
 	}
 	for range parameters.DecodeEngines {
-		s.decodes = append(s.decodes, &decodeEngine{up: true})
+		s.decodes = append(s.decodes, &decodeEngine{available: true})
 	}
-	s.router = newPooled(s, jobs, scheduler.Options{})
+	s.router = newPoolRouter(s, jobs, scheduler.Options{})
 	s.schedule(jobs, Options{Parameters: parameters})
-	end := drainTime
+	end := settleTime
 	if len(trace) > 0 {
 		end += trace[len(trace)-1].At
 	}
@@ -59,7 +59,7 @@
 	for i, j := range jobs {
 		timings[i] = Timing{Answered: j.state.answered, Refused: j.state.refused}
 		if j.state.answered {
-			timings[i].FirstToken, timings[i].Interval = j.state.first-j.arrival, j.interval()
+			timings[i].FirstToken, timings[i].Interval = j.state.firstTokenAt-j.arrival, j.interval()
 		}
 	}
 	return timings
