--- a/sim/modelcheck/check.go
+++ b/sim/modelcheck/check.go
@@ -19,7 +19,7 @@
 	"github.com/reelrun/reelrun/sim/rehearsal"
 )
 
-// Properties of the engines on both sides.
+// Properties shared by the model's engines and the stand-in engines, and of the trace.
 const (
 	prefillEngines  = 2
 	decodeEngines   = 2
@@ -30,21 +30,22 @@
 	firstToken      = 1500 * time.Millisecond
 	tokenInterval   = 50 * time.Millisecond
 	tenants         = 4
-	readyLimit      = time.Minute
+	readyTimeout    = time.Minute
 	meanOutput      = 80
 	tokensPerSecond = float64(decodeEngines*slots) * float64(time.Second) / float64(stepTime)
 )
 
-// Options describe one comparison.
+// Options configure one comparison.
 type Options struct {
 	Seed uint64
-	// Load is one when the decode engines are full on average.
+	// Load is the offered load; 1 fills the decode engines on average.
 	Load float64
-	// Requests is the length of the trace.
+	// Requests is the number of requests in the trace.
 	Requests int
 }
 
-// Summary is what one side made of the trace. Times are in seconds.
+// Summary is the result of the trace on the model or on the stand-in engines. Times are
+// in seconds; Answered, Refused and Goodput are shares of all requests.
 type Summary struct {
 	Answered    float64 `json:"answered"`
 	Refused     float64 `json:"refused"`
@@ -54,23 +55,23 @@
 	IntervalP95 float64 `json:"tbt_p95_s"`
 }
 
-// Report compares both sides.
+// Report holds the results of the model and of the stand-in engines for one trace.
 type Report struct {
 	Load    float64 `json:"load"`
 	Seed    uint64  `json:"seed"`
-	Model   Summary    `json:"model"`
-	Engines Summary    `json:"engines"`
+	Model   Summary `json:"model"`
+	Engines Summary `json:"engines"`
 }
 
-// Check plays one trace on both sides.
+// Check runs one trace on the model and on stand-in engines behind real nodes.
 func Check(ctx context.Context, options Options) (*Report, error) {
 	trace := newTrace(options)
-	engines, err := playOnEngines(ctx, trace)
+	engines, err := runOnEngines(ctx, trace)
 	if err != nil {
 		return nil, err
 	}
-	modelled := model.RunTrace(parameters(), prefillEngines, trace)
-	return &Report{Load: options.Load, Seed: options.Seed, Model: summarize(modelled), Engines: summarize(engines)}, nil
+	simulated := model.RunTrace(parameters(), prefillEngines, trace)
+	return &Report{Load: options.Load, Seed: options.Seed, Model: summarize(simulated), Engines: summarize(engines)}, nil
 }
 
 func newTrace(options Options) []model.Arrival {
@@ -81,27 +82,28 @@
 	at := time.Duration(0)
 	for i := range trace {
 		at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-		const fewestPrompt, promptSpread, fewestOutput, outputSpread = 500, 3500, 40, 81
+		const minPrompt, promptRange, minOutput, outputRange = 500, 3500, 40, 81
 		trace[i] = model.Arrival{
-			At: at, Tenant: fmt.Sprintf("tenant-%d", random.IntN(tenants)), PromptTokens: fewestPrompt + random.IntN(promptSpread),
-			OutputTokens: fewestOutput + random.IntN(outputSpread), FirstToken: firstToken, TokenInterval: tokenInterval,
+			At: at, Tenant: fmt.Sprintf("tenant-%d", random.IntN(tenants)), PromptTokens: minPrompt + random.IntN(promptRange),
+			OutputTokens: minOutput + random.IntN(outputRange), FirstToken: firstToken, TokenInterval: tokenInterval,
 		}
 	}
 	return trace
 }
 
-// parameters are the stand-in engine's properties in the model's terms.
+// parameters returns the properties of the stand-in engines as parameters of the model.
 func parameters() model.Parameters {
-	same := model.DefaultParameters()
-	same.PrefillTokensPerSecond, same.PrefillOverhead = prefillRate, 0
-	same.Step = scheduler.StepModel{Base: stepTime / 2, PerRequest: stepTime / 2 / slots}
-	same.Slots, same.KVTokens, same.LinkTokensPerSecond = slots, api.DefaultKVTokens, linkRate
-	same.DecodeEngines, same.StallShare, same.DisconnectShare = decodeEngines, 0, 0
-	same.Hold = api.DefaultHold
-	return same
+	matching := model.DefaultParameters()
+	matching.PrefillTokensPerSecond, matching.PrefillOverhead = prefillRate, 0
+	matching.Step = scheduler.StepModel{Base: stepTime / 2, PerRequest: stepTime / 2 / slots}
+	matching.Slots, matching.KVTokens, matching.LinkTokensPerSecond = slots, api.DefaultKVTokens, linkRate
+	matching.DecodeEngines, matching.StallShare, matching.DisconnectShare = decodeEngines, 0, 0
+	matching.Hold = api.DefaultHold
+	return matching
 }
 
-// fleetOptions are the same properties for nodes and stand-in engines.
+// fleetOptions returns the same properties as options of the nodes and the stand-in
+// engines.
 func fleetOptions() rehearsal.Options {
 	zones := []string{"zone"}
 	configuration := rehearsal.Generate(rehearsal.Shape{
@@ -117,28 +119,28 @@
 	return rehearsal.Options{Zones: zones, NodesPerZone: 2, Configuration: configuration, Engine: engine}
 }
 
-func playOnEngines(ctx context.Context, trace []model.Arrival) ([]model.Timing, error) {
+func runOnEngines(ctx context.Context, trace []model.Arrival) ([]model.Timing, error) {
 	fleet, err := rehearsal.NewFleet(ctx, fleetOptions())
 	if err != nil {
 		return nil, err
 	}
 	defer fleet.Close()
 	fleet.StartAll()
-	if !fleet.WaitReady(readyLimit) {
-		return nil, errors.New("modelcheck: fleet is not ready")
+	if !fleet.WaitReady(readyTimeout) {
+		return nil, errors.New("modelcheck: fleet is not ready in time")
 	}
 	timings := make([]model.Timing, len(trace))
-	began := time.Now()
-	var running sync.WaitGroup
+	start := time.Now()
+	var calls sync.WaitGroup
 	for i, arrival := range trace {
-		call, err := callOf(fleet, i, arrival)
+		call, err := newCall(fleet, i, arrival)
 		if err != nil {
 			return nil, err
 		}
-		time.Sleep(arrival.At - time.Since(began))
-		running.Add(1)
+		time.Sleep(arrival.At - time.Since(start))
+		calls.Add(1)
 		go func() {
-			defer running.Done()
+			defer calls.Done()
 			result := load.Send(ctx, call)
 			timings[i] = model.Timing{
 				Answered: result.Ending == load.EndingAnswered, Refused: result.Ending == load.EndingRefused,
@@ -146,22 +148,23 @@
 			}
 		}()
 	}
-	running.Wait()
+	calls.Wait()
 	return timings, nil
 }
 
-func callOf(fleet *rehearsal.Fleet, index int, arrival model.Arrival) (load.Call, error) {
+func newCall(fleet *rehearsal.Fleet, index int, arrival model.Arrival) (load.Call, error) {
 	key, err := uuid.NewV7()
 	if err != nil {
-		return load.Call{}, errors.Wrap(err, "make key")
+		return load.Call{}, errors.Wrap(err, "create idempotency key")
 	}
 	var tenant int
 	if _, err := fmt.Sscanf(arrival.Tenant, "tenant-%d", &tenant); err != nil {
-		return load.Call{}, errors.Wrap(err, "read tenant")
+		return load.Call{}, errors.Wrap(err, "parse tenant number")
 	}
-	// Every prompt begins with its own number, so that none is cached.
-	const word = "tok "
-	text := fmt.Sprintf("%-*d", len(word), index) + strings.Repeat(word, arrival.PromptTokens-1)
+	// Every prompt begins with its request number, so that no two prompts share a cached
+	// prefix.
+	const token = "tok "
+	text := fmt.Sprintf("%-*d", len(token), index) + strings.Repeat(token, arrival.PromptTokens-1)
 	nodes := fleet.Alive()
 	return load.Call{
 		Client: fleet.Client("192.0.2.1"), Nodes: []string{nodes[index%len(nodes)].CallerAddress()}, Key: key.String(),
@@ -174,22 +177,22 @@
 }
 
 func summarize(timings []model.Timing) Summary {
-	var side Summary
+	var summary Summary
 	var first, intervals []time.Duration
 	for _, timing := range timings {
 		switch {
 		case timing.Answered:
-			side.Answered++
+			summary.Answered++
 			first, intervals = append(first, timing.FirstToken), append(intervals, timing.Interval)
 			if timing.FirstToken <= firstToken && timing.Interval <= tokenInterval {
-				side.Goodput++
+				summary.Goodput++
 			}
 		case timing.Refused:
-			side.Refused++
+			summary.Refused++
 		}
 	}
-	count := float64(max(len(timings), 1))
-	side.Answered, side.Refused, side.Goodput = side.Answered/count, side.Refused/count, side.Goodput/count
-	side.TTFTMedian, side.TTFTP95, side.IntervalP95 = quantile.Of(first, 0.5), quantile.P95(first), quantile.P95(intervals)
-	return side
+	total := float64(max(len(timings), 1))
+	summary.Answered, summary.Refused, summary.Goodput = summary.Answered/total, summary.Refused/total, summary.Goodput/total
+	summary.TTFTMedian, summary.TTFTP95, summary.IntervalP95 = quantile.Of(first, 0.5), quantile.P95(first), quantile.P95(intervals)
+	return summary
 }
--- a/sim/modelcheck/check_test.go
+++ b/sim/modelcheck/check_test.go
@@ -10,11 +10,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// check runs a comparison in virtual time.
-func check(t *testing.T, load float64) *Report {
+// runCheck runs a comparison in virtual time. Two garbage collections empty yamux's
+// global timer pool: a timer of one synctest bubble must not be used in another.
+func runCheck(t *testing.T, load float64) *Report {
 	t.Helper()
 	runtime.GC()
-	runtime.GC() // See rehearsal's tests: yamux keeps timers in a global pool.
+	runtime.GC()
 	var report *Report
 	synctest.Test(t, func(t *testing.T) {
 		var err error
@@ -31,11 +32,11 @@
 }
 
 // TestModelFitsTheEngines bounds the difference between the model and the stand-in
-// engines below, at and above the load that fills the decode engines.
+// engines below, near and above the load that fills the decode engines.
 func TestModelFitsTheEngines(t *testing.T) {
 	for _, load := range []float64{0.6, 0.9, 1.2} {
 		g := NewWithT(t)
-		report := check(t, load)
+		report := runCheck(t, load)
 		g.Expect(report.Model.Answered).To(BeNumerically(">", 0.5))
 		g.Expect(report.Model.Goodput).To(BeNumerically("~", report.Engines.Goodput, 0.05))
 		g.Expect(report.Model.TTFTMedian).To(BeNumerically("~", report.Engines.TTFTMedian, 0.05))
--- a/sim/modelcheck/doc.go
+++ b/sim/modelcheck/doc.go
@@ -1,7 +1,7 @@
-// Package modelcheck compares the emulator's model with the stand-in engines: the
-// same trace is played by the model and by real nodes in front of stand-in engines
-// of the same properties, and the differences are reported.
+// Package modelcheck compares the discrete-event model with the stand-in engines: it
+// runs the same trace on the model and on real nodes with stand-in engines of the same
+// properties, and reports the results of both.
 //
-// It says how well the model fits the stand-ins, not how well either fits an engine
-// on an accelerator.
+// It shows how well the model matches the stand-in engines, not how well either
+// matches an engine on an accelerator.
 package modelcheck
