--- a/sim/enginesim/cache.go
+++ b/sim/enginesim/cache.go
@@ -7,15 +7,16 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// maxCacheEvents bounds the events that are kept for readers.
+// maxCacheEvents bounds the number of retained events. Beyond it only the newer half is
+// kept.
 const maxCacheEvents = 4096
 
-// prefixCache is an LRU of prompt blocks. Its events become visible late, and
-// some never do. The engine's lock guards it.
+// prefixCache is an LRU cache of prompt blocks; capacity is in blocks. Its events become
+// visible after delay, and some are omitted. The engine's mutex guards it.
 type prefixCache struct {
 	capacity int
 	delay    time.Duration
-	// gapEvery hides each event with a sequence number divisible by it.
+	// gapEvery omits each event whose sequence number is divisible by it; 0 omits none.
 	gapEvery uint64
 
 	order    *list.List
@@ -25,8 +26,8 @@
 }
 
 type cacheEvent struct {
-	event   engine.CacheEvent
-	visible time.Time
+	event     engine.CacheEvent
+	visibleAt time.Time
 }
 
 func newPrefixCache(capacity int, delay time.Duration, gapEvery uint64) *prefixCache {
@@ -36,7 +37,8 @@
 	}
 }
 
-// match returns how many leading blocks are cached, and refreshes them.
+// match returns the number of leading blocks that are cached, and marks them as
+// recently used.
 func (c *prefixCache) match(hashes []uint64) int {
 	for i, hash := range hashes {
 		element, ok := c.blocks[hash]
@@ -79,9 +81,9 @@
 
 func (c *prefixCache) visible(after uint64, now time.Time) []engine.CacheEvent {
 	selected := []engine.CacheEvent{}
-	for _, recorded := range c.events {
-		if recorded.event.Sequence > after && !recorded.visible.After(now) {
-			selected = append(selected, recorded.event)
+	for _, published := range c.events {
+		if published.event.Sequence > after && !published.visibleAt.After(now) {
+			selected = append(selected, published.event)
 		}
 	}
 	return selected
--- a/sim/enginesim/decode.go
+++ b/sim/enginesim/decode.go
@@ -16,122 +16,125 @@
 )
 
 const (
-	// importTimeout bounds one KV transfer.
+	// importTimeout is the timeout of one KV transfer.
 	importTimeout = 30 * time.Second
-	// kvBytesPerToken is the size of the padding that stands for a token's KV cache.
+	// kvBytesPerToken is the size of the padding that represents one token's KV cache.
 	kvBytesPerToken = 8
-	// exportChunkTokens is the unit of the link's rate limit.
+	// exportChunkTokens is the number of tokens exported per wait for the link's rate
+	// limit.
 	exportChunkTokens = 256
 )
 
-// kvHeader is the first line of an exported KV cache.
+// kvHeader is the first line of an exported KV cache, encoded as JSON.
 type kvHeader struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
 	Tokens int    `json:"tokens"`
 }
 
-// Export writes a held result at the rate of the link and marks it as used.
+// Export writes the KV cache of a held prefill result at the rate of the link, and marks
+// the result as used.
 func (e *Engine) Export(ctx context.Context, w io.Writer, attempt engine.Attempt) error {
 	e.mu.Lock()
-	held, ok := e.streams[attempt]
-	if !ok || held.phase != phaseHeld {
+	s, ok := e.streams[attempt]
+	if !ok || s.phase != phaseHeld {
 		e.mu.Unlock()
-		return refuse(http.StatusNotFound, api.CodeNotFound, "no such prefill result")
+		return notRunError(http.StatusNotFound, api.CodeNotFound, "no such prefill result")
 	}
-	header := kvHeader{Model: e.options.Model, Prompt: held.prompt, Tokens: engine.CountTokens(held.prompt)}
+	header := kvHeader{Model: e.options.Model, Prompt: s.prompt, Tokens: engine.CountTokens(s.prompt)}
 	e.mu.Unlock()
 	if err := json.NewEncoder(w).Encode(header); err != nil {
 		return errors.Wrap(err, "write header")
 	}
 	padding := make([]byte, exportChunkTokens*kvBytesPerToken)
-	for left := header.Tokens; left > 0; left -= exportChunkTokens {
-		chunk := min(left, exportChunkTokens)
-		if err := e.link.WaitN(ctx, chunk); err != nil {
+	for remaining := header.Tokens; remaining > 0; remaining -= exportChunkTokens {
+		chunk := min(remaining, exportChunkTokens)
+		if err := e.linkLimiter.WaitN(ctx, chunk); err != nil {
 			return errors.Wrap(err, "wait for link")
 		}
 		if _, err := w.Write(padding[:chunk*kvBytesPerToken]); err != nil {
-			return errors.Wrap(err, "write cache")
+			return errors.Wrap(err, "write KV cache")
 		}
 	}
-	e.markUsed(held)
+	e.markUsed(s)
 	return nil
 }
 
-func (e *Engine) markUsed(held *stream) {
+func (e *Engine) markUsed(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !held.used {
-		held.used = true
-		e.record(held, EntryPrefillUsed, held.computed)
+	if !s.used {
+		s.used = true
+		e.record(s, EntryPrefillUsed, s.computed)
 	}
 }
 
-// Decode reserves a slot and memory, imports the KV cache and starts decoding.
+// Decode admits the attempt, imports its KV cache and starts decoding. The stream uses
+// a slot from the start of the import, and KV memory from its end.
 func (e *Engine) Decode(ctx context.Context, request engine.DecodeRequest) (*stream, error) {
-	added := &stream{
+	s := &stream{
 		attempt: request.Attempt, holder: request.Holder, role: api.RoleDecode,
-		phase: phaseImporting, max: request.MaxTokens, produced: request.Offset,
+		phase: phaseImporting, maxTokens: request.MaxTokens, produced: request.Offset,
 	}
-	if err := e.reserve(added); err != nil {
-		e.record(added, EntryRefused, 0)
+	if err := e.reserve(s); err != nil {
+		e.record(s, EntryRefused, 0)
 		return nil, err
 	}
-	header, err := e.importKV(ctx, added, request)
+	header, err := e.importKVCache(ctx, s, request)
 	if err != nil {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if added.phase == phaseImporting {
-			e.remove(added, phaseEnded)
+		if s.phase == phaseImporting {
+			e.remove(s, phaseEnded)
 		}
-		e.record(added, EntryRefused, 0)
-		return nil, refuse(http.StatusFailedDependency, api.CodeBackendFailed, "KV transfer failed")
+		e.record(s, EntryRefused, 0)
+		return nil, notRunError(http.StatusFailedDependency, api.CodeBackendFailed, "KV transfer failed")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if added.phase == phaseCancelled {
-		return nil, refuse(http.StatusConflict, api.CodeCancelled, "attempt was cancelled")
-	}
-	added.phase = phaseDecoding
-	added.prompt = header.Prompt
-	added.kvTokens = header.Tokens
-	e.record(added, EntryDecodeStart, 0)
-	go e.produce(added)
-	return added, nil
+	if s.phase == phaseCancelled {
+		return nil, notRunError(http.StatusConflict, api.CodeCancelled, "attempt was cancelled")
+	}
+	s.phase = phaseDecoding
+	s.prompt = header.Prompt
+	s.kvTokens = header.Tokens
+	e.record(s, EntryDecodeStart, 0)
+	go e.generate(s)
+	return s, nil
 }
 
-func (e *Engine) reserve(added *stream) error {
+func (e *Engine) reserve(s *stream) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	slots, kvTokens := e.usage()
-	if slots >= e.options.Slots || kvTokens+added.max > e.options.KVTokens {
-		return refuse(http.StatusServiceUnavailable, api.CodeNoCapacity, "engine is full")
+	if slots >= e.options.Slots || kvTokens+s.maxTokens > e.options.KVTokens {
+		return notRunError(http.StatusServiceUnavailable, api.CodeNoCapacity, "engine is full")
 	}
-	return e.admit(added)
+	return e.admit(s)
 }
 
-func (e *Engine) importKV(ctx context.Context, added *stream, request engine.DecodeRequest) (kvHeader, error) {
+func (e *Engine) importKVCache(ctx context.Context, s *stream, request engine.DecodeRequest) (kvHeader, error) {
 	ctx, cancel := context.WithTimeout(ctx, importTimeout)
 	defer cancel()
-	stop := context.AfterFunc(added.ctx, cancel)
-	defer stop()
+	stopAfterFunc := context.AfterFunc(s.ctx, cancel)
+	defer stopAfterFunc()
 	target := "http://" + request.SourceAddress + engine.PathKV + "/" + request.ResultID
-	fetch, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return kvHeader{}, errors.Wrap(err, "build request")
 	}
-	response, err := e.options.HTTP.Do(fetch)
+	response, err := e.options.HTTP.Do(httpRequest)
 	if err != nil {
-		return kvHeader{}, errors.Wrap(err, "fetch cache")
+		return kvHeader{}, errors.Wrap(err, "fetch KV cache")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return kvHeader{}, errors.Newf("status %d", response.StatusCode)
 	}
-	return readKV(response.Body)
+	return readKVCache(response.Body)
 }
 
-func readKV(body io.Reader) (kvHeader, error) {
+func readKVCache(body io.Reader) (kvHeader, error) {
 	reader := bufio.NewReader(body)
 	line, err := reader.ReadBytes('\n')
 	if err != nil {
@@ -143,30 +146,30 @@
 	}
 	read, err := io.Copy(io.Discard, reader)
 	if err != nil {
-		return kvHeader{}, errors.Wrap(err, "read cache")
+		return kvHeader{}, errors.Wrap(err, "read KV cache")
 	}
 	if read != int64(header.Tokens)*kvBytesPerToken {
-		return kvHeader{}, errors.New("cache is cut short")
+		return kvHeader{}, errors.New("KV cache is truncated")
 	}
 	return header, nil
 }
 
-// produce adds a token a step until the answer is whole or cancelled.
-func (e *Engine) produce(held *stream) {
+// generate adds one token per step until the answer is complete or cancelled.
+func (e *Engine) generate(s *stream) {
 	for {
-		sleep(held.ctx, e.stepTime())
+		sleep(s.ctx, e.stepTime())
 		e.mu.Lock()
-		if held.phase != phaseDecoding {
+		if s.phase != phaseDecoding {
 			e.mu.Unlock()
 			return
 		}
-		held.produced++
-		held.kvTokens++
-		ended := held.produced >= held.max
+		s.produced++
+		s.kvTokens++
+		ended := s.produced >= s.maxTokens
 		if ended {
-			e.finish(held)
+			e.finish(s)
 		}
-		held.notify()
+		s.notify()
 		e.mu.Unlock()
 		if ended {
 			return
@@ -174,16 +177,17 @@
 	}
 }
 
-// finish frees the memory of an ended stream and keeps its text for a while.
-func (e *Engine) finish(held *stream) {
-	held.phase = phaseEnded
-	held.kvTokens = 0
+// finish frees the memory of a completed stream. The stream stays readable for
+// StreamRetention.
+func (e *Engine) finish(s *stream) {
+	s.phase = phaseEnded
+	s.kvTokens = 0
 	e.finished++
-	e.record(held, EntryDecodeDone, held.produced)
+	e.record(s, EntryDecodeDone, s.produced)
 	time.AfterFunc(e.options.StreamRetention, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.streams, held.attempt)
+		delete(e.streams, s.attempt)
 	})
 }
 
@@ -191,39 +195,39 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	slots, _ := e.usage()
-	share := float64(slots) / float64(max(e.options.Slots, 1))
-	return time.Duration((1 + share) / 2 * float64(e.options.StepTime))
+	utilization := float64(slots) / float64(max(e.options.Slots, 1))
+	return time.Duration((1 + utilization) / 2 * float64(e.options.StepTime))
 }
 
-// Resume finds a stream to read and gives it a new holder.
+// Resume returns an existing decode stream and sets its holder.
 func (e *Engine) Resume(attempt engine.Attempt, holder engine.Holder) (*stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	held, ok := e.streams[attempt]
-	if !ok || held.role != api.RoleDecode {
+	s, ok := e.streams[attempt]
+	if !ok || s.role != api.RoleDecode {
 		return nil, api.NewError(http.StatusNotFound, api.CodeNotFound, api.OutcomeUnknown, "no such stream")
 	}
-	held.holder = holder
-	return held, nil
+	s.holder = holder
+	return s, nil
 }
 
-// Read calls emit for each token from the offset on, and returns the length of
-// the whole answer.
-func (e *Engine) Read(ctx context.Context, held *stream, offset int, emit func(engine.Token) error) (int, error) {
+// Read calls emit for each token from the offset on until the stream ends, and returns
+// the length of the whole answer.
+func (e *Engine) Read(ctx context.Context, s *stream, offset int, emit func(engine.Token) error) (int, error) {
 	e.mu.Lock()
-	held.attached++
+	s.readers++
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
-		held.attached--
+		s.readers--
 		e.mu.Unlock()
 	}()
 	for {
 		e.mu.Lock()
-		produced, current, changed := held.produced, held.phase, held.changed
+		produced, current, changed := s.produced, s.phase, s.changed
 		e.mu.Unlock()
 		for ; offset < produced; offset++ {
-			token := engine.Token{Attempt: held.attempt, Offset: offset, Text: answer.Token(e.options.Model, held.prompt, offset)}
+			token := engine.Token{Attempt: s.attempt, Offset: offset, Text: answer.Token(e.options.Model, s.prompt, offset)}
 			if err := emit(token); err != nil {
 				return 0, err
 			}
--- a/sim/enginesim/engine.go
+++ b/sim/enginesim/engine.go
@@ -13,43 +13,47 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// Options are the properties of a stand-in engine.
+// Options configure a stand-in engine.
 type Options struct {
 	Name  string
 	Model string
 	Role  api.Role
-	// Slots and KVTokens bound what it decodes at once.
+	// Slots and KVTokens are the limits on concurrently decoded requests and on KV memory
+	// in tokens.
 	Slots    int
 	KVTokens int
-	// PrefillTokensPerSecond is the rate of its serial prefill.
+	// PrefillTokensPerSecond is the prefill throughput. Prompts are processed one at a
+	// time.
 	PrefillTokensPerSecond float64
-	// StepTime is the interval between tokens with a full batch; an empty one takes half.
+	// StepTime is the interval between tokens with a full batch. It falls linearly to half
+	// with an empty one.
 	StepTime time.Duration
-	// LinkTokensPerSecond is the rate of KV export, shared by all transfers.
+	// LinkTokensPerSecond is the rate of KV export, shared by all transfers of the engine.
 	LinkTokensPerSecond float64
 	// Hold is how long a prefill result is kept.
 	Hold time.Duration
-	// StreamRetention is how long an ended stream can be read again.
+	// StreamRetention is how long a completed stream can still be read.
 	StreamRetention time.Duration
-	// LoadLag is the age of its load reports.
+	// LoadLag is the age of load reports.
 	LoadLag time.Duration
-	// ChecksFence rejects orders with a stale fence.
+	// ChecksFence makes the engine reject orders with a stale fence.
 	ChecksFence bool
-	// CacheBlocks is the size of the prefix cache; CacheDelay and CacheGapEvery
-	// describe its events.
+	// CacheBlocks is the size of the prefix cache. Its events become visible after
+	// CacheDelay, without those whose sequence number is divisible by CacheGapEvery.
 	CacheBlocks   int
 	CacheDelay    time.Duration
 	CacheGapEvery uint64
-	// LoadModel loads a model version from the weight store. It may be nil.
+	// LoadModel loads a model version from the weight store. If nil, model orders load
+	// nothing.
 	LoadModel func(ctx context.Context, model, version string) error
 	// HTTP fetches KV caches from other engines.
 	HTTP *http.Client
 }
 
-// tombstoneTime is how long a cancelled attempt is refused.
-const tombstoneTime = 5 * time.Minute
+// tombstoneTTL is how long a cancelled attempt is rejected if it arrives again.
+const tombstoneTTL = 5 * time.Minute
 
-// phase is where a stream stands.
+// phase is the current stage of a stream.
 type phase int
 
 const (
@@ -62,34 +66,35 @@
 	phaseCancelled
 )
 
-// stream is a prefill result or a decode stream. The engine's lock guards it.
+// stream is a prefill or a decode attempt. The engine's mutex guards it.
 type stream struct {
 	attempt engine.Attempt
 	holder  engine.Holder
 	role    api.Role
 	phase   phase
 	prompt  string
-	// generated is the number of tokens that an earlier attempt produced.
+	// generated is the number of output tokens of earlier attempts, which are prefilled
+	// after the prompt.
 	generated int
 	priority  int
-	// computed is the number of tokens prefilled, without cached ones.
-	computed int
-	kvTokens int
-	used     bool
-	produced int
-	max      int
-	attached int
-	ctx      context.Context
-	cancel   context.CancelFunc
-	// changed is closed and replaced at each change.
+	// computed is the number of tokens prefilled, excluding cached ones.
+	computed  int
+	kvTokens  int
+	used      bool
+	produced  int
+	maxTokens int
+	readers   int
+	ctx       context.Context
+	cancel    context.CancelFunc
+	// changed is closed and replaced by notify.
 	changed chan struct{}
 }
 
 // Engine is a stand-in engine. It is safe for concurrent use.
 type Engine struct {
-	options Options
-	link    *rate.Limiter
-	ledger  ledger
+	options     Options
+	linkLimiter *rate.Limiter
+	ledger      ledger
 
 	mu         sync.Mutex
 	role       api.Role
@@ -100,148 +105,150 @@
 	streams    map[engine.Attempt]*stream
 	tombstones map[engine.Attempt]time.Time
 	queue      []*stream
-	busy       bool
+	prefilling bool
 	cache      *prefixCache
-	reports    []timedLoad
+	reports    []timestampedLoad
 	finished   int
 }
 
-type timedLoad struct {
+type timestampedLoad struct {
 	at   time.Time
 	load engine.Load
 }
 
-// New returns an idle engine.
+// New returns an engine without requests.
 func New(options Options) *Engine {
 	const linkBurstTokens = 512
 	return &Engine{
-		options:    options,
-		link:       rate.NewLimiter(rate.Limit(options.LinkTokensPerSecond), linkBurstTokens),
-		role:       options.Role,
-		orders:     map[string]bool{},
-		streams:    map[engine.Attempt]*stream{},
-		tombstones: map[engine.Attempt]time.Time{},
-		cache:      newPrefixCache(options.CacheBlocks, options.CacheDelay, options.CacheGapEvery),
+		options:     options,
+		linkLimiter: rate.NewLimiter(rate.Limit(options.LinkTokensPerSecond), linkBurstTokens),
+		role:        options.Role,
+		orders:      map[string]bool{},
+		streams:     map[engine.Attempt]*stream{},
+		tombstones:  map[engine.Attempt]time.Time{},
+		cache:       newPrefixCache(options.CacheBlocks, options.CacheDelay, options.CacheGapEvery),
 	}
 }
 
-func refuse(status int, code api.Code, text string) *api.Error {
+func notRunError(status int, code api.Code, text string) *api.Error {
 	return api.NewError(status, code, api.OutcomeNotRun, "%s", text)
 }
 
-// admit registers a stream, or refuses it. The caller holds the lock.
-func (e *Engine) admit(added *stream) error {
-	e.sweepTombstones()
-	if _, cancelled := e.tombstones[added.attempt]; cancelled {
-		return refuse(http.StatusConflict, api.CodeCancelled, "attempt was cancelled")
+// admit registers a stream or rejects it. The caller holds e.mu.
+func (e *Engine) admit(s *stream) error {
+	e.removeOldTombstones()
+	if _, cancelled := e.tombstones[s.attempt]; cancelled {
+		return notRunError(http.StatusConflict, api.CodeCancelled, "attempt was cancelled")
 	}
-	if _, exists := e.streams[added.attempt]; exists {
+	if _, exists := e.streams[s.attempt]; exists {
 		return api.NewError(http.StatusConflict, api.CodeConflict, api.OutcomeUnknown, "attempt runs already")
 	}
-	if e.role != added.role {
-		return refuse(http.StatusServiceUnavailable, api.CodeNoCapacity, "engine has another role")
+	if e.role != s.role {
+		return notRunError(http.StatusServiceUnavailable, api.CodeNoCapacity, "engine has another role")
 	}
-	added.ctx, added.cancel = context.WithCancel(context.Background())
-	added.changed = make(chan struct{})
-	e.streams[added.attempt] = added
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.changed = make(chan struct{})
+	e.streams[s.attempt] = s
 	return nil
 }
 
-func (e *Engine) sweepTombstones() {
+func (e *Engine) removeOldTombstones() {
 	now := time.Now()
 	for attempt, at := range e.tombstones {
-		if now.Sub(at) > tombstoneTime {
+		if now.Sub(at) > tombstoneTTL {
 			delete(e.tombstones, attempt)
 		}
 	}
 }
 
-// notify wakes everyone who waits for the stream. The caller holds the lock.
+// notify wakes all readers that wait for a change of the stream. The caller holds the
+// engine's mutex.
 func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Cancel ends an attempt and remembers it.
+// Cancel ends an attempt and rejects it for tombstoneTTL if it arrives again.
 func (e *Engine) Cancel(attempt engine.Attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.tombstones[attempt] = time.Now()
-	held, ok := e.streams[attempt]
+	s, ok := e.streams[attempt]
 	if !ok {
 		return
 	}
-	e.recordCancel(held)
-	e.remove(held, phaseCancelled)
+	e.recordCancellation(s)
+	e.remove(s, phaseCancelled)
 }
 
-// Close ends everything that the engine holds.
+// Close cancels all streams.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, held := range e.streams {
-		e.remove(held, phaseCancelled)
+	for _, s := range e.streams {
+		e.remove(s, phaseCancelled)
 	}
 }
 
-func (e *Engine) recordCancel(held *stream) {
-	switch held.phase {
+func (e *Engine) recordCancellation(s *stream) {
+	switch s.phase {
 	case phaseHeld:
-		if !held.used {
-			e.record(held, EntryPrefillCancelled, held.computed)
+		if !s.used {
+			e.record(s, EntryPrefillCancelled, s.computed)
 		}
 	case phaseImporting, phaseDecoding:
-		e.record(held, EntryDecodeCancelled, held.produced)
+		e.record(s, EntryDecodeCancelled, s.produced)
 	}
 }
 
-// remove drops a stream and its memory. The caller holds the lock.
-func (e *Engine) remove(held *stream, final phase) {
-	held.phase = final
-	held.kvTokens = 0
-	held.cancel()
-	delete(e.streams, held.attempt)
-	held.notify()
+// remove deletes a stream and frees its memory. The caller holds e.mu.
+func (e *Engine) remove(s *stream, final phase) {
+	s.phase = final
+	s.kvTokens = 0
+	s.cancel()
+	delete(e.streams, s.attempt)
+	s.notify()
 }
 
-func (e *Engine) record(held *stream, kind EntryKind, tokens int) {
-	e.ledger.add(Entry{Kind: kind, Stream: held.attempt, Holder: held.holder, Tokens: tokens})
+func (e *Engine) record(s *stream, kind EntryKind, tokens int) {
+	e.ledger.add(Entry{Kind: kind, Stream: s.attempt, Holder: s.holder, Tokens: tokens})
 }
 
-// Streams lists what the engine holds.
+// Streams returns the status of all streams that have not ended.
 func (e *Engine) Streams() []engine.StreamStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	statuses := []engine.StreamStatus{}
-	for _, held := range e.streams {
-		if held.phase == phaseEnded {
+	for _, s := range e.streams {
+		if s.phase == phaseEnded {
 			continue
 		}
 		statuses = append(statuses, engine.StreamStatus{
-			Attempt: held.attempt, Holder: held.holder, Phase: held.role, Attached: held.attached > 0,
-			KVTokens: held.kvTokens, Offset: held.produced, MaxTokens: held.max,
+			Attempt: s.attempt, Holder: s.holder, Phase: s.role, Attached: s.readers > 0,
+			KVTokens: s.kvTokens, Offset: s.produced, MaxTokens: s.maxTokens,
 		})
 	}
 	return statuses
 }
 
-// usage returns the slots and memory in use. The caller holds the lock.
+// usage returns the slots and the KV memory in use. The caller holds e.mu.
 func (e *Engine) usage() (slots, kvTokens int) {
-	for _, held := range e.streams {
-		if held.phase == phaseImporting || held.phase == phaseDecoding {
+	for _, s := range e.streams {
+		if s.phase == phaseImporting || s.phase == phaseDecoding {
 			slots++
 		}
-		kvTokens += held.kvTokens
+		kvTokens += s.kvTokens
 	}
 	return slots, kvTokens
 }
 
-// Load returns the newest report that is at least as old as the lag.
+// Load returns the newest report that is at least LoadLag old, or the oldest kept one
+// if none is. Each call adds a report.
 func (e *Engine) Load() engine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	e.reports = append(e.reports, timedLoad{now, e.currentLoad()})
+	e.reports = append(e.reports, timestampedLoad{now, e.currentLoad()})
 	visible := e.reports[0]
 	for len(e.reports) > 0 && now.Sub(e.reports[0].at) >= e.options.LoadLag {
 		visible = e.reports[0]
@@ -262,20 +269,20 @@
 	}
 }
 
-// CacheEvents returns the visible cache events after a sequence number.
+// CacheEvents returns the visible cache events with a higher sequence number.
 func (e *Engine) CacheEvents(after uint64) []engine.CacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cache.visible(after, time.Now())
 }
 
-// Report returns the ledger.
+// Report returns the ledger with its totals and what the engine holds now.
 func (e *Engine) Report() Report {
 	report := e.ledger.report()
 	report.Engine = e.options.Name
-	for _, held := range e.Streams() {
+	for _, s := range e.Streams() {
 		report.HeldStreams++
-		report.HeldKVTokens += held.KVTokens
+		report.HeldKVTokens += s.KVTokens
 	}
 	return report
 }
--- a/sim/enginesim/handler.go
+++ b/sim/enginesim/handler.go
@@ -13,13 +13,14 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// PathLedger is where the stand-in shows its ledger.
+// PathLedger is the HTTP path of the ledger.
 const PathLedger = "/ledger"
 
-// maxBodyBytes bounds a request.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 16 << 20
 
-// Handler serves the protocol of package engine.
+// Handler returns a handler that serves the protocol of package engine, the ledger and
+// the timeline.
 func Handler(served *Engine) http.Handler {
 	h := handler{served}
 	mux := http.NewServeMux()
@@ -41,7 +42,7 @@
 
 func (h handler) prefill(w http.ResponseWriter, r *http.Request) {
 	var request engine.PrefillRequest
-	if !decodeBody(w, r, &request) {
+	if !decodeJSONBody(w, r, &request) {
 		return
 	}
 	result, err := h.engine.Prefill(r.Context(), request)
@@ -54,9 +55,9 @@
 		return
 	}
 	err := h.engine.Export(r.Context(), w, attempt)
-	var typed *api.Error
-	if errors.As(err, &typed) {
-		typed.WriteHTTP(w)
+	var apiError *api.Error
+	if errors.As(err, &apiError) {
+		apiError.WriteHTTP(w)
 		return
 	}
 	if err != nil {
@@ -66,15 +67,15 @@
 
 func (h handler) decode(w http.ResponseWriter, r *http.Request) {
 	var request engine.DecodeRequest
-	if !decodeBody(w, r, &request) {
+	if !decodeJSONBody(w, r, &request) {
 		return
 	}
-	held, err := h.engine.Decode(r.Context(), request)
+	s, err := h.engine.Decode(r.Context(), request)
 	if err != nil {
 		respond(w, nil, err)
 		return
 	}
-	h.emit(w, r, held, request.Offset)
+	h.sendEvents(w, r, s, request.Offset)
 }
 
 func (h handler) resume(w http.ResponseWriter, r *http.Request) {
@@ -85,27 +86,27 @@
 	query := r.URL.Query()
 	offset, err := strconv.Atoi(query.Get("offset"))
 	if err != nil || offset < 0 {
-		refuse(http.StatusBadRequest, api.CodeInvalidRequest, "bad offset").WriteHTTP(w)
+		notRunError(http.StatusBadRequest, api.CodeInvalidRequest, "bad offset").WriteHTTP(w)
 		return
 	}
 	incarnation, err := strconv.ParseUint(query.Get("incarnation"), 10, 64)
 	if err != nil {
-		refuse(http.StatusBadRequest, api.CodeInvalidRequest, "bad incarnation").WriteHTTP(w)
+		notRunError(http.StatusBadRequest, api.CodeInvalidRequest, "bad incarnation").WriteHTTP(w)
 		return
 	}
-	held, err := h.engine.Resume(attempt, engine.Holder{Node: query.Get("node"), Incarnation: incarnation})
+	s, err := h.engine.Resume(attempt, engine.Holder{Node: query.Get("node"), Incarnation: incarnation})
 	if err != nil {
 		respond(w, nil, err)
 		return
 	}
-	h.emit(w, r, held, offset)
+	h.sendEvents(w, r, s, offset)
 }
 
-// emit streams tokens as server-sent events.
-func (h handler) emit(w http.ResponseWriter, r *http.Request, held *stream, offset int) {
+// sendEvents sends the tokens of a stream as server-sent events.
+func (h handler) sendEvents(w http.ResponseWriter, r *http.Request, s *stream, offset int) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	control := http.NewResponseController(w)
-	_ = control.Flush()
+	controller := http.NewResponseController(w)
+	_ = controller.Flush()
 	send := func(kind string, value any) error {
 		data, err := json.Marshal(value)
 		if err != nil {
@@ -116,15 +117,15 @@
 		if _, err := message.WriteTo(w); err != nil {
 			return errors.Wrap(err, "write event")
 		}
-		return control.Flush()
+		return controller.Flush()
 	}
-	total, err := h.engine.Read(r.Context(), held, offset, func(token engine.Token) error { return send(engine.EventToken, token) })
-	var typed *api.Error
+	total, err := h.engine.Read(r.Context(), s, offset, func(token engine.Token) error { return send(engine.EventToken, token) })
+	var apiError *api.Error
 	switch {
 	case err == nil:
-		_ = send(engine.EventDone, engine.Done{Attempt: held.attempt, Tokens: total, Reason: "length"})
-	case errors.As(err, &typed):
-		_ = send(engine.EventError, typed)
+		_ = send(engine.EventDone, engine.Done{Attempt: s.attempt, Tokens: total, Reason: "length"})
+	case errors.As(err, &apiError):
+		_ = send(engine.EventError, apiError)
 	}
 }
 
@@ -146,7 +147,7 @@
 func (h handler) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		refuse(http.StatusBadRequest, api.CodeInvalidRequest, "bad sequence number").WriteHTTP(w)
+		notRunError(http.StatusBadRequest, api.CodeInvalidRequest, "bad sequence number").WriteHTTP(w)
 		return
 	}
 	respond(w, h.engine.CacheEvents(after), nil)
@@ -154,7 +155,7 @@
 
 func (h handler) order(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
-	if !decodeBody(w, r, &order) {
+	if !decodeJSONBody(w, r, &order) {
 		return
 	}
 	respond(w, struct{}{}, h.engine.ExecuteOrder(r.Context(), order))
@@ -170,16 +171,16 @@
 	const decimal, bits = 10, 32
 	number, err := strconv.ParseUint(r.PathValue("attempt"), decimal, bits)
 	if err != nil {
-		refuse(http.StatusBadRequest, api.CodeInvalidRequest, "bad attempt").WriteHTTP(w)
+		notRunError(http.StatusBadRequest, api.CodeInvalidRequest, "bad attempt").WriteHTTP(w)
 		return engine.Attempt{}, false
 	}
 	return engine.Attempt{RequestID: r.PathValue("request"), Number: uint32(number)}, true
 }
 
-func decodeBody(w http.ResponseWriter, r *http.Request, value any) bool {
+func decodeJSONBody(w http.ResponseWriter, r *http.Request, value any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(value)
 	if err != nil {
-		refuse(http.StatusBadRequest, api.CodeInvalidRequest, "malformed body").WriteHTTP(w)
+		notRunError(http.StatusBadRequest, api.CodeInvalidRequest, "malformed body").WriteHTTP(w)
 		return false
 	}
 	return true
--- a/sim/enginesim/ledger.go
+++ b/sim/enginesim/ledger.go
@@ -7,7 +7,7 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// EntryKind is what a ledger entry records.
+// EntryKind is the kind of event that a ledger entry records.
 type EntryKind string
 
 // The kinds of an Entry.
@@ -15,32 +15,33 @@
 	EntryPrefillStart     EntryKind = "prefill-start"
 	EntryPrefillDone      EntryKind = "prefill-done"
 	EntryPrefillUsed      EntryKind = "prefill-used"
-	EntryPrefillExpired    EntryKind = "prefill-lapsed"
+	EntryPrefillExpired   EntryKind = "prefill-lapsed"
 	EntryPrefillCancelled EntryKind = "prefill-cancelled"
 	EntryDecodeStart      EntryKind = "decode-start"
 	EntryDecodeDone       EntryKind = "decode-done"
 	EntryDecodeCancelled  EntryKind = "decode-cancelled"
 	EntryRefused          EntryKind = "refused"
-	EntryOrderExecuted       EntryKind = "order-taken"
+	EntryOrderExecuted    EntryKind = "order-taken"
 	EntryOrderRefused     EntryKind = "order-refused"
 )
 
-// maxEntries bounds the ledger.
+// maxEntries bounds the number of entries. Later entries are discarded, but counted in
+// the totals.
 const maxEntries = 200_000
 
-// Entry is one thing the engine did.
+// Entry is one recorded event of the engine.
 type Entry struct {
 	Time   time.Time      `json:"time"`
 	Kind   EntryKind      `json:"kind"`
 	Stream engine.Attempt `json:"stream"`
 	Holder engine.Holder  `json:"holder"`
-	// Tokens is the prefill's computed tokens or the decode's output.
+	// Tokens is the number of tokens that a prefill computed, or that a decode produced.
 	Tokens int `json:"tokens,omitempty"`
-	// Order is set for orders.
+	// Order is set for entries about orders.
 	Order *engine.Order `json:"order,omitempty"`
 }
 
-// Report is the ledger with its totals.
+// Report is the ledger with its totals and the streams and KV memory held.
 type Report struct {
 	Engine              string  `json:"engine"`
 	PrefillTokens       int     `json:"prefill_tokens"`
@@ -50,12 +51,12 @@
 	Entries             []Entry `json:"entries"`
 }
 
-// ledger is safe for concurrent use.
+// ledger records what the engine did. It is safe for concurrent use.
 type ledger struct {
-	mu      sync.Mutex
-	entries []Entry
-	prefill int
-	wasted  int
+	mu            sync.Mutex
+	entries       []Entry
+	prefillTokens int
+	wastedTokens  int
 }
 
 func (l *ledger) add(entry Entry) {
@@ -64,9 +65,9 @@
 	defer l.mu.Unlock()
 	switch entry.Kind {
 	case EntryPrefillDone:
-		l.prefill += entry.Tokens
+		l.prefillTokens += entry.Tokens
 	case EntryPrefillCancelled, EntryPrefillExpired:
-		l.wasted += entry.Tokens
+		l.wastedTokens += entry.Tokens
 	}
 	if len(l.entries) < maxEntries {
 		l.entries = append(l.entries, entry)
@@ -77,7 +78,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return Report{
-		PrefillTokens: l.prefill, PrefillTokensWasted: l.wasted,
+		PrefillTokens: l.prefillTokens, PrefillTokensWasted: l.wastedTokens,
 		Entries: append([]Entry(nil), l.entries...),
 	}
 }
--- a/sim/enginesim/orders.go
+++ b/sim/enginesim/orders.go
@@ -11,9 +11,10 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// ExecuteOrder carries out an order. An order that was taken before has no further effect.
+// ExecuteOrder carries out an order. Executing the same order again sets the same values
+// and adds another ledger entry.
 func (e *Engine) ExecuteOrder(ctx context.Context, order engine.Order) error {
-	if err := e.checkFence(order); err != nil {
+	if err := e.verifyFence(order); err != nil {
 		return err
 	}
 	if order.Kind == engine.OrderModel && e.options.LoadModel != nil {
@@ -38,12 +39,12 @@
 	return nil
 }
 
-func (e *Engine) checkFence(order engine.Order) error {
+func (e *Engine) verifyFence(order engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.ChecksFence && order.Fence < e.fence {
 		e.ledger.add(Entry{Kind: EntryOrderRefused, Order: &order})
-		return refuse(http.StatusConflict, api.CodeConflict, "fence is stale")
+		return notRunError(http.StatusConflict, api.CodeConflict, "fence is stale")
 	}
 	e.fence = max(e.fence, order.Fence)
 	return nil
--- a/sim/enginesim/prefill.go
+++ b/sim/enginesim/prefill.go
@@ -12,54 +12,55 @@
 )
 
 // Prefill queues and computes a prompt. It returns when the result is held, the
-// attempt is cancelled, or the caller's context ends; in the last case the
-// engine goes on.
+// attempt is cancelled, or the caller's context ends. In the last case the prefill
+// continues.
 func (e *Engine) Prefill(ctx context.Context, request engine.PrefillRequest) (engine.PrefillResult, error) {
-	added := &stream{
+	s := &stream{
 		attempt: request.Attempt, holder: request.Holder, role: api.RolePrefill,
-		prompt: request.Prompt, priority: request.Priority, max: request.MaxTokens,
+		prompt: request.Prompt, priority: request.Priority, maxTokens: request.MaxTokens,
 		generated: engine.CountTokens(request.Generated),
 	}
 	if request.Model != e.options.Model {
-		return engine.PrefillResult{}, refuse(http.StatusNotFound, api.CodeUnknownModel, "engine does not hold the model")
+		return engine.PrefillResult{}, notRunError(http.StatusNotFound, api.CodeUnknownModel, "engine does not hold the model")
 	}
 	e.mu.Lock()
-	if err := e.admit(added); err != nil {
-		e.record(added, EntryRefused, 0)
+	if err := e.admit(s); err != nil {
+		e.record(s, EntryRefused, 0)
 		e.mu.Unlock()
 		return engine.PrefillResult{}, err
 	}
-	e.record(added, EntryPrefillStart, 0)
-	e.queue = append(e.queue, added)
+	e.record(s, EntryPrefillStart, 0)
+	e.queue = append(e.queue, s)
 	slices.SortStableFunc(e.queue, func(a, b *stream) int { return b.priority - a.priority })
 	hashes := engine.BlockHashes(request.Salt, request.Model, request.Prompt)
-	e.startNext()
+	e.startNextPrefill()
 	e.mu.Unlock()
-	return e.awaitPrefill(ctx, added, hashes)
+	return e.awaitPrefill(ctx, s, hashes)
 }
 
-// startNext begins the next queued prefill if none runs. The caller holds the lock.
-func (e *Engine) startNext() {
-	for !e.busy && len(e.queue) > 0 {
+// startNextPrefill starts the next queued prefill if none is running. The caller holds
+// e.mu.
+func (e *Engine) startNextPrefill() {
+	for !e.prefilling && len(e.queue) > 0 {
 		next := e.queue[0]
 		e.queue = e.queue[1:]
 		if next.phase != phaseQueued {
 			continue
 		}
-		e.busy = true
+		e.prefilling = true
 		next.phase = phasePrefilling
 		next.notify()
 	}
 }
 
-func (e *Engine) awaitPrefill(ctx context.Context, added *stream, hashes []uint64) (engine.PrefillResult, error) {
+func (e *Engine) awaitPrefill(ctx context.Context, s *stream, hashes []uint64) (engine.PrefillResult, error) {
 	type outcome struct {
 		result engine.PrefillResult
 		err    error
 	}
 	done := make(chan outcome, 1)
 	go func() {
-		result, err := e.runPrefill(added, hashes)
+		result, err := e.runPrefill(s, hashes)
 		done <- outcome{result, err}
 	}()
 	select {
@@ -70,24 +71,25 @@
 	}
 }
 
-func (e *Engine) runPrefill(added *stream, hashes []uint64) (engine.PrefillResult, error) {
-	if !e.waitTurn(added) {
-		return engine.PrefillResult{}, refuse(http.StatusConflict, api.CodeCancelled, "attempt was cancelled")
+func (e *Engine) runPrefill(s *stream, hashes []uint64) (engine.PrefillResult, error) {
+	if !e.waitForStart(s) {
+		return engine.PrefillResult{}, notRunError(http.StatusConflict, api.CodeCancelled, "attempt was cancelled")
 	}
 	e.mu.Lock()
-	tokens := engine.CountTokens(added.prompt) + added.generated
+	tokens := engine.CountTokens(s.prompt) + s.generated
 	cached := e.cache.match(hashes) * engine.BlockTokens
 	e.mu.Unlock()
 	computed := tokens - cached
-	sleep(added.ctx, time.Duration(float64(computed)/e.options.PrefillTokensPerSecond*float64(time.Second)))
-	return e.endPrefill(added, hashes, tokens, cached)
+	sleep(s.ctx, time.Duration(float64(computed)/e.options.PrefillTokensPerSecond*float64(time.Second)))
+	return e.finishPrefill(s, hashes, tokens, cached)
 }
 
-// waitTurn returns false if the attempt was cancelled while it waited.
-func (e *Engine) waitTurn(added *stream) bool {
+// waitForStart waits until the prefill starts. It returns false if the attempt was
+// cancelled before.
+func (e *Engine) waitForStart(s *stream) bool {
 	for {
 		e.mu.Lock()
-		current, changed := added.phase, added.changed
+		current, changed := s.phase, s.changed
 		e.mu.Unlock()
 		switch current {
 		case phasePrefilling:
@@ -99,46 +101,47 @@
 	}
 }
 
-func (e *Engine) endPrefill(added *stream, hashes []uint64, tokens, cached int) (engine.PrefillResult, error) {
+func (e *Engine) finishPrefill(s *stream, hashes []uint64, tokens, cached int) (engine.PrefillResult, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.busy = false
-	defer e.startNext()
-	added.computed = tokens - cached
-	e.record(added, EntryPrefillDone, added.computed)
-	if added.phase == phaseCancelled {
-		e.record(added, EntryPrefillCancelled, added.computed)
+	e.prefilling = false
+	defer e.startNextPrefill()
+	s.computed = tokens - cached
+	e.record(s, EntryPrefillDone, s.computed)
+	if s.phase == phaseCancelled {
+		e.record(s, EntryPrefillCancelled, s.computed)
 		return engine.PrefillResult{}, api.NewError(http.StatusConflict, api.CodeCancelled, api.OutcomeRan, "attempt was cancelled")
 	}
 	e.cache.store(hashes, time.Now())
 	result := engine.PrefillResult{
-		ResultID: added.attempt.String(), PromptTokens: tokens, CachedTokens: cached,
+		ResultID: s.attempt.String(), PromptTokens: tokens, CachedTokens: cached,
 		HoldMillis: e.options.Hold.Milliseconds(),
 	}
-	if added.max == 1 {
-		result.Text = answer.Token(e.options.Model, added.prompt, 0)
-		e.record(added, EntryPrefillUsed, added.computed)
+	if s.maxTokens == 1 {
+		result.Text = answer.Token(e.options.Model, s.prompt, 0)
+		e.record(s, EntryPrefillUsed, s.computed)
 		e.finished++
-		e.remove(added, phaseEnded)
+		e.remove(s, phaseEnded)
 		return result, nil
 	}
-	added.phase = phaseHeld
-	added.kvTokens = tokens
-	time.AfterFunc(e.options.Hold, func() { e.lapse(added) })
+	s.phase = phaseHeld
+	s.kvTokens = tokens
+	time.AfterFunc(e.options.Hold, func() { e.expire(s) })
 	return result, nil
 }
 
-// lapse drops a result whose time is over.
-func (e *Engine) lapse(held *stream) {
+// expire discards a prefill result at the end of Hold, and records it as expired if it
+// was never used.
+func (e *Engine) expire(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if held.phase != phaseHeld {
+	if s.phase != phaseHeld {
 		return
 	}
-	if !held.used {
-		e.record(held, EntryPrefillExpired, held.computed)
+	if !s.used {
+		e.record(s, EntryPrefillExpired, s.computed)
 	}
-	e.remove(held, phaseEnded)
+	e.remove(s, phaseEnded)
 }
 
 // sleep waits for the duration or until the context ends.
--- a/sim/enginesim/timeline.go
+++ b/sim/enginesim/timeline.go
@@ -4,11 +4,11 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// PathTimeline is where a stand-in shows its events for the common time line.
+// PathTimeline is the HTTP path of the engine's events for the common timeline.
 const PathTimeline = "/timeline"
 
-// Timeline returns the newest entries of the ledger as events. Their stamps are
-// physical: an engine receives no stamps.
+// Timeline returns the newest entries of the ledger as events. Their timestamps are
+// physical time only: an engine receives no logical timestamps.
 func (e *Engine) Timeline() []timeline.Event {
 	entries := e.ledger.report().Entries
 	entries = entries[max(len(entries)-timeline.DefaultCapacity, 0):]
