--- a/sim/fault/doc.go
+++ b/sim/fault/doc.go
@@ -1,3 +1,4 @@
-// Package fault injects faults into the HTTP stand-ins: delay, drop, cut,
-// freeze, lost reply and outage. Tests switch them on through PUT /faults.
+// Package fault injects faults into the HTTP stand-ins: added delay, connections dropped
+// before or after a request runs, truncated replies, frozen requests and outages. Tests
+// set them with PUT /faults.
 package fault
--- a/sim/fault/injector.go
+++ b/sim/fault/injector.go
@@ -9,24 +9,26 @@
 	"time"
 )
 
-// Path is where faults are set and read.
+// Path is the HTTP path where faults are set and their counts are read.
 const Path = "/faults"
 
-// Faults are the faults in force. Counts fall by one with each use.
+// Faults are the active faults. Drops, LostReplies and Cuts are decremented with each
+// injection.
 type Faults struct {
-	// PathPrefix limits the faults to requests below it.
+	// PathPrefix limits the faults to requests whose path starts with it.
 	PathPrefix string `json:"path_prefix,omitempty"`
-	// Outage answers every request with 503.
+	// Outage answers every request with status 503.
 	Outage bool `json:"outage,omitempty"`
-	// Freeze holds every request until it is cleared.
+	// Freeze blocks every request until Freeze is cleared.
 	Freeze bool `json:"freeze,omitempty"`
-	// DelayMillis holds each request for this long.
+	// DelayMillis delays each request by this time.
 	DelayMillis int `json:"delay_ms,omitempty"`
-	// Drops is the number of requests to cut off before they run.
+	// Drops is the number of requests whose connection is aborted before they run.
 	Drops int `json:"drops,omitempty"`
-	// LostReplies is the number of requests to run and then cut off.
+	// LostReplies is the number of requests that run, but whose connection is aborted
+	// without a reply.
 	LostReplies int `json:"lost_replies,omitempty"`
-	// Cuts is the number of replies to cut after CutAfterBytes.
+	// Cuts is the number of replies whose connection is aborted after CutAfterBytes.
 	Cuts          int `json:"cuts,omitempty"`
 	CutAfterBytes int `json:"cut_after_bytes,omitempty"`
 }
@@ -44,7 +46,7 @@
 	return &Injector{changed: make(chan struct{}), counts: map[string]int{}}
 }
 
-// Set replaces the faults in force.
+// Set replaces the active faults and re-evaluates requests blocked by Freeze.
 func (i *Injector) Set(faults Faults) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -64,15 +66,15 @@
 	return counts
 }
 
-// action is what happens to one request.
+// action is the set of faults for one request. A negative cutAfter means no cut.
 type action struct {
-	outage, drop, lose bool
-	delay              time.Duration
-	cutAfter           int
+	outage, drop, loseReply bool
+	delay                   time.Duration
+	cutAfter                int
 }
 
-// next waits out a freeze and decides what happens to one request.
-func (i *Injector) next(ctx context.Context, path string) (action, error) {
+// nextAction waits until Freeze is cleared and returns the action for one request.
+func (i *Injector) nextAction(ctx context.Context, path string) (action, error) {
 	for {
 		i.mu.Lock()
 		if !strings.HasPrefix(path, i.faults.PathPrefix) {
@@ -80,9 +82,9 @@
 			return action{cutAfter: -1}, nil
 		}
 		if !i.faults.Freeze {
-			decided := i.decide()
+			chosen := i.chooseAction()
 			i.mu.Unlock()
-			return decided, nil
+			return chosen, nil
 		}
 		i.counts["freeze"]++
 		changed := i.changed
@@ -95,34 +97,34 @@
 	}
 }
 
-func (i *Injector) decide() action {
-	decided := action{
+func (i *Injector) chooseAction() action {
+	chosen := action{
 		outage:   i.faults.Outage,
 		delay:    time.Duration(i.faults.DelayMillis) * time.Millisecond,
 		cutAfter: -1,
 	}
-	if decided.outage {
+	if chosen.outage {
 		i.counts["outage"]++
-		return decided
+		return chosen
 	}
-	if decided.delay > 0 {
+	if chosen.delay > 0 {
 		i.counts["delay"]++
 	}
-	decided.drop = i.use("drop", &i.faults.Drops)
-	if decided.drop {
-		return decided
+	chosen.drop = i.consume("drop", &i.faults.Drops)
+	if chosen.drop {
+		return chosen
 	}
-	decided.lose = i.use("lost_reply", &i.faults.LostReplies)
-	if decided.lose {
-		return decided
+	chosen.loseReply = i.consume("lost_reply", &i.faults.LostReplies)
+	if chosen.loseReply {
+		return chosen
 	}
-	if i.use("cut", &i.faults.Cuts) {
-		decided.cutAfter = i.faults.CutAfterBytes
+	if i.consume("cut", &i.faults.Cuts) {
+		chosen.cutAfter = i.faults.CutAfterBytes
 	}
-	return decided
+	return chosen
 }
 
-func (i *Injector) use(kind string, count *int) bool {
+func (i *Injector) consume(kind string, count *int) bool {
 	if *count == 0 {
 		return false
 	}
@@ -138,17 +140,17 @@
 			i.serveFaults(w, r)
 			return
 		}
-		decided, err := i.next(r.Context(), r.URL.Path)
+		chosen, err := i.nextAction(r.Context(), r.URL.Path)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		i.apply(decided, next, w, r)
+		i.apply(chosen, next, w, r)
 	})
 }
 
-func (i *Injector) apply(decided action, next http.Handler, w http.ResponseWriter, r *http.Request) {
-	if decided.delay > 0 {
-		timer := time.NewTimer(decided.delay)
+func (i *Injector) apply(chosen action, next http.Handler, w http.ResponseWriter, r *http.Request) {
+	if chosen.delay > 0 {
+		timer := time.NewTimer(chosen.delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -156,15 +158,15 @@
 		}
 	}
 	switch {
-	case decided.outage:
+	case chosen.outage:
 		http.Error(w, "outage", http.StatusServiceUnavailable)
-	case decided.drop:
+	case chosen.drop:
 		panic(http.ErrAbortHandler)
-	case decided.lose:
-		next.ServeHTTP(discard{header: http.Header{}}, r)
+	case chosen.loseReply:
+		next.ServeHTTP(discardWriter{header: http.Header{}}, r)
 		panic(http.ErrAbortHandler)
-	case decided.cutAfter >= 0:
-		next.ServeHTTP(&cutting{ResponseWriter: w, left: decided.cutAfter}, r)
+	case chosen.cutAfter >= 0:
+		next.ServeHTTP(&cutWriter{ResponseWriter: w, remaining: chosen.cutAfter}, r)
 	default:
 		next.ServeHTTP(w, r)
 	}
@@ -182,30 +184,30 @@
 	_ = json.NewEncoder(w).Encode(i.Counts())
 }
 
-// discard loses a reply.
-type discard struct{ header http.Header }
+// discardWriter discards a reply.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header            { return d.header }
-func (d discard) Write(data []byte) (int, error) { return len(data), nil }
-func (d discard) WriteHeader(int)                {}
-func (d discard) FlushError() error              { return nil }
+func (d discardWriter) Header() http.Header            { return d.header }
+func (d discardWriter) Write(data []byte) (int, error) { return len(data), nil }
+func (d discardWriter) WriteHeader(int)                {}
+func (d discardWriter) FlushError() error              { return nil }
 
-// cutting aborts the connection after a number of bytes.
-type cutting struct {
+// cutWriter aborts the connection once more than the remaining bytes are written.
+type cutWriter struct {
 	http.ResponseWriter
-	left int
+	remaining int
 }
 
 // Write implements http.ResponseWriter.
-func (c *cutting) Write(data []byte) (int, error) {
-	if len(data) <= c.left {
-		c.left -= len(data)
+func (c *cutWriter) Write(data []byte) (int, error) {
+	if len(data) <= c.remaining {
+		c.remaining -= len(data)
 		return c.ResponseWriter.Write(data)
 	}
-	_, _ = c.ResponseWriter.Write(data[:c.left])
+	_, _ = c.ResponseWriter.Write(data[:c.remaining])
 	_ = http.NewResponseController(c.ResponseWriter).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
-func (c *cutting) Unwrap() http.ResponseWriter { return c.ResponseWriter }
+// Unwrap gives http.ResponseController access to the underlying writer.
+func (c *cutWriter) Unwrap() http.ResponseWriter { return c.ResponseWriter }
