--- a/sim/eventqueue/queue.go
+++ b/sim/eventqueue/queue.go
@@ -1,5 +1,5 @@
-// Package eventqueue plays planned events in virtual time, for the emulator's models. It is
-// deterministic: events of one time run in the order in which they were planned.
+// Package eventqueue runs scheduled events in virtual time, for the discrete-event models.
+// It is deterministic: events at the same time run in the order in which they were scheduled.
 package eventqueue
 
 import (
@@ -7,51 +7,51 @@
 	"time"
 )
 
-// Queue holds the events of one run. The zero value stands at time zero. It is not safe for
-// concurrent use.
+// Queue holds the events of one simulation run. The zero value is empty and starts at time
+// zero. It is not safe for concurrent use.
 type Queue struct {
-	now     time.Duration
-	planned events
-	count   int
+	now       time.Duration
+	scheduled events
+	lastOrder int
 }
 
 // Now returns the virtual time.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// After plans an event.
+// After schedules an event to run after a delay from the current virtual time.
 func (q *Queue) After(delay time.Duration, run func()) {
-	q.count++
-	heap.Push(&q.planned, event{q.now + delay, q.count, run})
+	q.lastOrder++
+	heap.Push(&q.scheduled, event{q.now + delay, q.lastOrder, run})
 }
 
-// RunUntil runs the events that are planned up to a time.
+// RunUntil runs the events scheduled up to and including a time.
 func (q *Queue) RunUntil(until time.Duration) {
-	for len(q.planned) > 0 && q.planned[0].at <= until {
-		q.next()
+	for len(q.scheduled) > 0 && q.scheduled[0].at <= until {
+		q.runNext()
 	}
 }
 
-// RunAll runs all events, those included that others plan.
+// RunAll runs all events, including those that events schedule, until none is left.
 func (q *Queue) RunAll() {
-	for len(q.planned) > 0 {
-		q.next()
+	for len(q.scheduled) > 0 {
+		q.runNext()
 	}
 }
 
-func (q *Queue) next() {
-	next := heap.Pop(&q.planned).(event)
+func (q *Queue) runNext() {
+	next := heap.Pop(&q.scheduled).(event)
 	q.now = next.at
 	next.run()
 }
 
-// event is something that happens at a time.
+// event is a function scheduled at a time.
 type event struct {
 	at    time.Duration
 	order int
 	run   func()
 }
 
-// events orders events by time, then by when they were planned.
+// events is a heap ordered by time, then by the order of scheduling.
 type events []event
 
 // Len implements heap.Interface.
--- a/sim/eventqueue/queue_test.go
+++ b/sim/eventqueue/queue_test.go
@@ -10,51 +10,52 @@
 	"github.com/reelrun/reelrun/sim/eventqueue"
 )
 
-// TestOrder plans events by chance, some of them by others, and wants each to run once, at
-// its time, those of one time in the order in which they were planned.
+// TestOrder schedules random events, some of them from within other events, and checks that
+// each runs exactly once, at its time, and that events at the same time run in the order in
+// which they were scheduled.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queue eventqueue.Queue
-		type seen struct {
+		type execution struct {
 			at    time.Duration
 			order int
 		}
-		var ran []seen
-		planned := 0
-		var plan func(deep bool)
-		plan = func(deep bool) {
+		var ran []execution
+		scheduled := 0
+		var schedule func(nested bool)
+		schedule = func(nested bool) {
 			delay := time.Duration(rapid.IntRange(0, 3).Draw(t, "delay"))
-			at, order := queue.Now()+delay, planned
-			planned++
+			at, order := queue.Now()+delay, scheduled
+			scheduled++
 			queue.After(delay, func() {
 				if queue.Now() != at {
-					t.Fatalf("event of %v ran at %v", at, queue.Now())
+					t.Fatalf("event scheduled for %v ran at %v", at, queue.Now())
 				}
-				ran = append(ran, seen{at, order})
-				if deep {
-					plan(false)
+				ran = append(ran, execution{at, order})
+				if nested {
+					schedule(false)
 				}
 			})
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "events") {
-			plan(rapid.Bool().Draw(t, "plans another"))
+			schedule(rapid.Bool().Draw(t, "plans another"))
 		}
 		queue.RunUntil(2)
-		if slices.ContainsFunc(ran, func(s seen) bool { return s.at > 2 }) {
-			t.Fatal("an event ran after the end")
+		if slices.ContainsFunc(ran, func(s execution) bool { return s.at > 2 }) {
+			t.Fatal("RunUntil ran an event beyond its end")
 		}
 		queue.RunAll()
-		if len(ran) != planned {
-			t.Fatalf("%d of %d events ran", len(ran), planned)
+		if len(ran) != scheduled {
+			t.Fatalf("%d of %d events ran", len(ran), scheduled)
 		}
-		sorted := slices.IsSortedFunc(ran, func(a, b seen) int {
+		sorted := slices.IsSortedFunc(ran, func(a, b execution) int {
 			if a.at != b.at {
 				return int(a.at - b.at)
 			}
 			return a.order - b.order
 		})
 		if !sorted {
-			t.Fatalf("out of order: %v", ran)
+			t.Fatalf("events ran out of order: %v", ran)
 		}
 	})
 }
