--- a/sim/quantile/doc.go
+++ b/sim/quantile/doc.go
@@ -1,2 +1,2 @@
-// Package quantile sums durations up for the reports of the rehearsal kit.
+// Package quantile computes quantiles of durations for the reports of the rehearsal kit.
 package quantile
