--- a/sim/servicesim/doc.go
+++ b/sim/servicesim/doc.go
@@ -1,3 +1,3 @@
-// Package servicesim stands in for a plain HTTP service. It answers every call
-// with what it received, and keeps a ledger of the keys it ran.
+// Package servicesim implements a stand-in for a plain HTTP service. It echoes every
+// call, and records in a ledger the calls that it ran with their idempotency keys.
 package servicesim
--- a/sim/servicesim/service.go
+++ b/sim/servicesim/service.go
@@ -11,7 +11,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// PathLedger is where the stand-in shows its ledger.
+// PathLedger is the HTTP path of the ledger.
 const PathLedger = "/ledger"
 
 const maxBodyBytes = 4 << 20
@@ -21,12 +21,12 @@
 	Time   time.Time `json:"time"`
 	Method string    `json:"method"`
 	Path   string    `json:"path"`
-	// Key is the Idempotency-Key header.
+	// Key is the value of the Idempotency-Key header.
 	Key  string `json:"key"`
 	Body string `json:"body"`
 }
 
-// Echo is the service's answer.
+// Echo is the response body of a call.
 type Echo struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
@@ -34,7 +34,7 @@
 	Body    string `json:"body"`
 }
 
-// Report is the ledger.
+// Report is the ledger of a service.
 type Report struct {
 	Service string `json:"service"`
 	Calls   []Call `json:"calls"`
@@ -42,15 +42,17 @@
 
 // Service is a stand-in service. It is safe for concurrent use.
 type Service struct {
-	name string
-	work time.Duration
+	name     string
+	callTime time.Duration
 
 	mu    sync.Mutex
 	calls []Call
 }
 
-// New returns a service that takes the given time for each call.
-func New(name string, work time.Duration) *Service { return &Service{name: name, work: work} }
+// New returns a service that takes callTime for each call.
+func New(name string, callTime time.Duration) *Service {
+	return &Service{name: name, callTime: callTime}
+}
 
 // Report returns the ledger.
 func (s *Service) Report() Report {
@@ -59,7 +61,7 @@
 	return Report{Service: s.name, Calls: append([]Call(nil), s.calls...)}
 }
 
-// PathTimeline is where the stand-in shows its events for the common time line.
+// PathTimeline is the HTTP path of the service's events for the common timeline.
 const PathTimeline = "/timeline"
 
 // Timeline returns the newest calls as events.
@@ -95,8 +97,8 @@
 	s.mu.Lock()
 	s.calls = append(s.calls, call)
 	s.mu.Unlock()
-	if s.work > 0 {
-		time.Sleep(s.work)
+	if s.callTime > 0 {
+		time.Sleep(s.callTime)
 	}
 	_ = json.NewEncoder(w).Encode(Echo{Service: s.name, Method: r.Method, Path: r.URL.Path, Body: string(body)})
 }
