--- a/sim/answer/doc.go
+++ b/sim/answer/doc.go
@@ -1,4 +1,4 @@
-// Package answer defines the answers of the stand-in engines. An answer is a
-// function of the model and the prompt alone, so that a load generator knows
-// what every caller must receive.
+// Package answer defines the answers of the stand-in engines. An answer depends only on
+// the model and the prompt, so that a load generator knows which answer each caller
+// must receive.
 package answer
