--- a/sim/certificates/authority_test.go
+++ b/sim/certificates/authority_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestFilesAreNeverPartial reads the authority's file while more certificates are
-// issued beside it, as a process does that starts meanwhile.
+// issued into the same folder, as a process does that starts at that time. A file
+// written in place could be read partially.
 func TestFilesAreNeverPartial(t *testing.T) {
 	authority, err := certificates.NewAuthority(certificates.Options{})
 	if err != nil {
@@ -20,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(files.Authority)
+	complete, err := os.ReadFile(files.Authority)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,8 +48,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if string(read) != string(whole) {
-			t.Fatalf("read %d of %d bytes", len(read), len(whole))
+		if string(read) != string(complete) {
+			t.Fatalf("read partial file: %d of %d bytes", len(read), len(complete))
 		}
 	}
 }
