--- a/sim/answer/answer.go
+++ b/sim/answer/answer.go
@@ -7,14 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Token returns the token of an answer at the given offset.
+// Token returns the token of an answer at the given offset, followed by a space.
 func Token(model, prompt string, offset int) string {
 	sum := xxhash.Sum64String(model + "\x00" + prompt + "\x00" + strconv.Itoa(offset))
 	return strconv.FormatUint(sum%46656, 36) + " "
 }
 
-// Whole returns the answer of the given length.
-func Whole(model, prompt string, tokens int) string {
+// Text returns the text of an answer with the given number of tokens.
+func Text(model, prompt string, tokens int) string {
 	var text strings.Builder
 	for offset := range tokens {
 		text.WriteString(Token(model, prompt, offset))
