--- a/claim/property_test.go
+++ b/claim/property_test.go
@@ -108,7 +108,7 @@
 
 // atMostOnce plays arrivals of a few keys at several owners over a platform that refuses calls and loses
 // replies. A key must be granted at most once.
-func atMostOnce(outer *testing.T, newWriter func(*platformsim.Flaky) *Writer) func(*rapid.T) {
+func atMostOnce(outer *testing.T, newWriter func(*platformsim.FaultyStore) *Writer) func(*rapid.T) {
 	return func(t *rapid.T) {
 		attempts := rapid.SliceOfN(rapid.Custom(drawAttempt), 2, 25).Draw(t, "tries")
 		for key, count := range playAttempts(outer, attempts, newWriter) {
@@ -119,7 +119,7 @@
 	}
 }
 
-func playAttempts(t *testing.T, attempts []attempt, newWriter func(*platformsim.Flaky) *Writer) (granted map[int]int) {
+func playAttempts(t *testing.T, attempts []attempt, newWriter func(*platformsim.FaultyStore) *Writer) (granted map[int]int) {
 	granted = map[int]int{}
 	synctest.Test(t, func(t *testing.T) {
 		effects := &script{}
@@ -160,7 +160,7 @@
 	return granted
 }
 
-func newTestWriter(flaky *platformsim.Flaky) *Writer {
+func newTestWriter(flaky *platformsim.FaultyStore) *Writer {
 	return NewWriter(flaky, metrics.NewSet(), time.Now)
 }
 
@@ -185,7 +185,7 @@
 	if granted := playAttempts(t, attempts, newTestWriter); granted[0] != 1 {
 		t.Fatalf("granted %d times", granted[0])
 	}
-	forgetful := func(flaky *platformsim.Flaky) *Writer {
+	forgetful := func(flaky *platformsim.FaultyStore) *Writer {
 		writer := newTestWriter(flaky)
 		// This writer takes every claim for an abandoned one.
 		for number := range 2 {
@@ -196,7 +196,7 @@
 		return writer
 	}
 	mixed := 0
-	broken := func(flaky *platformsim.Flaky) *Writer {
+	broken := func(flaky *platformsim.FaultyStore) *Writer {
 		mixed++
 		if mixed == 1 {
 			return forgetful(flaky)
--- a/configuration/property_test.go
+++ b/configuration/property_test.go
@@ -97,7 +97,7 @@
 }
 
 // follow advances the holder to the stored head, as a watcher does.
-func follow(store *platformsim.Flaky, holder *Holder, violations *[]string) {
+func follow(store *platformsim.FaultyStore, holder *Holder, violations *[]string) {
 	before := holder.Current().Version()
 	head, err := ReadHead(context.Background(), store)
 	if err != nil {
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -35,7 +35,7 @@
 var _ = Describe("the operators' API", func() {
 	var (
 		store  *platformsim.Store
-		flaky  *platformsim.Flaky
+		flaky  *platformsim.FaultyStore
 		effect platformsim.Effect
 		client *Client
 		ctx    context.Context
--- a/sim/platformsim/flaky.go
+++ b/sim/platformsim/flaky.go
@@ -17,9 +17,9 @@
 	LoseReply
 )
 
-// Flaky is a store whose calls fail as a test decides. It is safe for
+// FaultyStore is a store whose calls fail as a test decides. It is safe for
 // concurrent use.
-type Flaky struct {
+type FaultyStore struct {
 	objectapi.Store
 
 	mu     sync.Mutex
@@ -28,25 +28,25 @@
 }
 
 // NewFlaky returns a store that asks decide about each call.
-func NewFlaky(store objectapi.Store, decide func(write bool) Effect) *Flaky {
-	return &Flaky{Store: store, decide: decide, counts: map[Effect]int{}}
+func NewFlaky(store objectapi.Store, decide func(write bool) Effect) *FaultyStore {
+	return &FaultyStore{Store: store, decide: decide, counts: map[Effect]int{}}
 }
 
 // SetDecide replaces the decision.
-func (f *Flaky) SetDecide(decide func(write bool) Effect) {
+func (f *FaultyStore) SetDecide(decide func(write bool) Effect) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.decide = decide
 }
 
 // Injected returns the number of calls refused and of replies lost.
-func (f *Flaky) Injected() (refused, lost int) {
+func (f *FaultyStore) Injected() (refused, lost int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts[Refuse], f.counts[LoseReply]
 }
 
-func (f *Flaky) effect(write bool) Effect {
+func (f *FaultyStore) effect(write bool) Effect {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	decided := f.decide(write)
@@ -55,7 +55,7 @@
 }
 
 // Get implements objectapi.Store.
-func (f *Flaky) Get(ctx context.Context, kind objectapi.Kind, name string) (objectapi.Object, error) {
+func (f *FaultyStore) Get(ctx context.Context, kind objectapi.Kind, name string) (objectapi.Object, error) {
 	if f.effect(false) != Pass {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
@@ -63,7 +63,7 @@
 }
 
 // List implements objectapi.Store.
-func (f *Flaky) List(ctx context.Context, kind objectapi.Kind) ([]objectapi.Object, int64, error) {
+func (f *FaultyStore) List(ctx context.Context, kind objectapi.Kind) ([]objectapi.Object, int64, error) {
 	if f.effect(false) != Pass {
 		return nil, 0, objectapi.ErrUnavailable
 	}
@@ -71,7 +71,7 @@
 }
 
 // Put implements objectapi.Store.
-func (f *Flaky) Put(ctx context.Context, object objectapi.Object) (objectapi.Object, error) {
+func (f *FaultyStore) Put(ctx context.Context, object objectapi.Object) (objectapi.Object, error) {
 	switch f.effect(true) {
 	case Refuse:
 		return objectapi.Object{}, objectapi.ErrUnavailable
@@ -84,7 +84,7 @@
 }
 
 // Delete implements objectapi.Store.
-func (f *Flaky) Delete(ctx context.Context, kind objectapi.Kind, name string, version int64) error {
+func (f *FaultyStore) Delete(ctx context.Context, kind objectapi.Kind, name string, version int64) error {
 	switch f.effect(true) {
 	case Refuse:
 		return objectapi.ErrUnavailable
@@ -97,7 +97,7 @@
 }
 
 // Watch implements objectapi.Store.
-func (f *Flaky) Watch(ctx context.Context, kind objectapi.Kind, after int64, handle func(objectapi.Event)) error {
+func (f *FaultyStore) Watch(ctx context.Context, kind objectapi.Kind, after int64, handle func(objectapi.Event)) error {
 	if f.effect(false) != Pass {
 		return objectapi.ErrUnavailable
 	}
