--- a/claim/property_test.go
+++ b/claim/property_test.go
@@ -123,7 +123,7 @@
 	granted = map[int]int{}
 	synctest.Test(t, func(t *testing.T) {
 		effects := &script{}
-		flaky := platformsim.NewFlaky(platformsim.NewStore(platformsim.Options{}), effects.next)
+		flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), effects.next)
 		writers := []*Writer{newWriter(flaky), newWriter(flaky), newWriter(flaky)}
 		var keys [3]Key
 		for i := range keys {
@@ -263,7 +263,7 @@
 
 func TestOutageIsReportedAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		flaky := platformsim.NewFlaky(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect { return platformsim.Refuse })
+		flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect { return platformsim.Refuse })
 		writer := NewWriter(flaky, metrics.NewSet(), time.Now)
 		id, err := uuid.NewV7()
 		if err != nil {
--- a/configuration/property_test.go
+++ b/configuration/property_test.go
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		var effects []platformsim.Effect
-		flaky := platformsim.NewFlaky(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect {
+		flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect {
 			mu.Lock()
 			defer mu.Unlock()
 			if len(effects) == 0 {
--- a/lease/property_test.go
+++ b/lease/property_test.go
@@ -36,7 +36,7 @@
 
 func newSimulation(candidates int, margin time.Duration) *simulation {
 	w := &simulation{now: time.Unix(1000, 0), fences: make([]uint64, candidates)}
-	flaky := platformsim.NewFlaky(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect {
+	flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect {
 		effect := w.effect
 		w.effect = platformsim.Pass
 		return effect
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -56,7 +56,7 @@
 		ctx = context.Background()
 		effect = platformsim.Pass
 		store = platformsim.NewStore(platformsim.Options{})
-		flaky = platformsim.NewFlaky(store, func(write bool) platformsim.Effect {
+		flaky = platformsim.NewFaultyStore(store, func(write bool) platformsim.Effect {
 			if !write {
 				return platformsim.Pass
 			}
--- a/sim/platformsim/flaky.go
+++ b/sim/platformsim/flaky.go
@@ -27,8 +27,8 @@
 	counts map[Effect]int
 }
 
-// NewFlaky returns a store that asks decide about each call.
-func NewFlaky(store objectapi.Store, decide func(write bool) Effect) *FaultyStore {
+// NewFaultyStore returns a store that asks decide about each call.
+func NewFaultyStore(store objectapi.Store, decide func(write bool) Effect) *FaultyStore {
 	return &FaultyStore{Store: store, decide: decide, counts: map[Effect]int{}}
 }
 
