--- a/sim/platformsim/flaky.go
+++ b/sim/platformsim/flaky.go
@@ -32,8 +32,8 @@
 	return &FaultyStore{Store: store, decide: decide, counts: map[Effect]int{}}
 }
 
-// SetDecide replaces the decision.
-func (f *FaultyStore) SetDecide(decide func(write bool) Effect) {
+// SetFaults replaces the decision.
+func (f *FaultyStore) SetFaults(decide func(write bool) Effect) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.decide = decide
