--- a/lease/property_test.go
+++ b/lease/property_test.go
@@ -118,7 +118,7 @@
 		case 5, 6:
 			w.markIdle(i)
 		case 7:
-			w.effect = rapid.SampledFrom([]platformsim.Effect{platformsim.Refuse, platformsim.LoseReply}).Draw(t, "effect")
+			w.effect = rapid.SampledFrom([]platformsim.Effect{platformsim.Refuse, platformsim.DropReply}).Draw(t, "effect")
 		default:
 			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 15000).Draw(t, "advance")) * time.Millisecond)
 		}
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -114,7 +114,7 @@
 	It("accepts a plan once if it is confirmed again after a lost response", func() {
 		plan, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: pool(api.RoleDecode)})
 		Expect(err).NotTo(HaveOccurred())
-		effect = platformsim.LoseReply
+		effect = platformsim.DropReply
 		for range 2 {
 			confirmed, err := client.Confirm(ctx, plan)
 			Expect(err).NotTo(HaveOccurred())
--- a/sim/platformsim/flaky.go
+++ b/sim/platformsim/flaky.go
@@ -10,11 +10,11 @@
 // Effect is what a Flaky store does with one call.
 type Effect int
 
-// The effects. LoseReply lets the call take effect and hides that it did.
+// The effects. DropReply lets the call take effect and hides that it did.
 const (
 	Pass Effect = iota
 	Refuse
-	LoseReply
+	DropReply
 )
 
 // FaultyStore is a store whose calls fail as a test decides. It is safe for
@@ -43,7 +43,7 @@
 func (f *FaultyStore) Injected() (refused, lost int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.counts[Refuse], f.counts[LoseReply]
+	return f.counts[Refuse], f.counts[DropReply]
 }
 
 func (f *FaultyStore) effect(write bool) Effect {
@@ -75,7 +75,7 @@
 	switch f.effect(true) {
 	case Refuse:
 		return objectapi.Object{}, objectapi.ErrUnavailable
-	case LoseReply:
+	case DropReply:
 		_, _ = f.Store.Put(ctx, object)
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	default:
@@ -88,7 +88,7 @@
 	switch f.effect(true) {
 	case Refuse:
 		return objectapi.ErrUnavailable
-	case LoseReply:
+	case DropReply:
 		_ = f.Store.Delete(ctx, kind, name, version)
 		return objectapi.ErrUnavailable
 	default:
