--- a/sim/memnet/conn.go
+++ b/sim/memnet/conn.go
@@ -13,7 +13,7 @@
 
 // Network connects peers. Hosts are named by their addresses.
 type Network struct {
-	gate    *Gate
+	gate    *LinkFilter
 	limited limitedLinks
 
 	mu        sync.Mutex
@@ -48,7 +48,7 @@
 }
 
 // NewNetwork returns a network whose links the gate controls.
-func NewNetwork(gate *Gate) *Network {
+func NewNetwork(gate *LinkFilter) *Network {
 	return &Network{
 		gate: gate, limited: limitedLinks{hosts: map[string]*limitedLink{}},
 		listeners: map[string]*listener{}, conns: map[*conn]struct{}{}, traffic: map[string]*traffic{},
--- a/sim/memnet/gate.go
+++ b/sim/memnet/gate.go
@@ -20,20 +20,20 @@
 	return host
 }
 
-// Gate decides which links pass bytes. It is safe for concurrent use.
-type Gate struct {
+// LinkFilter decides which links pass bytes. It is safe for concurrent use.
+type LinkFilter struct {
 	mu      sync.Mutex
 	blocked func(Link) bool
 	changed chan struct{}
 }
 
 // NewGate returns a gate that passes everything.
-func NewGate() *Gate {
-	return &Gate{blocked: func(Link) bool { return false }, changed: make(chan struct{})}
+func NewGate() *LinkFilter {
+	return &LinkFilter{blocked: func(Link) bool { return false }, changed: make(chan struct{})}
 }
 
 // Block replaces the decision which links are blocked.
-func (g *Gate) Block(blocked func(Link) bool) {
+func (g *LinkFilter) Block(blocked func(Link) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.blocked = blocked
@@ -42,7 +42,7 @@
 }
 
 // wait returns when the link passes bytes, or net.ErrClosed when done closes.
-func (g *Gate) wait(link Link, done <-chan struct{}) error {
+func (g *LinkFilter) wait(link Link, done <-chan struct{}) error {
 	for {
 		g.mu.Lock()
 		blocked, changed := g.blocked(link), g.changed
--- a/sim/memnet/web.go
+++ b/sim/memnet/web.go
@@ -15,7 +15,7 @@
 
 // Web carries HTTP exchanges between hosts. It is safe for concurrent use.
 type Web struct {
-	gate *Gate
+	gate *LinkFilter
 
 	mu        sync.Mutex
 	handlers  map[string]http.Handler
@@ -23,7 +23,7 @@
 }
 
 // NewWeb returns a web whose links the gate controls.
-func NewWeb(gate *Gate) *Web {
+func NewWeb(gate *LinkFilter) *Web {
 	return &Web{gate: gate, handlers: map[string]http.Handler{}, exchanges: map[*exchange]struct{}{}}
 }
 
@@ -176,7 +176,7 @@
 	sent     http.Header
 	status   int
 	exchange *exchange
-	gate     *Gate
+	gate     *LinkFilter
 	started  chan struct{}
 	once     sync.Once
 }
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -117,7 +117,7 @@
 // Fleet is a whole system in one process.
 type Fleet struct {
 	Options  Options
-	Gate     *memnet.Gate
+	Gate     *memnet.LinkFilter
 	Network  *memnet.Network
 	Web      *memnet.Web
 	Platform *Platform
