--- a/antientropy/silent_test.go
+++ b/antientropy/silent_test.go
@@ -37,7 +37,7 @@
 )
 
 func newPeerPair() *peerPair {
-	pair := &peerPair{network: memnet.NewNetwork(memnet.NewGate())}
+	pair := &peerPair{network: memnet.NewNetwork(memnet.NewLinkFilter())}
 	clock := timeline.NewClock(time.Now)
 	newSyncer := func(host string, changed func(replica.Change), peers ...string) (*replica.Replica, *Syncer, *peer.Client) {
 		client := peer.NewClient(host, func(ctx context.Context, address string) (net.Conn, error) {
--- a/sim/memnet/gate.go
+++ b/sim/memnet/gate.go
@@ -27,8 +27,8 @@
 	changed chan struct{}
 }
 
-// NewGate returns a gate that passes everything.
-func NewGate() *LinkFilter {
+// NewLinkFilter returns a gate that passes everything.
+func NewLinkFilter() *LinkFilter {
 	return &LinkFilter{blocked: func(Link) bool { return false }, changed: make(chan struct{})}
 }
 
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -131,7 +131,7 @@
 // NewFleet starts the stand-ins and accepts the configuration. Nodes are started
 // by StartAll.
 func NewFleet(ctx context.Context, options Options) (*Fleet, error) {
-	gate := memnet.NewGate()
+	gate := memnet.NewLinkFilter()
 	created := &Fleet{
 		Options: options, Gate: gate, Network: memnet.NewNetwork(gate), Web: memnet.NewWeb(gate),
 		Platform: NewPlatform(options.Platform), Engines: map[string]*Engine{}, Services: map[string]*Service{}, nodes: map[string]*Node{},
