--- a/sim/memnet/web.go
+++ b/sim/memnet/web.go
@@ -13,8 +13,8 @@
 // ErrCut is what a reader sees when an exchange is cut.
 var ErrCut = errors.New("memnet: connection cut")
 
-// Web carries HTTP exchanges between hosts. It is safe for concurrent use.
-type Web struct {
+// HTTPNetwork carries HTTP exchanges between hosts. It is safe for concurrent use.
+type HTTPNetwork struct {
 	gate *LinkFilter
 
 	mu        sync.Mutex
@@ -23,19 +23,19 @@
 }
 
 // NewWeb returns a web whose links the gate controls.
-func NewWeb(gate *LinkFilter) *Web {
-	return &Web{gate: gate, handlers: map[string]http.Handler{}, exchanges: map[*exchange]struct{}{}}
+func NewWeb(gate *LinkFilter) *HTTPNetwork {
+	return &HTTPNetwork{gate: gate, handlers: map[string]http.Handler{}, exchanges: map[*exchange]struct{}{}}
 }
 
 // Handle serves an address.
-func (w *Web) Handle(address string, handler http.Handler) {
+func (w *HTTPNetwork) Handle(address string, handler http.Handler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.handlers[address] = handler
 }
 
 // Cut ends every exchange that the function selects.
-func (w *Web) Cut(selected func(Link) bool) int {
+func (w *HTTPNetwork) Cut(selected func(Link) bool) int {
 	w.mu.Lock()
 	var ended []*exchange
 	for open := range w.exchanges {
@@ -51,7 +51,7 @@
 }
 
 // Kill stops serving a host's addresses and cuts every exchange from or to it.
-func (w *Web) Kill(host string) {
+func (w *HTTPNetwork) Kill(host string) {
 	w.mu.Lock()
 	for served := range w.handlers {
 		if hostOf(served) == host {
@@ -63,10 +63,10 @@
 }
 
 // Transport returns the transport of a host.
-func (w *Web) Transport(from string) http.RoundTripper { return &transport{web: w, from: from} }
+func (w *HTTPNetwork) Transport(from string) http.RoundTripper { return &transport{web: w, from: from} }
 
 type transport struct {
-	web  *Web
+	web  *HTTPNetwork
 	from string
 }
 
@@ -137,7 +137,7 @@
 	}, nil
 }
 
-func (w *Web) remove(open *exchange) {
+func (w *HTTPNetwork) remove(open *exchange) {
 	w.mu.Lock()
 	delete(w.exchanges, open)
 	w.mu.Unlock()
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -119,7 +119,7 @@
 	Options  Options
 	Gate     *memnet.LinkFilter
 	Network  *memnet.Network
-	Web      *memnet.Web
+	Web      *memnet.HTTPNetwork
 	Platform *Platform
 	Engines  map[string]*Engine
 	Services map[string]*Service
