--- a/sim/memnet/web.go
+++ b/sim/memnet/web.go
@@ -22,8 +22,8 @@
 	exchanges map[*exchange]struct{}
 }
 
-// NewWeb returns a web whose links the gate controls.
-func NewWeb(gate *LinkFilter) *HTTPNetwork {
+// NewHTTPNetwork returns a web whose links the gate controls.
+func NewHTTPNetwork(gate *LinkFilter) *HTTPNetwork {
 	return &HTTPNetwork{gate: gate, handlers: map[string]http.Handler{}, exchanges: map[*exchange]struct{}{}}
 }
 
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -133,7 +133,7 @@
 func NewFleet(ctx context.Context, options Options) (*Fleet, error) {
 	gate := memnet.NewLinkFilter()
 	created := &Fleet{
-		Options: options, Gate: gate, Network: memnet.NewNetwork(gate), Web: memnet.NewWeb(gate),
+		Options: options, Gate: gate, Network: memnet.NewNetwork(gate), Web: memnet.NewHTTPNetwork(gate),
 		Platform: NewPlatform(options.Platform), Engines: map[string]*Engine{}, Services: map[string]*Service{}, nodes: map[string]*Node{},
 	}
 	for _, pool := range options.Configuration.Pools {
