--- a/sim/memnet/web.go
+++ b/sim/memnet/web.go
@@ -34,8 +34,8 @@
 	w.handlers[address] = handler
 }
 
-// Cut ends every exchange that the function selects.
-func (w *HTTPNetwork) Cut(selected func(Link) bool) int {
+// Abort ends every exchange that the function selects.
+func (w *HTTPNetwork) Abort(selected func(Link) bool) int {
 	w.mu.Lock()
 	var ended []*exchange
 	for open := range w.exchanges {
@@ -59,7 +59,7 @@
 		}
 	}
 	w.mu.Unlock()
-	w.Cut(func(link Link) bool { return link.From == host || link.To == host })
+	w.Abort(func(link Link) bool { return link.From == host || link.To == host })
 }
 
 // Transport returns the transport of a host.
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -156,7 +156,7 @@
 func TestEngineFailureKeepsTheAnswerWhole(t *testing.T) {
 	for name, breakEngines := range map[string]func(*Fleet){
 		"connections cut": func(fleet *Fleet) {
-			fleet.Web.Cut(func(link memnet.Link) bool { return link.To[:6] == "10.100" })
+			fleet.Web.Abort(func(link memnet.Link) bool { return link.To[:6] == "10.100" })
 		},
 		"decode engine frozen": func(fleet *Fleet) {
 			for _, engine := range fleet.Engines {
