--- a/sim/memnet/web.go
+++ b/sim/memnet/web.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrCut is what a reader sees when an exchange is cut.
-var ErrCut = errors.New("memnet: connection cut")
+// ErrAborted is what a reader sees when an exchange is cut.
+var ErrAborted = errors.New("memnet: connection cut")
 
 // HTTPNetwork carries HTTP exchanges between hosts. It is safe for concurrent use.
 type HTTPNetwork struct {
@@ -83,7 +83,7 @@
 	e.once.Do(func() {
 		close(e.ended)
 		e.cancel()
-		_ = e.body.CloseWithError(ErrCut)
+		_ = e.body.CloseWithError(ErrAborted)
 	})
 }
 
@@ -125,10 +125,10 @@
 		if request.Context().Err() != nil {
 			return nil, request.Context().Err()
 		}
-		return nil, ErrCut
+		return nil, ErrAborted
 	}
 	if err := t.web.gate.wait(Link{link.To, link.From}, open.ended); err != nil {
-		return nil, ErrCut
+		return nil, ErrAborted
 	}
 	return &http.Response{
 		StatusCode: answer.status, Header: answer.sent, Request: request, ContentLength: -1,
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -92,7 +92,7 @@
 // RoundTrip implements http.RoundTripper.
 func (t *hostTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	if t.node.dead.Load() {
-		return nil, memnet.ErrCut
+		return nil, memnet.ErrAborted
 	}
 	return t.RoundTripper.RoundTrip(request)
 }
@@ -211,7 +211,7 @@
 		Name: name, Zone: started.Zone, PeerAddress: started.Host + peerPort, Seeds: f.seeds(),
 		Dial: func(ctx context.Context, to string) (net.Conn, error) {
 			if started.dead.Load() {
-				return nil, memnet.ErrCut
+				return nil, memnet.ErrAborted
 			}
 			return f.Network.Dial(ctx, started.Host, to)
 		},
