--- a/antientropy/silent_test.go
+++ b/antientropy/silent_test.go
@@ -96,7 +96,7 @@
 		g.Expect(pair.change(1)).To(BeNumerically("<", hopLimit))
 		for version := int64(2); version < 6; version++ {
 			time.Sleep(3 * time.Second)
-			g.Expect(pair.network.Silence(func(memnet.Link) bool { return true })).To(BeNumerically(">", 0))
+			g.Expect(pair.network.DropTraffic(func(memnet.Link) bool { return true })).To(BeNumerically(">", 0))
 			took := pair.change(version)
 			t.Logf("reached the next node after %v", took)
 			g.Expect(took).To(BeNumerically("<", hopLimit))
--- a/sim/memnet/conn.go
+++ b/sim/memnet/conn.go
@@ -95,10 +95,10 @@
 	return wrapped
 }
 
-// Silence lets the established connections whose links are selected carry no bytes any more, in the
+// DropTraffic lets the established connections whose links are selected carry no bytes any more, in the
 // selected direction and without a reset: writes succeed, and nothing arrives. Connections that
 // are opened later work. It returns how many directions fell silent.
-func (n *Network) Silence(selected func(Link) bool) int {
+func (n *Network) DropTraffic(selected func(Link) bool) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
