--- a/sim/hollow/traffic.go
+++ b/sim/hollow/traffic.go
@@ -60,7 +60,7 @@
 func (t *traffic) onceCall(tenant int) load.Call {
 	return load.Call{
 		Kind: &load.Kind{
-			Name: "log", Token: rehearsal.Token(tenant), Service: "service-0", Method: http.MethodPost, Path: "/entries", Once: true,
+			Name: "log", Token: rehearsal.Token(tenant), Service: "service-0", Method: http.MethodPost, Path: "/entries", NonIdempotent: true,
 			FirstToken: api.Duration(time.Second),
 		},
 		Body: fmt.Sprintf(`{"entry":%d}`, t.random.Uint32()),
--- a/sim/load/judge.go
+++ b/sim/load/judge.go
@@ -154,7 +154,7 @@
 	}
 	for i := range results {
 		result := &results[i]
-		if !result.Kind.Once {
+		if !result.Kind.NonIdempotent {
 			continue
 		}
 		if runs[result.Key] > 1 {
--- a/sim/load/run.go
+++ b/sim/load/run.go
@@ -91,7 +91,7 @@
 	if kind.Service == "" {
 		made.tokens = between(random, kind.OutputTokens)
 		made.prompt = prompt(kind, between(random, kind.PromptTokens), random)
-	} else if kind.Once {
+	} else if kind.NonIdempotent {
 		made.body = fmt.Sprintf(`{"entry":%d,"note":%d}`, index, random.Uint32())
 	}
 	return made, nil
--- a/sim/load/workload.go
+++ b/sim/load/workload.go
@@ -33,8 +33,8 @@
 	Service string `json:"service,omitempty"`
 	Method  string `json:"method,omitempty"`
 	Path    string `json:"path,omitempty"`
-	// Once marks a call that may not be repeated.
-	Once bool `json:"once,omitempty"`
+	// NonIdempotent marks a call that may not be repeated.
+	NonIdempotent bool `json:"once,omitempty"`
 	// FirstToken and TokenInterval are the targets to judge by; for a service
 	// call FirstToken is the target of the whole answer.
 	FirstToken    api.Duration `json:"first_token"`
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -224,7 +224,7 @@
 		call.Kind, call.Tokens, call.Prompt = &short, 1, prompt(p.random, 1000+s.a*100)
 	default:
 		call.Kind = &load.Kind{
-			Name: "log", Token: Token(tenant), Service: "service-0", Method: http.MethodPost, Path: "/entries", Once: true,
+			Name: "log", Token: Token(tenant), Service: "service-0", Method: http.MethodPost, Path: "/entries", NonIdempotent: true,
 			FirstToken: api.Duration(time.Second),
 		}
 		call.Body = fmt.Sprintf(`{"entry":%d}`, number)
