--- a/processtest/fleet_test.go
+++ b/processtest/fleet_test.go
@@ -334,6 +334,6 @@
 func expectAnswer(t *testing.T, result load.Result) {
 	t.Helper()
 	if result.Ending != load.EndingAnswered || result.Repeated != 0 {
-		t.Fatalf("%s after %d tries, %d repeated: %s %v", result.Ending, result.Tries, result.Repeated, result.Detail, result.Failure)
+		t.Fatalf("%s after %d tries, %d repeated: %s %v", result.Ending, result.Attempts, result.Repeated, result.Detail, result.Failure)
 	}
 }
--- a/processtest/signals_test.go
+++ b/processtest/signals_test.go
@@ -56,8 +56,8 @@
 	}
 	result := <-done
 	expectAnswer(t, result)
-	if result.Tries != 1 || f.count(enginesim.EntryDecodeCancelled) != 0 {
-		t.Fatalf("%d tries, %d streams cancelled", result.Tries, f.count(enginesim.EntryDecodeCancelled))
+	if result.Attempts != 1 || f.count(enginesim.EntryDecodeCancelled) != 0 {
+		t.Fatalf("%d tries, %d streams cancelled", result.Attempts, f.count(enginesim.EntryDecodeCancelled))
 	}
 }
 
@@ -85,8 +85,8 @@
 	f.nodes[0].signal(t, syscall.SIGTERM)
 	result := <-done
 	expectAnswer(t, result)
-	if result.Tries != 1 {
-		t.Fatalf("the caller needed %d connections", result.Tries)
+	if result.Attempts != 1 {
+		t.Fatalf("the caller needed %d connections", result.Attempts)
 	}
 	if err := <-f.nodes[0].ended; err != nil {
 		t.Fatalf("the node ended with %v", err)
--- a/sim/load/caller.go
+++ b/sim/load/caller.go
@@ -58,7 +58,7 @@
 	c.started = time.Now()
 	c.result = Result{Kind: c.kind, Key: c.key, Ending: EndingLost}
 	for try := range maxTries {
-		c.result.Tries++
+		c.result.Attempts++
 		err := c.try(ctx, c.nodes[try%len(c.nodes)])
 		if err == nil {
 			return c.result
--- a/sim/load/judge.go
+++ b/sim/load/judge.go
@@ -175,7 +175,7 @@
 // saysNotRun reports whether the only try was refused as not run. After several
 // tries the refusal speaks of the last arrival alone.
 func (r *Result) saysNotRun() bool {
-	return r.Ending == EndingRefused && r.Failure.Outcome == api.OutcomeNotRun && r.Tries == 1
+	return r.Ending == EndingRefused && r.Failure.Outcome == api.OutcomeNotRun && r.Attempts == 1
 }
 
 func (v *Verdict) judgeEngines(results []Result, reports []enginesim.Report) {
--- a/sim/load/result.go
+++ b/sim/load/result.go
@@ -33,8 +33,8 @@
 	Failure *api.Error
 	// Repeated is the number of tokens that arrived more than once.
 	Repeated int
-	// Tries is the number of connections made.
-	Tries      int
+	// Attempts is the number of connections made.
+	Attempts   int
 	FirstToken time.Duration
 	// Interval is the mean time between tokens.
 	Interval time.Duration
--- a/sim/rehearsal/discovery_test.go
+++ b/sim/rehearsal/discovery_test.go
@@ -75,7 +75,7 @@
 				if result.Ending == load.EndingAnswered {
 					answered++
 				} else if !api.IsCode(result.Failure, api.CodeAlreadyClaimed) {
-					t.Errorf("%s after %d tries: %v", result.Ending, result.Tries, result.Failure)
+					t.Errorf("%s after %d tries: %v", result.Ending, result.Attempts, result.Failure)
 				}
 			}
 			if starts := countEntries(fleet, enginesim.EntryDecodeStart); answered != 1 || starts != 1 {
--- a/sim/rehearsal/fleet_test.go
+++ b/sim/rehearsal/fleet_test.go
@@ -81,8 +81,8 @@
 			Client: fleet.Client("192.0.2.1"), Nodes: []string{fleet.Alive()[0].CallerAddress()},
 			Kind: longKind(0), Key: "first", Prompt: "a short prompt of some tokens", Tokens: 20,
 		})
-		if result.Ending != load.EndingAnswered || result.Tries != 1 {
-			t.Fatalf("ending %s after %d tries: %s", result.Ending, result.Tries, result.Detail)
+		if result.Ending != load.EndingAnswered || result.Attempts != 1 {
+			t.Fatalf("ending %s after %d tries: %s", result.Ending, result.Attempts, result.Detail)
 		}
 	})
 }
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -190,8 +190,8 @@
 				time.Sleep(500 * time.Millisecond)
 				breakEngines(fleet)
 				result := <-done
-				if result.Ending != load.EndingAnswered || result.Tries != 1 || result.Repeated != 0 {
-					t.Fatalf("%s after %d tries, %d repeated: %s %v", result.Ending, result.Tries, result.Repeated, result.Detail, result.Failure)
+				if result.Ending != load.EndingAnswered || result.Attempts != 1 || result.Repeated != 0 {
+					t.Fatalf("%s after %d tries, %d repeated: %s %v", result.Ending, result.Attempts, result.Repeated, result.Detail, result.Failure)
 				}
 			})
 		})
@@ -256,7 +256,7 @@
 			}()
 		}
 		for range requests {
-			if result := <-results; result.Ending != load.EndingAnswered || result.Tries != 1 {
+			if result := <-results; result.Ending != load.EndingAnswered || result.Attempts != 1 {
 				broken++
 			}
 		}
--- a/sim/rehearsal/roles_test.go
+++ b/sim/rehearsal/roles_test.go
@@ -35,8 +35,8 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		for range requests {
-			if result := <-results; result.Ending != load.EndingAnswered || result.Tries != 1 {
-				t.Errorf("%s after %d tries: %v", result.Ending, result.Tries, result.Failure)
+			if result := <-results; result.Ending != load.EndingAnswered || result.Attempts != 1 {
+				t.Errorf("%s after %d tries: %v", result.Ending, result.Attempts, result.Failure)
 			}
 		}
 		if refused := countEntries(fleet, enginesim.EntryRefused); refused != 0 {
