--- a/processtest/fleet_test.go
+++ b/processtest/fleet_test.go
@@ -333,7 +333,7 @@
 
 func expectAnswer(t *testing.T, result load.Result) {
 	t.Helper()
-	if result.Ending != load.EndingAnswered || result.Repeated != 0 {
-		t.Fatalf("%s after %d tries, %d repeated: %s %v", result.Ending, result.Attempts, result.Repeated, result.Detail, result.Failure)
+	if result.Ending != load.EndingAnswered || result.DuplicateTokens != 0 {
+		t.Fatalf("%s after %d tries, %d repeated: %s %v", result.Ending, result.Attempts, result.DuplicateTokens, result.Detail, result.Failure)
 	}
 }
--- a/sim/load/caller.go
+++ b/sim/load/caller.go
@@ -235,7 +235,7 @@
 		return errors.Wrapf(errAgain, "%v", err)
 	}
 	if offset < c.next {
-		c.result.Repeated++
+		c.result.DuplicateTokens++
 		return nil
 	}
 	if offset > c.next {
--- a/sim/load/judge.go
+++ b/sim/load/judge.go
@@ -125,9 +125,9 @@
 			v.Lost++
 			v.violatef("%s %s: lost: %s", result.Kind.Name, result.Key, result.Detail)
 		}
-		if result.Repeated > 0 {
+		if result.DuplicateTokens > 0 {
 			v.Duplicated++
-			v.violatef("%s %s: %d tokens twice", result.Kind.Name, result.Key, result.Repeated)
+			v.violatef("%s %s: %d tokens twice", result.Kind.Name, result.Key, result.DuplicateTokens)
 		}
 		if result.meets() {
 			met++
--- a/sim/load/result.go
+++ b/sim/load/result.go
@@ -31,8 +31,8 @@
 	Ending     Ending
 	// Failure is the typed error of a refusal.
 	Failure *api.Error
-	// Repeated is the number of tokens that arrived more than once.
-	Repeated int
+	// DuplicateTokens is the number of tokens that arrived more than once.
+	DuplicateTokens int
 	// Attempts is the number of connections made.
 	Attempts   int
 	FirstToken time.Duration
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -124,8 +124,8 @@
 				second := call
 				second.Client, second.Nodes = fleet.Client("192.0.2.2"), []string{nodes[1].CallerAddress()}
 				result := load.Send(context.Background(), second)
-				if result.Ending != load.EndingAnswered || result.Repeated != 0 {
-					t.Fatalf("second arrival: %s, %d repeated: %s %v", result.Ending, result.Repeated, result.Detail, result.Failure)
+				if result.Ending != load.EndingAnswered || result.DuplicateTokens != 0 {
+					t.Fatalf("second arrival: %s, %d repeated: %s %v", result.Ending, result.DuplicateTokens, result.Detail, result.Failure)
 				}
 				cancel()
 				earlier := <-firstDone
@@ -190,8 +190,8 @@
 				time.Sleep(500 * time.Millisecond)
 				breakEngines(fleet)
 				result := <-done
-				if result.Ending != load.EndingAnswered || result.Attempts != 1 || result.Repeated != 0 {
-					t.Fatalf("%s after %d tries, %d repeated: %s %v", result.Ending, result.Attempts, result.Repeated, result.Detail, result.Failure)
+				if result.Ending != load.EndingAnswered || result.Attempts != 1 || result.DuplicateTokens != 0 {
+					t.Fatalf("%s after %d tries, %d repeated: %s %v", result.Ending, result.Attempts, result.DuplicateTokens, result.Detail, result.Failure)
 				}
 			})
 		})
