--- a/cmd/reelrun-sim/load.go
+++ b/cmd/reelrun-sim/load.go
@@ -70,7 +70,7 @@
 	for _, violation := range verdict.Violations {
 		fmt.Fprintln(os.Stderr, "violation:", violation)
 	}
-	fmt.Println(verdict.Line())
+	fmt.Println(verdict.Summary())
 	if verdict.Failed() {
 		return errViolations
 	}
--- a/sim/load/judge.go
+++ b/sim/load/judge.go
@@ -43,8 +43,8 @@
 	return v.Lost+v.Altered+v.Duplicated+v.HeldStreams+v.FalseNotRun > 0
 }
 
-// Line is the summary on one line.
-func (v *Verdict) Line() string {
+// Summary is the summary on one line.
+func (v *Verdict) Summary() string {
 	return fmt.Sprintf("requests=%d answered=%d refused=%d lost=%d duplicated=%d goodput=%.2f wasted_prefill=%.2f",
 		v.Requests, v.Answered, v.Refused, v.Lost+v.Altered, v.Duplicated, v.Goodput, v.Wasted)
 }
