--- a/cmd/reelrun-sim/load.go
+++ b/cmd/reelrun-sim/load.go
@@ -51,7 +51,7 @@
 			if err != nil {
 				return err
 			}
-			return conclude(load.Judge(results, ledgers), *report)
+			return conclude(load.Evaluate(results, ledgers), *report)
 		},
 	}
 }
--- a/sim/hollow/rounds.go
+++ b/sim/hollow/rounds.go
@@ -128,7 +128,7 @@
 
 // judge compares what callers saw with what the stand-ins did.
 func judge(results []load.Result, fleet *rehearsal.Fleet) *load.Verdict {
-	return load.Judge(results, fleet.Ledgers())
+	return load.Evaluate(results, fleet.Ledgers())
 }
 
 func nodesIn(fleet *rehearsal.Fleet, zones []string) []*rehearsal.Node {
--- a/sim/load/judge.go
+++ b/sim/load/judge.go
@@ -88,8 +88,8 @@
 	return errors.Wrap(json.NewDecoder(response.Body).Decode(value), "decode ledger")
 }
 
-// Judge judges a run by what callers received and what the stand-ins did.
-func Judge(results []Result, ledgers Ledgers) *Verdict {
+// Evaluate judges a run by what callers received and what the stand-ins did.
+func Evaluate(results []Result, ledgers Ledgers) *Verdict {
 	verdict := &Verdict{Requests: len(results), Kinds: map[string][2]int{}}
 	verdict.judgeCallers(results)
 	verdict.judgeServices(results, ledgers.Services)
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -328,7 +328,7 @@
 		}
 	}
 	time.Sleep(settleTime)
-	verdict := load.Judge(p.results, p.fleet.Ledgers())
+	verdict := load.Evaluate(p.results, p.fleet.Ledgers())
 	verdict.Lost = 0 // A caller that meets only dead nodes, or hangs up, gets no answer.
 	if verdict.Failed() {
 		for _, violation := range verdict.Violations {
