--- a/sim/sitemodel/run.go
+++ b/sim/sitemodel/run.go
@@ -48,9 +48,9 @@
 	Policy string  `json:"policy"`
 	Seed   uint64  `json:"seed"`
 	Load   float64 `json:"load"`
-	// Worth is what was earned as a share of what an answer in time to each request would
+	// Score is what was earned as a share of what an answer in time to each request would
 	// have earned, less the price of prompts read for nothing.
-	Worth float64 `json:"worth"`
+	Score float64 `json:"worth"`
 	// InTime, Late, Refused and Failed are shares of the requests.
 	InTime  float64 `json:"in_time"`
 	Late    float64 `json:"late"`
@@ -229,21 +229,21 @@
 			result.Failed++
 		case !inTime:
 			result.Late++
-			result.Worth += worthLate
+			result.Score += worthLate
 		case ended.returning:
 			result.InTime++
-			result.Worth += worthReturned
+			result.Score += worthReturned
 		default:
 			result.InTime++
-			result.Worth += worthInTime
+			result.Score += worthInTime
 		}
 	}
 	offered := float64(max(1, len(requests)))
-	for _, share := range []*float64{&result.Worth, &result.InTime, &result.Late, &result.Refused, &result.Failed} {
+	for _, share := range []*float64{&result.Score, &result.InTime, &result.Late, &result.Refused, &result.Failed} {
 		*share = round(*share / offered)
 	}
 	result.WastedPrefill = round(s.wastedTokens / max(1, s.readTokens))
-	result.Worth = round(result.Worth - wastedPrice*result.WastedPrefill)
+	result.Score = round(result.Score - wastedPrice*result.WastedPrefill)
 	return result
 }
 
--- a/sim/sitemodel/run_test.go
+++ b/sim/sitemodel/run_test.go
@@ -15,7 +15,7 @@
 	for seed := range uint64(seeds) {
 		outcome, err := Run(Options{Site: site, Policy: policy, Seed: seed, Load: 1, Length: time.Minute, Prefill: prefill})
 		g.Expect(err).NotTo(HaveOccurred())
-		total += outcome.Worth
+		total += outcome.Score
 	}
 	return total / seeds
 }
