--- a/cmd/reelrun-sim/hollow.go
+++ b/cmd/reelrun-sim/hollow.go
@@ -30,7 +30,7 @@
 	series := flags.String("series", "", "numbers of nodes to measure one after the other, with the users' other figures in proportion")
 	out := flags.String("out", "out", "folder for the results of a series")
 	flags.BoolVar(&options.Failures, "failures", false, "also measure churn, a cut zone, deaths and the loss of a zone")
-	flags.DurationVar(&options.Parting, "parting", 0, "also measure two regions that lose each other for this time")
+	flags.DurationVar(&options.PartitionDuration, "parting", 0, "also measure two regions that lose each other for this time")
 	flags.IntVar(&options.Restarts, "restarts", 0, "also measure this number of restarts under load")
 	return &ffcli.Command{
 		Name: "hollow", ShortUsage: "reelrun-sim hollow [flags]", ShortHelp: "Measure a fleet of hollow nodes in one process.", FlagSet: flags,
@@ -65,7 +65,7 @@
 			return nil, errors.Newf("%q is not a number of nodes", text)
 		}
 		size := hollow.Scaled(nodes, options.Window, options.Trials, options.Failures)
-		size.Parting, size.Restarts = options.Parting, options.Restarts
+		size.PartitionDuration, size.Restarts = options.PartitionDuration, options.Restarts
 		sizes = append(sizes, size)
 	}
 	return sizes, nil
--- a/sim/hollow/measure.go
+++ b/sim/hollow/measure.go
@@ -29,8 +29,8 @@
 	Trials int
 	// Failures also measures churn, a zone that is cut off, and deaths.
 	Failures bool
-	// Parting also measures two regions that lose each other for this time.
-	Parting time.Duration
+	// PartitionDuration also measures two regions that lose each other for this time.
+	PartitionDuration time.Duration
 	// Restarts also measures this number of restarts under load.
 	Restarts int
 }
--- a/sim/hollow/measure_test.go
+++ b/sim/hollow/measure_test.go
@@ -21,7 +21,7 @@
 		g := NewWithT(t)
 		report, err := Measure(context.Background(), Options{
 			Nodes: 8, Zones: 4, Servers: 32, Tenants: 20, Models: 1, Window: time.Second, Trials: 2,
-			Failures: true, Parting: 30 * time.Second, Restarts: 12,
+			Failures: true, PartitionDuration: 30 * time.Second, Restarts: 12,
 		})
 		g.Expect(err).NotTo(HaveOccurred())
 		inForce := rehearsal.InForceWithin.Seconds()
--- a/sim/hollow/react.go
+++ b/sim/hollow/react.go
@@ -34,7 +34,7 @@
 			return err
 		}
 	}
-	if options.Parting > 0 {
+	if options.PartitionDuration > 0 {
 		if err := r.regionsParted(ctx, fleet, options); err != nil {
 			return err
 		}
--- a/sim/hollow/rounds.go
+++ b/sim/hollow/rounds.go
@@ -92,7 +92,7 @@
 		return errors.Wrap(err, "far region after the parting")
 	}
 	measured := Parting{FarStopped: time.Since(parted).Seconds()}
-	for start := true; start || time.Since(parted) < options.Parting; start = false {
+	for start := true; start || time.Since(parted) < options.PartitionDuration; start = false {
 		spread, err := measureSpread(ctx, fleet, options.Trials, func() {}, nearNodes)
 		if err != nil {
 			return errors.Wrap(err, "near region while parted")
