--- a/sim/hollow/measure.go
+++ b/sim/hollow/measure.go
@@ -136,7 +136,7 @@
 // idleEngine is a stand-in engine with a small cache, since thousands share the
 // process.
 func idleEngine() enginesim.Options {
-	options := rehearsal.EnginePattern()
+	options := rehearsal.EngineOptions()
 	const blocks = 64
 	options.CacheBlocks = blocks
 	return options
--- a/sim/modelcheck/check.go
+++ b/sim/modelcheck/check.go
@@ -112,7 +112,7 @@
 	for i := range pool.Engines {
 		pool.Engines[i].Slots = slots
 	}
-	engine := rehearsal.EnginePattern()
+	engine := rehearsal.EngineOptions()
 	engine.Slots, engine.PrefillTokensPerSecond, engine.LinkTokensPerSecond, engine.StepTime = slots, prefillRate, linkRate, stepTime
 	return rehearsal.Options{Zones: zones, NodesPerZone: 2, Configuration: configuration, Engine: engine}
 }
--- a/sim/rehearsal/benchmark_test.go
+++ b/sim/rehearsal/benchmark_test.go
@@ -21,7 +21,7 @@
 func benchmarkFleet(b *testing.B) *Fleet {
 	b.Helper()
 	shape := Shape{Zones: []string{"zone-a"}, Models: 1, PoolsPerModel: 1, EnginesPerPool: 2, Tenants: 1, Services: 1}
-	pattern := EnginePattern()
+	pattern := EngineOptions()
 	pattern.Slots, pattern.KVTokens, pattern.PrefillTokensPerSecond = 2000, 100_000_000, 1e12
 	configured := Generate(shape)
 	configured.Tenants[0].MaxConcurrent = 5000
--- a/sim/rehearsal/fleet_test.go
+++ b/sim/rehearsal/fleet_test.go
@@ -22,7 +22,7 @@
 
 func smallOptions() Options {
 	shape := smallShape()
-	return Options{Zones: shape.Zones, NodesPerZone: 2, Configuration: Generate(shape), Engine: EnginePattern()}
+	return Options{Zones: shape.Zones, NodesPerZone: 2, Configuration: Generate(shape), Engine: EngineOptions()}
 }
 
 // bubble runs a test in virtual time. yamux keeps timers in a global pool, and a
--- a/sim/rehearsal/generate.go
+++ b/sim/rehearsal/generate.go
@@ -82,9 +82,9 @@
 	return classes[first : first+classesPerModel]
 }
 
-// EnginePattern returns the properties of the engines that fit a generated
+// EngineOptions returns the properties of the engines that fit a generated
 // configuration.
-func EnginePattern() enginesim.Options {
+func EngineOptions() enginesim.Options {
 	const linger, cacheBlocks = 5 * time.Second, 4096
 	return enginesim.Options{
 		Slots: api.DefaultSlots, KVTokens: api.DefaultKVTokens, PrefillTokensPerSecond: api.DefaultPrefillTokensPerSecond,
