--- a/sim/hollow/react.go
+++ b/sim/hollow/react.go
@@ -151,7 +151,7 @@
 		return nil
 	}
 	cut := fleet.Options.Zones[options.Zones-1]
-	heal := fleet.Part([]string{cut}, true)
+	heal := fleet.Partition([]string{cut}, true)
 	defer heal()
 	rest := fleet.Options.Zones[:options.Zones-1]
 	outside := func(fleet *rehearsal.Fleet) []*rehearsal.Node { return nodesIn(fleet, rest) }
--- a/sim/hollow/rounds.go
+++ b/sim/hollow/rounds.go
@@ -77,7 +77,7 @@
 	zones := fleet.Options.Zones
 	far := zones[(len(zones)+1)/2:]
 	nearNodes := func(fleet *rehearsal.Fleet) []*rehearsal.Node { return nodesIn(fleet, zones[:(len(zones)+1)/2]) }
-	heal := fleet.Part(far, true)
+	heal := fleet.Partition(far, true)
 	defer heal()
 	parted := time.Now()
 	err := await(func() bool {
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -324,10 +324,10 @@
 	close(killed.down)
 }
 
-// Part cuts the nodes of some zones off from the nodes of the others, and from the
+// Partition cuts the nodes of some zones off from the nodes of the others, and from the
 // platform if asked to. Engines stay reachable from both sides. The returned
 // function ends the parting.
-func (f *Fleet) Part(zones []string, withoutPlatform bool) (heal func()) {
+func (f *Fleet) Partition(zones []string, withoutPlatform bool) (heal func()) {
 	inside, hosts := map[string]bool{}, map[string]bool{}
 	for _, running := range f.Alive() {
 		hosts[running.Host] = true
--- a/sim/rehearsal/regions_test.go
+++ b/sim/rehearsal/regions_test.go
@@ -54,7 +54,7 @@
 				defer fleet.Close()
 				monitor := NewMonitor(fleet)
 				stopWatching := watch(monitor)
-				heal := fleet.Part(farZones, !farReachesPlatform)
+				heal := fleet.Partition(farZones, !farReachesPlatform)
 				publishWeight(t, fleet, 7)
 				time.Sleep(3 * time.Minute)
 				for _, far := range []bool{false, true} {
