--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -117,7 +117,7 @@
 // Fleet is a whole system in one process.
 type Fleet struct {
 	Options  Options
-	Gate     *memnet.LinkFilter
+	Links    *memnet.LinkFilter
 	Network  *memnet.Network
 	Web      *memnet.HTTPNetwork
 	Platform *Platform
@@ -133,7 +133,7 @@
 func NewFleet(ctx context.Context, options Options) (*Fleet, error) {
 	gate := memnet.NewLinkFilter()
 	created := &Fleet{
-		Options: options, Gate: gate, Network: memnet.NewNetwork(gate), Web: memnet.NewHTTPNetwork(gate),
+		Options: options, Links: gate, Network: memnet.NewNetwork(gate), Web: memnet.NewHTTPNetwork(gate),
 		Platform: NewPlatform(options.Platform), Engines: map[string]*Engine{}, Services: map[string]*Service{}, nodes: map[string]*Node{},
 	}
 	for _, pool := range options.Configuration.Pools {
@@ -336,11 +336,11 @@
 			f.Platform.CutOff(running.Name, withoutPlatform)
 		}
 	}
-	f.Gate.Block(func(link memnet.Link) bool {
+	f.Links.Block(func(link memnet.Link) bool {
 		return hosts[link.From] && hosts[link.To] && inside[link.From] != inside[link.To]
 	})
 	return func() {
-		f.Gate.Block(func(memnet.Link) bool { return false })
+		f.Links.Block(func(memnet.Link) bool { return false })
 		for _, name := range f.NodeNames() {
 			f.Platform.CutOff(name, false)
 		}
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -54,7 +54,7 @@
 		"node lives":  func(*Fleet, *Node) {},
 		"node killed": func(fleet *Fleet, through *Node) { fleet.Kill(through.Name) },
 		"node cut off": func(fleet *Fleet, through *Node) {
-			fleet.Gate.Block(func(link memnet.Link) bool { return link.From == through.Host || link.To == through.Host })
+			fleet.Links.Block(func(link memnet.Link) bool { return link.From == through.Host || link.To == through.Host })
 			fleet.Platform.CutOff(through.Name, true)
 		},
 		"platform down": func(fleet *Fleet, through *Node) {
@@ -90,7 +90,7 @@
 		}
 		// Another node of the zone loses its peers but reaches the engines.
 		lonely := fleet.Alive()[1]
-		fleet.Gate.Block(func(link memnet.Link) bool {
+		fleet.Links.Block(func(link memnet.Link) bool {
 			return (link.From == lonely.Host && !engines[link.To]) || (link.To == lonely.Host && !engines[link.From])
 		})
 		time.Sleep(20 * time.Second)
@@ -163,7 +163,7 @@
 				if len(engine.Streams()) > 0 {
 					engine.Faults.Set(fault.Faults{Freeze: true})
 					host := engine.Host
-					fleet.Gate.Block(func(link memnet.Link) bool { return link.From == host || link.To == host })
+					fleet.Links.Block(func(link memnet.Link) bool { return link.From == host || link.To == host })
 				}
 			}
 		},
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -151,7 +151,7 @@
 	for host := range p.isolated {
 		isolated[host] = true
 	}
-	p.fleet.Gate.Block(func(link memnet.Link) bool { return isolated[link.From] || isolated[link.To] })
+	p.fleet.Links.Block(func(link memnet.Link) bool { return isolated[link.From] || isolated[link.To] })
 	for _, running := range p.fleet.Alive() {
 		p.fleet.Platform.CutOff(running.Name, isolated[running.Host])
 	}
