--- a/sim/rehearsal/benchmark_test.go
+++ b/sim/rehearsal/benchmark_test.go
@@ -58,7 +58,7 @@
 	defer fleet.Close()
 	prompt := strings.Repeat("some words ", 100)
 	b.Run("direct", func(b *testing.B) {
-		client := engine.NewClient(fleet.Web.Transport("192.0.2.1"))
+		client := engine.NewClient(fleet.HTTP.Transport("192.0.2.1"))
 		b.ReportAllocs()
 		for number := 0; b.Loop(); number++ {
 			request := engine.PrefillRequest{Attempt: engine.Attempt{RequestID: fmt.Sprintf("direct-%d", number), Number: 1}, Model: "model-0", Prompt: prompt, MaxTokens: 1}
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -119,7 +119,7 @@
 	Options  Options
 	Links    *memnet.LinkFilter
 	Network  *memnet.Network
-	Web      *memnet.HTTPNetwork
+	HTTP     *memnet.HTTPNetwork
 	Platform *Platform
 	Engines  map[string]*Engine
 	Services map[string]*Service
@@ -133,7 +133,7 @@
 func NewFleet(ctx context.Context, options Options) (*Fleet, error) {
 	gate := memnet.NewLinkFilter()
 	created := &Fleet{
-		Options: options, Links: gate, Network: memnet.NewNetwork(gate), Web: memnet.NewHTTPNetwork(gate),
+		Options: options, Links: gate, Network: memnet.NewNetwork(gate), HTTP: memnet.NewHTTPNetwork(gate),
 		Platform: NewPlatform(options.Platform), Engines: map[string]*Engine{}, Services: map[string]*Service{}, nodes: map[string]*Node{},
 	}
 	for _, pool := range options.Configuration.Pools {
@@ -157,10 +157,10 @@
 	options := f.Options.Engine
 	options.Name, options.Model, options.Role, options.ChecksFence = member.Name, pool.Model, member.Role, pool.ChecksFence
 	host, _, _ := net.SplitHostPort(member.Address)
-	options.HTTP = &http.Client{Transport: f.Web.Transport(host)}
+	options.HTTP = &http.Client{Transport: f.HTTP.Transport(host)}
 	started := &Engine{Engine: enginesim.New(options), Faults: fault.NewInjector(), Host: host}
 	f.Engines[member.Name] = started
-	f.Web.Handle(member.Address, started.Faults.Wrap(enginesim.Handler(started.Engine)))
+	f.HTTP.Handle(member.Address, started.Faults.Wrap(enginesim.Handler(started.Engine)))
 }
 
 func (f *Fleet) addService(backend api.Backend) {
@@ -168,7 +168,7 @@
 	const work = 2 * time.Millisecond
 	started := &Service{Service: servicesim.New(backend.Name, work), Faults: fault.NewInjector(), Host: host}
 	f.Services[backend.Name] = started
-	f.Web.Handle(backend.Address, started.Faults.Wrap(started.Service))
+	f.HTTP.Handle(backend.Address, started.Faults.Wrap(started.Service))
 }
 
 // NodeNames returns the names of all nodes, running or not.
@@ -199,7 +199,7 @@
 	var zone, number int
 	_, _ = fmt.Sscanf(name, "node-%d-%d", &zone, &number)
 	started := &Node{Name: name, Zone: f.Options.Zones[zone], Host: hostOfNode(zone, number), alive: true, stopped: make(chan struct{}), down: make(chan struct{})}
-	var transport http.RoundTripper = &hostTransport{f.Web.Transport(started.Host), started}
+	var transport http.RoundTripper = &hostTransport{f.HTTP.Transport(started.Host), started}
 	if wrap := f.Options.Defects.Transport; wrap != nil {
 		transport = wrap(transport)
 	}
@@ -229,7 +229,7 @@
 	if wrap := f.Options.Defects.Handler; wrap != nil {
 		chain = wrap(chain)
 	}
-	f.Web.Handle(started.CallerAddress(), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	f.HTTP.Handle(started.CallerAddress(), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		started.serving.Add(1)
 		defer started.serving.Done()
 		chain.ServeHTTP(w, r)
@@ -318,7 +318,7 @@
 	}
 	killed.dead.Store(true)
 	f.Network.Kill(killed.Host)
-	f.Web.Kill(killed.Host)
+	f.HTTP.Kill(killed.Host)
 	killed.cancel()
 	<-killed.stopped
 	close(killed.down)
@@ -361,7 +361,7 @@
 	time.Sleep(drainDelay)
 	stopping.serving.Wait()
 	stopping.Core.Completions.WaitCancels()
-	f.Web.Kill(stopping.Host)
+	f.HTTP.Kill(stopping.Host)
 	stopping.cancel()
 	<-stopping.stopped
 	f.Network.Kill(stopping.Host)
@@ -454,7 +454,7 @@
 
 // Client returns the HTTP client of a caller.
 func (f *Fleet) Client(host string) *http.Client {
-	return &http.Client{Transport: f.Web.Transport(host)}
+	return &http.Client{Transport: f.HTTP.Transport(host)}
 }
 
 // StoreOf returns the platform as a node of the given name reaches it.
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -156,7 +156,7 @@
 func TestEngineFailureKeepsTheAnswerWhole(t *testing.T) {
 	for name, breakEngines := range map[string]func(*Fleet){
 		"connections cut": func(fleet *Fleet) {
-			fleet.Web.Abort(func(link memnet.Link) bool { return link.To[:6] == "10.100" })
+			fleet.HTTP.Abort(func(link memnet.Link) bool { return link.To[:6] == "10.100" })
 		},
 		"decode engine frozen": func(fleet *Fleet) {
 			for _, engine := range fleet.Engines {
@@ -170,7 +170,7 @@
 		"decode engine dead": func(fleet *Fleet) {
 			for _, engine := range fleet.Engines {
 				if len(engine.Streams()) > 0 {
-					fleet.Web.Kill(engine.Host)
+					fleet.HTTP.Kill(engine.Host)
 				}
 			}
 		},
--- a/sim/rehearsal/quarantine_test.go
+++ b/sim/rehearsal/quarantine_test.go
@@ -81,10 +81,10 @@
 				seen.arrived()
 				time.Sleep(crashAfter)
 				seen.ended()
-				time.AfterFunc(restartAfter, func() { fleet.Web.Handle(address, handler) })
-				fleet.Web.Kill(started.Host)
+				time.AfterFunc(restartAfter, func() { fleet.HTTP.Handle(address, handler) })
+				fleet.HTTP.Kill(started.Host)
 			})
-			fleet.Web.Handle(address, handler)
+			fleet.HTTP.Handle(address, handler)
 		}
 	}
 	return seen
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -114,7 +114,7 @@
 	engine := p.fleet.Engines[fmt.Sprintf("engine-%d", s.a%len(p.fleet.Engines))]
 	switch s.op {
 	case opCutEngine:
-		p.fleet.Web.Abort(func(link memnet.Link) bool { return link.To == engine.Host })
+		p.fleet.HTTP.Abort(func(link memnet.Link) bool { return link.To == engine.Host })
 	case opFreezeEngine:
 		engine.Faults.Set(fault.Faults{Freeze: true})
 	case opStallTransfers:
