--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -333,7 +333,7 @@
 		hosts[running.Host] = true
 		if slices.Contains(zones, running.Zone) {
 			inside[running.Host] = true
-			f.Platform.CutOff(running.Name, withoutPlatform)
+			f.Platform.SetUnreachable(running.Name, withoutPlatform)
 		}
 	}
 	f.Links.Block(func(link memnet.Link) bool {
@@ -342,7 +342,7 @@
 	return func() {
 		f.Links.Block(func(memnet.Link) bool { return false })
 		for _, name := range f.NodeNames() {
-			f.Platform.CutOff(name, false)
+			f.Platform.SetUnreachable(name, false)
 		}
 	}
 }
--- a/sim/rehearsal/platform.go
+++ b/sim/rehearsal/platform.go
@@ -35,8 +35,8 @@
 // SetOutage begins or ends an outage for everyone.
 func (p *Platform) SetOutage(outage bool) { p.change(func() { p.outage = outage }) }
 
-// CutOff begins or ends an outage for one node.
-func (p *Platform) CutOff(node string, cut bool) { p.change(func() { p.cutOff[node] = cut }) }
+// SetUnreachable begins or ends an outage for one node.
+func (p *Platform) SetUnreachable(node string, cut bool) { p.change(func() { p.cutOff[node] = cut }) }
 
 // LoseReplies makes the next writes take effect and lose their replies.
 func (p *Platform) LoseReplies(count int) { p.change(func() { p.lost = count }) }
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -55,7 +55,7 @@
 		"node killed": func(fleet *Fleet, through *Node) { fleet.Kill(through.Name) },
 		"node cut off": func(fleet *Fleet, through *Node) {
 			fleet.Links.Block(func(link memnet.Link) bool { return link.From == through.Host || link.To == through.Host })
-			fleet.Platform.CutOff(through.Name, true)
+			fleet.Platform.SetUnreachable(through.Name, true)
 		},
 		"platform down": func(fleet *Fleet, through *Node) {
 			fleet.Platform.SetOutage(true)
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -100,7 +100,7 @@
 	case opHeal:
 		p.heal()
 	case opCutPlatform:
-		p.fleet.Platform.CutOff(name, s.b%2 == 0)
+		p.fleet.Platform.SetUnreachable(name, s.b%2 == 0)
 	case opOutage:
 		p.fleet.Platform.SetOutage(s.b%2 == 0)
 	case opLoseReplies:
@@ -153,7 +153,7 @@
 	}
 	p.fleet.Links.Block(func(link memnet.Link) bool { return isolated[link.From] || isolated[link.To] })
 	for _, running := range p.fleet.Alive() {
-		p.fleet.Platform.CutOff(running.Name, isolated[running.Host])
+		p.fleet.Platform.SetUnreachable(running.Name, isolated[running.Host])
 	}
 }
 
@@ -301,7 +301,7 @@
 		engine.Faults.Set(fault.Faults{})
 	}
 	for _, name := range p.fleet.NodeNames() {
-		p.fleet.Platform.CutOff(name, false)
+		p.fleet.Platform.SetUnreachable(name, false)
 	}
 	p.stopping.Wait()
 	for _, name := range p.fleet.NodeNames() {
