--- a/sim/rehearsal/monitor.go
+++ b/sim/rehearsal/monitor.go
@@ -109,9 +109,9 @@
 	return version
 }
 
-// NoteLeaving records when the platform's list began to show a back end as
+// RecordLeaving records when the platform's list began to show a back end as
 // leaving.
-func (m *Monitor) NoteLeaving(machine string) {
+func (m *Monitor) RecordLeaving(machine string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leaving[machine] = time.Now()
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -282,7 +282,7 @@
 			if err := fleet.SetMachine(leaving, machines.StateLeaving); err != nil {
 				t.Fatal(err)
 			}
-			monitor.NoteLeaving(leaving)
+			monitor.RecordLeaving(leaving)
 		}
 		random := rand.New(rand.NewPCG(7, 7))
 		nodes := fleet.Alive()
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -167,7 +167,7 @@
 func (p *play) leave(s step) {
 	leaving := []string{"engine-0", "engine-1", "service-0-a"}[s.b%3]
 	if p.fleet.SetMachine(leaving, machines.StateLeaving) == nil {
-		p.monitor.NoteLeaving(leaving)
+		p.monitor.RecordLeaving(leaving)
 	}
 }
 
