--- a/sim/rehearsal/monitor.go
+++ b/sim/rehearsal/monitor.go
@@ -117,9 +117,9 @@
 	m.leaving[machine] = time.Now()
 }
 
-// JudgeLeaving compares the ledgers with the times at which back ends began to
+// CheckLeaving compares the ledgers with the times at which back ends began to
 // leave.
-func (m *Monitor) JudgeLeaving() {
+func (m *Monitor) CheckLeaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for machine, since := range m.leaving {
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -303,7 +303,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		running.Wait()
-		monitor.JudgeLeaving()
+		monitor.CheckLeaving()
 		violations = monitor.Violations()
 	})
 	return violations
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -285,7 +285,7 @@
 		started.recover()
 		violations = append(violations, started.finish()...)
 		stopWatching()
-		monitor.JudgeLeaving()
+		monitor.CheckLeaving()
 		violations = append(violations, monitor.Violations()...)
 		fleet.Close()
 	})
