--- a/sim/platformsim/flaky.go
+++ b/sim/platformsim/flaky.go
@@ -7,18 +7,19 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// Effect is what a Flaky store does with one call.
+// Effect is what a FaultyStore does with one call.
 type Effect int
 
-// The effects. DropReply lets the call take effect and hides that it did.
+// The effects. Refuse fails a call without executing it; DropReply executes a
+// write and returns an error for it.
 const (
 	Pass Effect = iota
 	Refuse
 	DropReply
 )
 
-// FaultyStore is a store whose calls fail as a test decides. It is safe for
-// concurrent use.
+// FaultyStore wraps a store and injects faults that a test chooses for each
+// call. It is safe for concurrent use.
 type FaultyStore struct {
 	objectapi.Store
 
@@ -27,20 +28,20 @@
 	counts map[Effect]int
 }
 
-// NewFaultyStore returns a store that asks decide about each call.
+// NewFaultyStore returns a store that calls decide for the effect of each call.
 func NewFaultyStore(store objectapi.Store, decide func(write bool) Effect) *FaultyStore {
 	return &FaultyStore{Store: store, decide: decide, counts: map[Effect]int{}}
 }
 
-// SetFaults replaces the decision.
+// SetFaults replaces the function that chooses the effects.
 func (f *FaultyStore) SetFaults(decide func(write bool) Effect) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.decide = decide
 }
 
-// Injected returns the number of calls refused and of replies lost.
-func (f *FaultyStore) Injected() (refused, lost int) {
+// Injected returns the numbers of refused calls and of dropped replies.
+func (f *FaultyStore) Injected() (refused, dropped int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts[Refuse], f.counts[DropReply]
--- a/sim/platformsim/handler.go
+++ b/sim/platformsim/handler.go
@@ -11,19 +11,19 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// PathCounts is where the stand-in reports its calls.
+// PathCounts is the path of the call counters.
 const PathCounts = "/counts"
 
-// Handler serves the store by the object API's REST conventions, and the weights.
+// Handler serves the store through the REST object API, the weights and the call counters.
 func Handler(store *Store, weights *Weights) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+PathWeights+"{model}/{version}", weights)
-	served := handler{store}
-	mux.HandleFunc("GET "+objectapi.BasePath+"{kind}", served.listOrWatch)
-	mux.HandleFunc("GET "+objectapi.BasePath+"{kind}/{name}", served.get)
-	mux.HandleFunc("PUT "+objectapi.BasePath+"{kind}/{name}", served.put)
-	mux.HandleFunc("DELETE "+objectapi.BasePath+"{kind}/{name}", served.remove)
-	mux.HandleFunc("GET "+PathCounts, served.counts)
+	endpoints := handler{store}
+	mux.HandleFunc("GET "+objectapi.BasePath+"{kind}", endpoints.listOrWatch)
+	mux.HandleFunc("GET "+objectapi.BasePath+"{kind}/{name}", endpoints.get)
+	mux.HandleFunc("PUT "+objectapi.BasePath+"{kind}/{name}", endpoints.put)
+	mux.HandleFunc("DELETE "+objectapi.BasePath+"{kind}/{name}", endpoints.remove)
+	mux.HandleFunc("GET "+PathCounts, endpoints.counts)
 	return mux
 }
 
--- a/sim/platformsim/store.go
+++ b/sim/platformsim/store.go
@@ -12,7 +12,8 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// watchHistory is the number of changes kept for watches that start late.
+// watchHistory is the number of changes retained for watches that start from an
+// earlier revision.
 const watchHistory = 4096
 
 // Options are the limits of the store. Zero means no limit.
@@ -20,15 +21,16 @@
 	// WritesPerSecond and ReadsPerSecond bound the calls; a watch counts as a read.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// MachineLag delays what readers of the machine list see.
+	// MachineLag is the delay until a change of the machine list becomes visible.
 	MachineLag time.Duration
 }
 
-// Counts is the number of calls the store has taken.
+// Counts are the numbers of calls that the store has received.
 type Counts struct {
-	Reads     int64 `json:"reads"`
-	Writes    int64 `json:"writes"`
-	Watches   int64 `json:"watches"`
+	Reads   int64 `json:"reads"`
+	Writes  int64 `json:"writes"`
+	Watches int64 `json:"watches"`
+	// Waiting is the number of open watches.
 	Waiting   int64 `json:"waiting"`
 	Throttled int64 `json:"throttled"`
 	Conflicts int64 `json:"conflicts"`
@@ -79,14 +81,14 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond/4), 1))
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the numbers of calls received so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// read counts a read and reports whether the rate allows it.
+// read counts a read and returns ErrThrottled if it exceeds the rate limit.
 func (s *Store) read() error {
 	s.counts.Reads++
 	if !s.reads.Allow() {
@@ -239,7 +241,8 @@
 	return selected, s.changed, nil
 }
 
-// Snapshot returns all objects of a kind without counting a call. Oracles use it.
+// Snapshot returns all objects of a kind without counting a call, for the checks of
+// tests.
 func (s *Store) Snapshot(kind objectapi.Kind) []objectapi.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,8 +255,8 @@
 	return objects
 }
 
-// SetMachine records a machine as the platform's own list does: readers see it
-// after the configured lag.
+// SetMachine sets a machine in the platform's own list. Readers see the change
+// after MachineLag.
 func (s *Store) SetMachine(name string, spec []byte) {
 	apply := func() {
 		s.mu.Lock()
--- a/sim/platformsim/weights.go
+++ b/sim/platformsim/weights.go
@@ -6,7 +6,7 @@
 	"golang.org/x/time/rate"
 )
 
-// PathWeights is where the weight store serves PathWeights/{model}/{version}.
+// PathWeights is the prefix of the weight paths, which end in {model}/{version}.
 const PathWeights = "/weights/"
 
 const weightChunkBytes = 4 << 10
@@ -17,7 +17,7 @@
 	bytes   int
 }
 
-// NewWeights returns a weight store whose every model has the given size.
+// NewWeights returns a weight store in which every model has the given size.
 func NewWeights(bytesPerSecond float64, modelBytes int) *Weights {
 	return &Weights{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), weightChunkBytes), bytes: modelBytes}
 }
@@ -25,11 +25,11 @@
 // ServeHTTP implements http.Handler.
 func (s *Weights) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	chunk := make([]byte, weightChunkBytes)
-	for left := s.bytes; left > 0; left -= weightChunkBytes {
-		if err := s.limiter.WaitN(r.Context(), min(left, weightChunkBytes)); err != nil {
+	for remaining := s.bytes; remaining > 0; remaining -= weightChunkBytes {
+		if err := s.limiter.WaitN(r.Context(), min(remaining, weightChunkBytes)); err != nil {
 			return
 		}
-		if _, err := w.Write(chunk[:min(left, weightChunkBytes)]); err != nil {
+		if _, err := w.Write(chunk[:min(remaining, weightChunkBytes)]); err != nil {
 			return
 		}
 	}
