--- a/sim/memnet/bandwidth.go
+++ b/sim/memnet/bandwidth.go
@@ -7,46 +7,47 @@
 	"time"
 )
 
-// segmentBytes is how much of one connection passes a limited link at a time. Connections of a
-// host take turns by segments, as those of TCP share a link.
+// segmentBytes is the unit in which connections share a limited link: those of a host alternate by
+// segments, as TCP connections share a link.
 const segmentBytes = 4 << 10
 
-// largestFrame is how much of one write passes as a whole: the largest frame of yamux, its window
-// and a header. Peers read the body of a frame under a lock, on which virtual time does not
-// advance. What is longer, as a large body of HTTP, arrives in several pieces.
-const largestFrame = 256<<10 + 12
+// maxFrameBytes is the largest write that is delivered in one piece. It is the largest yamux frame:
+// the window and a header. Peers hold a lock while they read the body of a frame, and virtual time
+// does not advance while a goroutine waits for a lock. Longer writes, such as large HTTP bodies,
+// arrive in several pieces.
+const maxFrameBytes = 256<<10 + 12
 
-// limitedLinks are the hosts whose links carry a bounded number of bytes a second.
+// limitedLinks are the links of the hosts with a bandwidth limit.
 type limitedLinks struct {
 	mu    sync.Mutex
 	hosts map[string]*limitedLink
 }
 
-// limitedLink is the link of one host.
+// limitedLink is the link of one host with a bandwidth limit.
 type limitedLink struct {
 	bytesPerSecond int
-	// sendingUntil and receivingUntil are when the bytes accepted so far have passed.
+	// sendingUntil and receivingUntil are when the transmission of the bytes accepted so far ends.
 	sendingUntil   time.Time
 	receivingUntil time.Time
 }
 
-// SetBandwidth bounds what a host sends and what it receives, each in bytes a second, from now
-// on. Hosts that were never given a bound have none.
+// SetBandwidth limits what a host sends and what it receives from now on, each in bytes per second.
+// Hosts have no limit by default.
 func (n *Network) SetBandwidth(host string, bytesPerSecond int) {
 	n.limited.mu.Lock()
 	defer n.limited.mu.Unlock()
 	n.limited.hosts[host] = &limitedLink{bytesPerSecond: bytesPerSecond}
 }
 
-// bounds reports whether one end of a link has a bound.
-func (l *limitedLinks) bounds(link Link) bool {
+// isLimited reports whether either end of a link has a bandwidth limit.
+func (l *limitedLinks) isLimited(link Link) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.hosts[link.From] != nil || l.hosts[link.To] != nil
 }
 
-// transmit waits until so many bytes have passed both ends of a link, or returns net.ErrClosed
-// when done closes.
+// transmit waits until size bytes have passed both ends of a link. It returns net.ErrClosed when
+// done closes.
 func (l *limitedLinks) transmit(link Link, size int, done <-chan struct{}) error {
 	for size > 0 {
 		segment := min(size, segmentBytes)
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// reserve returns when a segment will have passed.
+// reserve schedules a segment at both ends of a link and returns when its transmission ends.
 func (l *limitedLinks) reserve(link Link, size int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +76,7 @@
 	return passed
 }
 
-// duration returns how long some bytes take.
+// duration returns the transmission time of size bytes.
 func (l *limitedLink) duration(size int) time.Duration {
 	return time.Duration(size) * time.Second / time.Duration(l.bytesPerSecond)
 }
@@ -102,9 +103,9 @@
 	}
 }
 
-// sendBuffer holds the writes of one connection that a limited link has not passed yet. It
-// takes any number of bytes: a writer that waited would hold locks of its own meanwhile, on
-// which virtual time does not advance.
+// sendBuffer queues the writes of one connection that a limited link has not transmitted yet. It
+// is unbounded: a writer that blocked would keep its own locks, and virtual time does not advance
+// while a goroutine waits for a lock.
 type sendBuffer struct {
 	once sync.Once
 	// added signals new writes to the sender.
@@ -114,8 +115,8 @@
 	writes [][]byte
 }
 
-// sendLater accepts a write and has it sent when the link passes it.
-func (c *conn) sendLater(data []byte) (int, error) {
+// enqueue accepts a write, which is transmitted in the background at the rate of the link.
+func (c *conn) enqueue(data []byte) (int, error) {
 	c.buffer.once.Do(func() {
 		c.buffer.added = make(chan struct{}, 1)
 		go c.sendBuffered()
@@ -130,8 +131,8 @@
 	return len(data), nil
 }
 
-// sendBuffered sends accepted writes until the connection closes; what it holds then is lost,
-// as after a reset.
+// sendBuffered transmits queued writes until the connection closes. Writes that are still queued
+// then are lost, as after a connection reset.
 func (c *conn) sendBuffered() {
 	for {
 		data := c.buffer.next()
@@ -143,15 +144,15 @@
 				return
 			}
 		}
-		for piece := range slices.Chunk(data, largestFrame) {
+		for piece := range slices.Chunk(data, maxFrameBytes) {
 			if c.network.limited.transmit(c.link, len(piece), c.closed) != nil {
 				return
 			}
 			// The link may have been blocked meanwhile.
-			if c.network.gate.wait(c.link, c.closed) != nil {
+			if c.network.filter.wait(c.link, c.closed) != nil {
 				return
 			}
-			if c.silent.Load() {
+			if c.dropping.Load() {
 				continue
 			}
 			if _, err := c.Conn.Write(piece); err != nil {
@@ -161,7 +162,7 @@
 	}
 }
 
-// next takes the oldest write out, or returns nil.
+// next removes and returns the oldest write, or returns nil if there is none.
 func (b *sendBuffer) next() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/sim/memnet/conn.go
+++ b/sim/memnet/conn.go
@@ -8,12 +8,12 @@
 	"syscall"
 )
 
-// ErrRefused is returned when nobody listens at an address.
+// ErrRefused is returned when an address has no listener or handler.
 var ErrRefused error = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 
-// Network connects peers. Hosts are named by their addresses.
+// Network carries the connections of peers. Hosts are identified by their addresses.
 type Network struct {
-	gate    *LinkFilter
+	filter  *LinkFilter
 	limited limitedLinks
 
 	mu        sync.Mutex
@@ -27,10 +27,10 @@
 	bytes, frames atomic.Int64
 }
 
-// Traffic is what a host has sent so far.
+// Traffic is the amount that a host has sent so far.
 type Traffic struct{ Bytes, Frames int64 }
 
-// Sent returns what a host has sent.
+// Sent returns the traffic that a host has sent so far.
 func (n *Network) Sent(host string) Traffic {
 	counted := n.counter(host)
 	return Traffic{counted.bytes.Load(), counted.frames.Load()}
@@ -47,10 +47,10 @@
 	return counted
 }
 
-// NewNetwork returns a network whose links the gate controls.
-func NewNetwork(gate *LinkFilter) *Network {
+// NewNetwork returns a network whose links the filter can block.
+func NewNetwork(filter *LinkFilter) *Network {
 	return &Network{
-		gate: gate, limited: limitedLinks{hosts: map[string]*limitedLink{}},
+		filter: filter, limited: limitedLinks{hosts: map[string]*limitedLink{}},
 		listeners: map[string]*listener{}, conns: map[*conn]struct{}{}, traffic: map[string]*traffic{},
 	}
 }
@@ -66,7 +66,7 @@
 
 // Dial connects one host to another.
 func (n *Network) Dial(ctx context.Context, from, to string) (net.Conn, error) {
-	if err := n.gate.wait(linkOf(from, to), ctx.Done()); err != nil {
+	if err := n.filter.wait(linkOf(from, to), ctx.Done()); err != nil {
 		return nil, ctx.Err()
 	}
 	n.mu.Lock()
@@ -75,8 +75,8 @@
 	if !ok {
 		return nil, ErrRefused
 	}
-	near, far := net.Pipe()
-	client, server := n.wrap(near, from, to), n.wrap(far, to, from)
+	clientEnd, serverEnd := net.Pipe()
+	client, server := n.wrap(clientEnd, from, to), n.wrap(serverEnd, to, from)
 	select {
 	case target.accepted <- server:
 		return client, nil
@@ -95,23 +95,23 @@
 	return wrapped
 }
 
-// DropTraffic lets the established connections whose links are selected carry no bytes any more, in the
-// selected direction and without a reset: writes succeed, and nothing arrives. Connections that
-// are opened later work. It returns how many directions fell silent.
+// DropTraffic makes established connections drop what is written in the selected directions from now
+// on, without a reset: writes succeed, and nothing arrives. Connections that are opened later work.
+// It returns the number of directions that began to drop.
 func (n *Network) DropTraffic(selected func(Link) bool) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
 	for open := range n.conns {
-		if selected(open.link) && !open.silent.Swap(true) {
+		if selected(open.link) && !open.dropping.Swap(true) {
 			count++
 		}
 	}
 	return count
 }
 
-// Kill closes a host's listener and every connection from or to it, as the end
-// of its process does.
+// Kill closes a host's listener and every connection from or to it, as the
+// termination of its process does.
 func (n *Network) Kill(host string) {
 	n.mu.Lock()
 	var ended []*conn
@@ -167,7 +167,7 @@
 // String implements net.Addr.
 func (a address) String() string { return string(a) }
 
-// conn holds written bytes back while its link is blocked.
+// conn delays writes while its link is blocked.
 type conn struct {
 	net.Conn
 	network *Network
@@ -175,26 +175,26 @@
 	closed  chan struct{}
 	once    sync.Once
 	sent    *traffic
-	// silent is set once nothing that is written arrives any more.
-	silent atomic.Bool
-	// buffer holds what a limited link has not passed yet.
+	// dropping is set once writes are discarded.
+	dropping atomic.Bool
+	// buffer queues what a limited link has not transmitted yet.
 	buffer sendBuffer
 }
 
-// Write implements net.Conn. Peers write each frame as a whole, so that the gate
-// never holds a part of one back: yamux reads the body of a frame under a lock, on
-// which virtual time does not advance.
+// Write implements net.Conn. Peers write each frame in one call, so that the
+// filter never delays a part of it: yamux holds a lock while it reads the body of
+// a frame, and virtual time does not advance while a goroutine waits for a lock.
 func (c *conn) Write(data []byte) (int, error) {
-	if err := c.network.gate.wait(c.link, c.closed); err != nil {
+	if err := c.network.filter.wait(c.link, c.closed); err != nil {
 		return 0, err
 	}
 	c.sent.bytes.Add(int64(len(data)))
 	c.sent.frames.Add(1)
-	if c.silent.Load() {
+	if c.dropping.Load() {
 		return len(data), nil
 	}
-	if c.network.limited.bounds(c.link) {
-		return c.sendLater(data)
+	if c.network.limited.isLimited(c.link) {
+		return c.enqueue(data)
 	}
 	return c.Conn.Write(data)
 }
@@ -210,8 +210,8 @@
 	return c.Conn.Close()
 }
 
-// LocalAddr implements net.Conn; it names the host.
+// LocalAddr implements net.Conn; the address has no port.
 func (c *conn) LocalAddr() net.Addr { return address(c.link.From) }
 
-// RemoteAddr implements net.Conn; it names the host.
+// RemoteAddr implements net.Conn; the address has no port.
 func (c *conn) RemoteAddr() net.Addr { return address(c.link.To) }
--- a/sim/memnet/web.go
+++ b/sim/memnet/http.go
@@ -10,31 +10,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrAborted is what a reader sees when an exchange is cut.
-var ErrAborted = errors.New("memnet: connection cut")
+// ErrAborted is the error of an exchange that is aborted.
+var ErrAborted = errors.New("memnet: exchange aborted")
 
 // HTTPNetwork carries HTTP exchanges between hosts. It is safe for concurrent use.
 type HTTPNetwork struct {
-	gate *LinkFilter
+	filter *LinkFilter
 
 	mu        sync.Mutex
 	handlers  map[string]http.Handler
 	exchanges map[*exchange]struct{}
 }
 
-// NewHTTPNetwork returns a web whose links the gate controls.
-func NewHTTPNetwork(gate *LinkFilter) *HTTPNetwork {
-	return &HTTPNetwork{gate: gate, handlers: map[string]http.Handler{}, exchanges: map[*exchange]struct{}{}}
+// NewHTTPNetwork returns a network whose links the filter can block.
+func NewHTTPNetwork(filter *LinkFilter) *HTTPNetwork {
+	return &HTTPNetwork{filter: filter, handlers: map[string]http.Handler{}, exchanges: map[*exchange]struct{}{}}
 }
 
-// Handle serves an address.
+// Handle sets the handler of an address.
 func (w *HTTPNetwork) Handle(address string, handler http.Handler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.handlers[address] = handler
 }
 
-// Abort ends every exchange that the function selects.
+// Abort aborts every exchange that the function selects, and returns their number.
 func (w *HTTPNetwork) Abort(selected func(Link) bool) int {
 	w.mu.Lock()
 	var ended []*exchange
@@ -45,12 +45,12 @@
 	}
 	w.mu.Unlock()
 	for _, open := range ended {
-		open.cut()
+		open.abort()
 	}
 	return len(ended)
 }
 
-// Kill stops serving a host's addresses and cuts every exchange from or to it.
+// Kill stops serving a host's addresses and aborts every exchange from or to it.
 func (w *HTTPNetwork) Kill(host string) {
 	w.mu.Lock()
 	for served := range w.handlers {
@@ -62,12 +62,14 @@
 	w.Abort(func(link Link) bool { return link.From == host || link.To == host })
 }
 
-// Transport returns the transport of a host.
-func (w *HTTPNetwork) Transport(from string) http.RoundTripper { return &transport{web: w, from: from} }
+// Transport returns the HTTP transport of a host.
+func (w *HTTPNetwork) Transport(from string) http.RoundTripper {
+	return &transport{network: w, from: from}
+}
 
 type transport struct {
-	web  *HTTPNetwork
-	from string
+	network *HTTPNetwork
+	from    string
 }
 
 // exchange is one request with its response.
@@ -79,7 +81,7 @@
 	once   sync.Once
 }
 
-func (e *exchange) cut() {
+func (e *exchange) abort() {
 	e.once.Do(func() {
 		close(e.ended)
 		e.cancel()
@@ -90,12 +92,12 @@
 // RoundTrip implements http.RoundTripper.
 func (t *transport) RoundTrip(request *http.Request) (*http.Response, error) {
 	link := linkOf(t.from, request.URL.Host)
-	if err := t.web.gate.wait(link, request.Context().Done()); err != nil {
+	if err := t.network.filter.wait(link, request.Context().Done()); err != nil {
 		return nil, request.Context().Err()
 	}
-	t.web.mu.Lock()
-	handler, ok := t.web.handlers[request.URL.Host]
-	t.web.mu.Unlock()
+	t.network.mu.Lock()
+	handler, ok := t.network.handlers[request.URL.Host]
+	t.network.mu.Unlock()
 	if !ok {
 		return nil, ErrRefused
 	}
@@ -109,13 +111,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	reader, writer := io.Pipe()
 	open := &exchange{link: link, cancel: cancel, body: writer, ended: make(chan struct{})}
-	t.web.mu.Lock()
-	t.web.exchanges[open] = struct{}{}
-	t.web.mu.Unlock()
-	stop := context.AfterFunc(request.Context(), open.cut)
-	answer := &responseWriter{header: http.Header{}, exchange: open, gate: t.web.gate, started: make(chan struct{})}
+	t.network.mu.Lock()
+	t.network.exchanges[open] = struct{}{}
+	t.network.mu.Unlock()
+	stop := context.AfterFunc(request.Context(), open.abort)
+	answer := &responseWriter{header: http.Header{}, exchange: open, filter: t.network.filter, started: make(chan struct{})}
 	go func() {
-		defer t.web.remove(open)
+		defer t.network.remove(open)
 		defer stop()
 		serve(handler, answer, serverSide(ctx, request))
 	}()
@@ -127,7 +129,7 @@
 		}
 		return nil, ErrAborted
 	}
-	if err := t.web.gate.wait(Link{link.To, link.From}, open.ended); err != nil {
+	if err := t.network.filter.wait(Link{link.To, link.From}, open.ended); err != nil {
 		return nil, ErrAborted
 	}
 	return &http.Response{
@@ -144,7 +146,7 @@
 	open.cancel()
 }
 
-// serverSide is the request as its server sees it.
+// serverSide returns the request as its server receives it.
 func serverSide(ctx context.Context, request *http.Request) *http.Request {
 	received := request.Clone(ctx)
 	received.RequestURI = request.URL.RequestURI()
@@ -154,12 +156,13 @@
 	return received
 }
 
-// serve runs the handler and ends the response, or cuts it if the handler aborts.
+// serve runs the handler and ends the response, or aborts it if the handler
+// panics with http.ErrAbortHandler.
 func serve(handler http.Handler, answer *responseWriter, request *http.Request) {
 	defer func() {
 		failure := recover()
 		if err, ok := failure.(error); ok && errors.Is(err, http.ErrAbortHandler) {
-			answer.exchange.cut()
+			answer.exchange.abort()
 			return
 		}
 		if failure != nil {
@@ -176,7 +179,7 @@
 	sent     http.Header
 	status   int
 	exchange *exchange
-	gate     *LinkFilter
+	filter   *LinkFilter
 	started  chan struct{}
 	once     sync.Once
 }
@@ -196,21 +199,21 @@
 func (w *responseWriter) Write(data []byte) (int, error) {
 	w.WriteHeader(http.StatusOK)
 	link := w.exchange.link
-	if err := w.gate.wait(Link{link.To, link.From}, w.exchange.ended); err != nil {
+	if err := w.filter.wait(Link{link.To, link.From}, w.exchange.ended); err != nil {
 		return 0, err
 	}
 	return w.exchange.body.Write(data)
 }
 
-// FlushError lets http.ResponseController flush. A write has handed its bytes to
-// the reader already, so a flush cannot fail: that the reader has closed since then,
-// with all that it wanted, is no failure of what was written.
+// FlushError implements the flush of http.ResponseController. A write returns once
+// the reader has its bytes, so a flush cannot fail, even if the reader has closed
+// the body since then.
 func (w *responseWriter) FlushError() error {
 	w.WriteHeader(http.StatusOK)
 	return nil
 }
 
-// body ends the exchange when its reader closes it.
+// body aborts the exchange when its reader closes it.
 type body struct {
 	*io.PipeReader
 	exchange *exchange
@@ -218,6 +221,6 @@
 
 // Close implements io.Closer.
 func (b *body) Close() error {
-	b.exchange.cut()
+	b.exchange.abort()
 	return b.PipeReader.Close()
 }
--- a/sim/memnet/gate.go
+++ b/sim/memnet/linkfilter.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Link is a direction between two hosts, named without their ports.
+// Link is one direction between two hosts, identified by address without port.
 type Link struct{ From, To string }
 
 func linkOf(from, to string) Link { return Link{hostOf(from), hostOf(to)} }
@@ -20,33 +20,33 @@
 	return host
 }
 
-// LinkFilter decides which links pass bytes. It is safe for concurrent use.
+// LinkFilter blocks links between hosts. It is safe for concurrent use.
 type LinkFilter struct {
 	mu      sync.Mutex
 	blocked func(Link) bool
 	changed chan struct{}
 }
 
-// NewLinkFilter returns a gate that passes everything.
+// NewLinkFilter returns a filter that blocks no link.
 func NewLinkFilter() *LinkFilter {
 	return &LinkFilter{blocked: func(Link) bool { return false }, changed: make(chan struct{})}
 }
 
-// Block replaces the decision which links are blocked.
-func (g *LinkFilter) Block(blocked func(Link) bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.blocked = blocked
-	close(g.changed)
-	g.changed = make(chan struct{})
+// Block replaces the function that selects the blocked links.
+func (f *LinkFilter) Block(blocked func(Link) bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.blocked = blocked
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
-// wait returns when the link passes bytes, or net.ErrClosed when done closes.
-func (g *LinkFilter) wait(link Link, done <-chan struct{}) error {
+// wait returns nil once the link is not blocked, or net.ErrClosed when done closes.
+func (f *LinkFilter) wait(link Link, done <-chan struct{}) error {
 	for {
-		g.mu.Lock()
-		blocked, changed := g.blocked(link), g.changed
-		g.mu.Unlock()
+		f.mu.Lock()
+		blocked, changed := f.blocked(link), f.changed
+		f.mu.Unlock()
 		if !blocked {
 			return nil
 		}
