--- a/sim/sitemodel/doc.go
+++ b/sim/sitemodel/doc.go
@@ -1,10 +1,11 @@
-// Package sitemodel is a discrete-event model of engines whose memory is filled by growing
-// answers, as at the users' sites, in virtual time. It is seeded and deterministic. The
-// router's own policy calls the ledger that the coordinator calls.
+// Package sitemodel is a discrete-event model, in virtual time, of the engines of the users'
+// sites, whose memory fills as answers grow. It is seeded and deterministic. The router's own
+// policy uses the same ledger package as the coordinator.
 //
-// It has what binds there: prompts read in turn at the pace of a prefill engine, results
-// that lapse, links, memory that each answer fills as it grows, the newest run preempted
-// and read anew where it overflows, and steps that take longer with the batch. It leaves out
-// nodes, the network between them and everything that fails; docs/MODEL.md sets its ranking
-// of policies beside that of the users' bench.
+// It models the constraints of these sites: prompts prefilled one after the other at the rate
+// of a prefill engine, prefill results that expire, link bandwidth, memory that each answer
+// uses as it grows, preemption of the newest run and recomputation of its tokens when memory
+// overflows, and steps that take longer with a larger batch. It leaves out nodes, the network
+// between them and failures; docs/MODEL.md compares its ranking of policies with that of the
+// users' bench.
 package sitemodel
--- a/sim/sitemodel/engine.go
+++ b/sim/sitemodel/engine.go
@@ -9,39 +9,39 @@
 // run is a request at a decode engine.
 type run struct {
 	request *request
-	// made is how many tokens it has made.
-	made float64
-	// entered orders runs by when they came; the newest is preempted first.
-	entered int
-	// since is when it was preempted.
-	since time.Duration
-	// setAside is memory that the engine keeps for it, used or not.
-	setAside float64
+	// generated is the number of tokens generated so far.
+	generated float64
+	// sequence orders runs by admission; the newest is preempted first.
+	sequence int
+	// preemptedAt is when it was preempted.
+	preemptedAt time.Duration
+	// reserved is memory that the engine keeps for it, used or not.
+	reserved float64
 }
 
-// size is what the run fills, held what nobody else can have.
-func (r *run) size() float64 { return float64(r.request.prompt) + r.made }
-func (r *run) held() float64 { return max(r.size(), r.setAside) }
+// size is the memory that the run uses, held the memory that is unavailable to other runs.
+func (r *run) size() float64 { return float64(r.request.prompt) + r.generated }
+func (r *run) held() float64 { return max(r.size(), r.reserved) }
 
-// decodeEngine lets all its runs make a token a step. Between two changes of its batch the
-// step is taken as constant.
+// decodeEngine generates one token of each of its runs per step. The step time is taken as
+// constant between two changes of the batch.
 type decodeEngine struct {
 	simulation *simulation
 	id         int
 	batch      []*run
-	// preempted are runs that wait to be read anew.
+	// preempted are runs that wait for the recomputation of their tokens.
 	preempted []*run
-	// reserved is memory set aside for runs that have not begun.
-	reserved float64
-	advanced time.Duration
-	entries  int
-	// epoch tells a planned event from one of an earlier batch.
+	// reserved is memory reserved for runs that have not started.
+	reserved   float64
+	advancedTo time.Duration
+	admissions int
+	// epoch is the number of the batch; events scheduled for an earlier one are ignored.
 	epoch int
-	// linkFree is when its link is free.
+	// linkFree is when its link becomes free.
 	linkFree time.Duration
 }
 
-// used is the memory of the batch.
+// used returns the memory of the batch.
 func (e *decodeEngine) used() float64 {
 	total := 0.0
 	for _, current := range e.batch {
@@ -50,110 +50,110 @@
 	return total
 }
 
-// step is the time of one token of each run.
+// step returns the time of one decode step.
 func (e *decodeEngine) step() time.Duration {
-	sheet := &e.simulation.sheet
+	site := &e.simulation.site
 	context := e.used() / 1000
-	return sheet.Step + sheet.StepPerRun*time.Duration(len(e.batch)) + time.Duration(context*float64(sheet.StepPerThousand))
+	return site.Step + site.StepPerRun*time.Duration(len(e.batch)) + time.Duration(context*float64(site.StepPerThousand))
 }
 
-// advance lets the batch go on until now.
+// advance adds the tokens that the batch has generated since the last call.
 func (e *decodeEngine) advance() {
 	now := e.simulation.Now()
 	if len(e.batch) > 0 {
-		tokens := float64(now-e.advanced) / float64(e.step())
+		tokens := float64(now-e.advancedTo) / float64(e.step())
 		for _, current := range e.batch {
-			current.made += tokens
+			current.generated += tokens
 		}
 	}
-	e.advanced = now
+	e.advancedTo = now
 }
 
-// fits reports whether the engine lets a run of a size in.
+// fits reports whether the engine has capacity for a run of the given size.
 func (e *decodeEngine) fits(tokens float64) bool {
 	e.advance()
-	return len(e.batch) < e.simulation.sheet.Slots && e.used()+e.reserved+tokens <= float64(e.simulation.sheet.Memory)
+	return len(e.batch) < e.simulation.site.Slots && e.used()+e.reserved+tokens <= float64(e.simulation.site.Memory)
 }
 
-// admit begins a run.
+// admit adds a run to the batch.
 func (e *decodeEngine) admit(entering *run) {
 	e.advance()
-	e.entries++
-	entering.entered = e.entries
+	e.admissions++
+	entering.sequence = e.admissions
 	e.batch = append(e.batch, entering)
-	e.plan()
+	e.schedule()
 }
 
-// plan looks at the batch again when the next run ends or memory overflows.
-func (e *decodeEngine) plan() {
+// schedule plans the next update, for when the first run ends or memory overflows.
+func (e *decodeEngine) schedule() {
 	e.epoch++
 	if len(e.batch) == 0 {
 		e.resumePreempted()
 		return
 	}
-	least := math.Inf(1)
+	remaining := math.Inf(1)
 	for _, current := range e.batch {
-		least = min(least, float64(current.request.output)-current.made)
+		remaining = min(remaining, float64(current.request.output)-current.generated)
 	}
-	room := (float64(e.simulation.sheet.Memory) - e.used()) / float64(len(e.batch))
-	steps := max(1, math.Ceil(min(least, room)))
+	freePerRun := (float64(e.simulation.site.Memory) - e.used()) / float64(len(e.batch))
+	steps := max(1, math.Ceil(min(remaining, freePerRun)))
 	epoch := e.epoch
 	e.simulation.After(time.Duration(steps*float64(e.step())), func() {
 		if e.epoch == epoch {
-			e.look()
+			e.update()
 		}
 	})
 }
 
-// look ends what has ended and preempts what does not fit.
-func (e *decodeEngine) look() {
+// update completes runs that have ended and preempts runs that do not fit.
+func (e *decodeEngine) update() {
 	e.advance()
 	var ended []*run
 	e.batch = slices.DeleteFunc(e.batch, func(current *run) bool {
-		if current.made < float64(current.request.output) {
+		if current.generated < float64(current.request.output) {
 			return false
 		}
 		ended = append(ended, current)
 		return true
 	})
-	for len(e.batch) > 1 && e.used()+float64(len(e.batch)) > float64(e.simulation.sheet.Memory) {
+	for len(e.batch) > 1 && e.used()+float64(len(e.batch)) > float64(e.simulation.site.Memory) {
 		e.preempt()
 	}
 	e.resumePreempted()
-	e.plan()
+	e.schedule()
 	for _, current := range ended {
 		e.simulation.served(e, current)
 	}
 }
 
-// preempt takes the newest run out of the batch.
+// preempt removes the newest run from the batch.
 func (e *decodeEngine) preempt() {
-	newest := slices.MaxFunc(e.batch, func(a, b *run) int { return a.entered - b.entered })
+	newest := slices.MaxFunc(e.batch, func(a, b *run) int { return a.sequence - b.sequence })
 	e.batch = slices.DeleteFunc(e.batch, func(current *run) bool { return current == newest })
-	newest.since = e.simulation.Now()
+	newest.preemptedAt = e.simulation.Now()
 	e.preempted = append(e.preempted, newest)
 	e.simulation.preemptions++
 }
 
-// resumePreempted reads the first preempted run anew where there is room. A decode engine
-// reads at half the pace.
+// resumePreempted recomputes the tokens of the first preempted run if there is capacity. A
+// decode engine prefills at half the rate of a prefill engine.
 func (e *decodeEngine) resumePreempted() {
 	if len(e.preempted) == 0 || !e.fits(e.preempted[0].size()) {
 		return
 	}
 	resumed := e.preempted[0]
 	e.preempted = e.preempted[1:]
-	e.simulation.readTokens += resumed.size()
+	e.simulation.prefilledTokens += resumed.size()
 	e.simulation.wastedTokens += resumed.size()
-	reading := time.Duration(2 * resumed.size() / e.simulation.sheet.ReadPerMillisecond * float64(time.Millisecond))
-	if e.simulation.Now()+reading-resumed.since > e.simulation.sheet.MaxPause {
+	recomputation := time.Duration(2 * resumed.size() / e.simulation.site.PrefillPerMillisecond * float64(time.Millisecond))
+	if e.simulation.Now()+recomputation-resumed.preemptedAt > e.simulation.site.MaxPause {
 		resumed.request.paused = true
 	}
-	e.simulation.After(reading, func() { e.admit(resumed) })
+	e.simulation.After(recomputation, func() { e.admit(resumed) })
 }
 
-// prefillEngine reads one prompt at a time.
+// prefillEngine prefills one prompt at a time.
 type prefillEngine struct {
-	// free is when it will have read all that was given to it.
+	// free is when it will have prefilled all prompts assigned to it.
 	free time.Duration
 }
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -13,32 +13,32 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// policy decides which decode engine a request is given before its prompt is read.
+// policy assigns a decode engine to a request before the prefill.
 type policy interface {
-	// place returns an engine, or nil where the request is to wait.
-	place(s *simulation, asked *request) *decodeEngine
-	// setAside is the memory that an engine sets aside for a run, from when it is placed
-	// until it has ended.
-	setAside(asked *request) float64
-	// ended tells of a run that is over; whole is false where it did not begin.
-	ended(s *simulation, e *decodeEngine, over *request, took time.Duration, whole bool)
-	// returnAfter is when a refused caller is to come back.
-	returnAfter(s *simulation, refused *request) time.Duration
+	// place returns an engine, or nil if the request must wait.
+	place(s *simulation, incoming *request) *decodeEngine
+	// reservation returns the memory that an engine reserves for a run, from its placement to
+	// its end.
+	reservation(incoming *request) float64
+	// ended reports the end of a run; completed is false if the run did not start.
+	ended(s *simulation, e *decodeEngine, finished *request, duration time.Duration, completed bool)
+	// retryAfter returns the delay after which the caller of a refused request retries.
+	retryAfter(s *simulation, refused *request) time.Duration
 }
 
 // The names of the policies.
 const (
-	// PolicyCoordinator gives engines by one ledger that looks ahead.
+	// PolicyCoordinator assigns engines by one ledger that predicts memory.
 	PolicyCoordinator = "coordinator"
-	// PolicyReservation asks the engines for memory, in an order of chance.
+	// PolicyReservation requests memory from the engines, in random order.
 	PolicyReservation = "reservation"
-	// PolicyLeastLoaded takes the engine with the fewest runs and asks nobody.
+	// PolicyLeastLoaded takes the engine with the fewest runs, without a reservation.
 	PolicyLeastLoaded = "least-loaded"
-	// PolicyRandom takes any engine.
+	// PolicyRandom takes a random engine.
 	PolicyRandom = "random"
 )
 
-// Policies are the names of the policies, the router's own first.
+// Policies returns the names of the policies, the router's own first.
 func Policies() []string {
 	return []string{PolicyCoordinator, PolicyReservation, PolicyLeastLoaded, PolicyRandom}
 }
@@ -46,133 +46,133 @@
 func newPolicy(name string, random *rand.Rand) (policy, error) {
 	switch name {
 	case PolicyCoordinator:
-		return &coordinated{book: ledger.New(ledger.Options{}), names: map[*request]string{}}, nil
+		return &coordinatorPolicy{ledger: ledger.New(ledger.Options{}), names: map[*request]string{}}, nil
 	case PolicyReservation:
-		return reserving{random}, nil
+		return reservationPolicy{random}, nil
 	case PolicyLeastLoaded:
-		return leastLoaded{random}, nil
+		return leastLoadedPolicy{random}, nil
 	case PolicyRandom:
-		return anyEngine{random}, nil
+		return randomPolicy{random}, nil
 	default:
 		return nil, errors.Newf("unknown policy %q", name)
 	}
 }
 
-// coordinated is the router's own policy: the ledger that its coordinators keep.
-type coordinated struct {
-	book    *ledger.Ledger
+// coordinatorPolicy is the router's own policy, with the ledger that its coordinators use.
+type coordinatorPolicy struct {
+	ledger  *ledger.Ledger
 	output  estimate.OutputLength
 	names   map[*request]string
 	started bool
 	next    int
 }
 
-func (p *coordinated) start(s *simulation) {
+func (p *coordinatorPolicy) start(s *simulation) {
 	if p.started {
 		return
 	}
 	p.started = true
 	engines := make([]ledger.Engine, len(s.decodes))
 	for i, engine := range s.decodes {
-		engines[i] = ledger.Engine{ID: strconv.Itoa(engine.id), Memory: s.sheet.Memory, Slots: s.sheet.Slots}
+		engines[i] = ledger.Engine{ID: strconv.Itoa(engine.id), Memory: s.site.Memory, Slots: s.site.Slots}
 	}
-	p.book.SetEngines(engines)
+	p.ledger.SetEngines(engines)
 }
 
-func (p *coordinated) runOf(s *simulation, asked *request) ledger.Run {
-	most := int(s.sheet.Events.Most) * s.sheet.EventTokens
-	expected := min(asked.hint, most)
+func (p *coordinatorPolicy) runOf(s *simulation, incoming *request) ledger.Run {
+	most := int(s.site.Events.Max) * s.site.EventTokens
+	expected := min(incoming.hint, most)
 	return ledger.Run{
-		ID: p.names[asked], Prompt: asked.prompt, CallerEstimate: expected, MaxOutput: most,
+		ID: p.names[incoming], Prompt: incoming.prompt, CallerEstimate: expected, MaxOutput: most,
 		Output: p.output.Mean(expected, most), Holder: "node",
 	}
 }
 
-func (p *coordinated) place(s *simulation, asked *request) *decodeEngine {
+func (p *coordinatorPolicy) place(s *simulation, incoming *request) *decodeEngine {
 	p.start(s)
 	p.next++
-	p.names[asked] = strconv.Itoa(p.next)
-	given, found := p.book.Assign(s.Now(), p.runOf(s, asked), nil)
+	p.names[incoming] = strconv.Itoa(p.next)
+	assigned, found := p.ledger.Assign(s.Now(), p.runOf(s, incoming), nil)
 	if !found {
 		return nil
 	}
-	id, err := strconv.Atoi(given)
+	id, err := strconv.Atoi(assigned)
 	if err != nil {
-		panic(err) // Named above.
+		panic(err) // start set the ID.
 	}
 	return s.decodes[id]
 }
 
-// assumedStart is the time to the first event that the pace of the emulator's runs is taken
-// without.
-const assumedStart = 150 * time.Millisecond
+// assumedFirstEvent is the time to the first event, which the rate of the emulator's runs does
+// not include.
+const assumedFirstEvent = 150 * time.Millisecond
 
-// setAside is nothing: the book sees to the room that runs grow into.
-func (*coordinated) setAside(*request) float64 { return 0 }
+// reservation returns zero: the ledger predicts the memory that runs grow into.
+func (*coordinatorPolicy) reservation(*request) float64 { return 0 }
 
-func (p *coordinated) ended(_ *simulation, _ *decodeEngine, over *request, took time.Duration, whole bool) {
-	if !whole {
-		p.book.End(p.names[over], ledger.AnswerTiming{})
+func (p *coordinatorPolicy) ended(_ *simulation, _ *decodeEngine, finished *request, duration time.Duration, completed bool) {
+	if !completed {
+		p.ledger.End(p.names[finished], ledger.AnswerTiming{})
 		return
 	}
-	// The emulator's runs begin with their first event at the guessed start.
-	answer := ledger.AnswerTiming{FirstEvent: assumedStart, Duration: took, RestTokens: over.output}
-	if run, known := p.book.End(p.names[over], answer); known {
-		p.output.Observe(run.CallerEstimate, over.output)
+	// The first event of the emulator's runs is assumed to come at assumedFirstEvent.
+	answer := ledger.AnswerTiming{FirstEvent: assumedFirstEvent, Duration: duration, RestTokens: finished.output}
+	if run, known := p.ledger.End(p.names[finished], answer); known {
+		p.output.Observe(run.CallerEstimate, finished.output)
 	}
 }
 
-func (p *coordinated) returnAfter(s *simulation, refused *request) time.Duration {
-	return max(shortestReturn, p.book.TimeUntilCapacity(s.Now(), p.runOf(s, refused)))
+func (p *coordinatorPolicy) retryAfter(s *simulation, refused *request) time.Duration {
+	return max(minRetryDelay, p.ledger.TimeUntilCapacity(s.Now(), p.runOf(s, refused)))
 }
 
-// reserving asks the engines for the memory that the caller expects to need.
-type reserving struct{ random *rand.Rand }
+// reservationPolicy reserves at an engine the memory that the caller expects to need.
+type reservationPolicy struct{ random *rand.Rand }
 
-// reservedMargin is how much of the expected output is reserved.
-const reservedMargin = 1.3
+// reservedFactor is the reserved output as a multiple of the expected output.
+const reservedFactor = 1.3
 
-func (p reserving) place(s *simulation, asked *request) *decodeEngine {
-	wanted := p.setAside(asked)
+func (p reservationPolicy) place(s *simulation, incoming *request) *decodeEngine {
+	reservation := p.reservation(incoming)
 	for _, i := range p.random.Perm(len(s.decodes)) {
 		engine := s.decodes[i]
-		if engine.fits(wanted) {
+		if engine.fits(reservation) {
 			return engine
 		}
 	}
 	return nil
 }
 
-func (reserving) setAside(asked *request) float64 {
-	return float64(asked.prompt) + reservedMargin*float64(asked.hint)
+func (reservationPolicy) reservation(incoming *request) float64 {
+	return float64(incoming.prompt) + reservedFactor*float64(incoming.hint)
 }
 
-func (reserving) ended(*simulation, *decodeEngine, *request, time.Duration, bool) {}
+func (reservationPolicy) ended(*simulation, *decodeEngine, *request, time.Duration, bool) {}
 
-func (reserving) returnAfter(*simulation, *request) time.Duration { return plainReturn }
+func (reservationPolicy) retryAfter(*simulation, *request) time.Duration { return defaultRetryDelay }
 
-// leastLoaded takes the engine with the fewest runs.
-type leastLoaded struct{ random *rand.Rand }
+// leastLoadedPolicy takes the engine with the fewest runs.
+type leastLoadedPolicy struct{ random *rand.Rand }
 
-func (p leastLoaded) place(s *simulation, _ *request) *decodeEngine {
+func (p leastLoadedPolicy) place(s *simulation, _ *request) *decodeEngine {
 	order := p.random.Perm(len(s.decodes))
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(s.pending[a], s.pending[b]) })
 	return s.decodes[order[0]]
 }
 
-func (leastLoaded) setAside(*request) float64 { return 0 }
+func (leastLoadedPolicy) reservation(*request) float64 { return 0 }
 
-func (leastLoaded) ended(*simulation, *decodeEngine, *request, time.Duration, bool) {}
-func (leastLoaded) returnAfter(*simulation, *request) time.Duration                 { return plainReturn }
+func (leastLoadedPolicy) ended(*simulation, *decodeEngine, *request, time.Duration, bool) {}
+func (leastLoadedPolicy) retryAfter(*simulation, *request) time.Duration                  { return defaultRetryDelay }
 
-// anyEngine takes an engine by chance.
-type anyEngine struct{ random *rand.Rand }
+// randomPolicy takes a random engine.
+type randomPolicy struct{ random *rand.Rand }
 
-func (p anyEngine) place(s *simulation, _ *request) *decodeEngine {
+func (p randomPolicy) place(s *simulation, _ *request) *decodeEngine {
 	return s.decodes[p.random.IntN(len(s.decodes))]
 }
 
-func (anyEngine) setAside(*request) float64 { return 0 }
+func (randomPolicy) reservation(*request) float64 { return 0 }
 
-func (anyEngine) ended(*simulation, *decodeEngine, *request, time.Duration, bool) {}
-func (anyEngine) returnAfter(*simulation, *request) time.Duration                 { return plainReturn }
+func (randomPolicy) ended(*simulation, *decodeEngine, *request, time.Duration, bool) {}
+func (randomPolicy) retryAfter(*simulation, *request) time.Duration                  { return defaultRetryDelay }
--- a/sim/sitemodel/run.go
+++ b/sim/sitemodel/run.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// firstWait and returnWait are the shares of the objective that a request waits for room
-	// in its first attempt and when it has come back.
-	firstWait, returnWait = 0.2, 0.65
-	// waitStep is how often a request that waits is looked at.
-	waitStep = 20 * time.Millisecond
-	// shortestReturn and longestReturn bound when a refused caller comes back; plainReturn is
-	// what policies say that cannot tell.
-	shortestReturn = 200 * time.Millisecond
-	longestReturn  = 4500 * time.Millisecond
-	plainReturn    = time.Second
-	// maxReads bounds how often the prompt of a request is read.
-	maxReads = 3
-	// Worth of answers: in time, late, and in time after a prompt refusal.
-	worthInTime, worthLate = 1.0, 0.2
-	worthReturned          = (worthInTime + worthLate) / 2
-	// wastedPrice is what prompts read for nothing cost, by their share of all that is read:
-	// on the users' bench 5.4 % of them cost 0.040 of the worth.
-	wastedPrice = 0.75
+	// firstWait and retryWait are the shares of the objective for which a request waits for
+	// capacity in its first attempt and in a client retry.
+	firstWait, retryWait = 0.2, 0.65
+	// waitInterval is the time between two placement attempts of a waiting request.
+	waitInterval = 20 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay of a client retry; defaultRetryDelay is
+	// that of policies which cannot predict capacity.
+	minRetryDelay     = 200 * time.Millisecond
+	maxRetryDelay     = 4500 * time.Millisecond
+	defaultRetryDelay = time.Second
+	// maxPrefills bounds the prefills of a request before it is refused.
+	maxPrefills = 3
+	// Scores of answers: in time, late, and in time after a quick refusal.
+	scoreInTime, scoreLate = 1.0, 0.2
+	scoreRetried           = (scoreInTime + scoreLate) / 2
+	// wastedPrefillCost is subtracted from the score, times the share of prefilled tokens that
+	// were wasted: on the users' bench a share of 5.4 % cost 0.040 of the score.
+	wastedPrefillCost = 0.75
 )
 
 // Options describe one run.
@@ -34,11 +34,11 @@
 	Site   string
 	Policy string
 	Seed   uint64
-	// Load is one at the rate of the sheet.
+	// Load is the request rate as a multiple of the site's rate.
 	Load float64
 	// Length is the virtual time over which requests arrive.
 	Length time.Duration
-	// Prefill is how many engines read prompts; zero takes the sheet's.
+	// Prefill is the number of prefill engines; zero means that of the site.
 	Prefill int
 }
 
@@ -48,15 +48,15 @@
 	Policy string  `json:"policy"`
 	Seed   uint64  `json:"seed"`
 	Load   float64 `json:"load"`
-	// Score is what was earned as a share of what an answer in time to each request would
-	// have earned, less the price of prompts read for nothing.
+	// Score is the mean score of the requests, where an answer in time to the first attempt
+	// scores one, less the cost of wasted prefill.
 	Score float64 `json:"worth"`
 	// InTime, Late, Refused and Failed are shares of the requests.
 	InTime  float64 `json:"in_time"`
 	Late    float64 `json:"late"`
 	Refused float64 `json:"refused"`
 	Failed  float64 `json:"failed"`
-	// WastedPrefill is the share of the tokens read that were read for nothing or anew.
+	// WastedPrefill is the share of the prefilled tokens that were wasted or recomputed.
 	WastedPrefill float64 `json:"wasted_prefill"`
 	Preemptions   int     `json:"preemptions"`
 	Offered       int     `json:"offered"`
@@ -65,34 +65,34 @@
 // simulation is one run of the model.
 type simulation struct {
 	eventqueue.Queue
-	sheet    Sheet
+	site     Site
 	prefills []*prefillEngine
 	decodes  []*decodeEngine
-	// pending counts the requests given to each decode engine.
+	// pending counts the requests assigned to each decode engine.
 	pending []int
 	policy  policy
 
-	readTokens, wastedTokens float64
-	preemptions              int
+	prefilledTokens, wastedTokens float64
+	preemptions                   int
 }
 
-// Run plays one policy over one site.
+// Run simulates one policy at one site.
 func Run(options Options) (Outcome, error) {
-	sheet, err := Find(options.Site)
+	site, err := Find(options.Site)
 	if err != nil {
 		return Outcome{}, err
 	}
 	if options.Prefill > 0 {
-		sheet.Decode += sheet.Prefill - options.Prefill
-		sheet.Prefill = options.Prefill
+		site.Decode += site.Prefill - options.Prefill
+		site.Prefill = options.Prefill
 	}
 	const requestStream, policyStream = 1, 2
 	chosen, err := newPolicy(options.Policy, rand.New(rand.NewPCG(options.Seed, policyStream)))
 	if err != nil {
 		return Outcome{}, err
 	}
-	s := newSimulation(sheet, chosen)
-	requests := sheet.generate(rand.New(rand.NewPCG(options.Seed, requestStream)), options.Load, options.Length)
+	s := newSimulation(site, chosen)
+	requests := site.generate(rand.New(rand.NewPCG(options.Seed, requestStream)), options.Load, options.Length)
 	for _, arriving := range requests {
 		s.After(arriving.arrival, func() { s.arrive(arriving) })
 	}
@@ -100,53 +100,53 @@
 	return s.outcome(options, requests), nil
 }
 
-func newSimulation(sheet Sheet, chosen policy) *simulation {
-	s := &simulation{sheet: sheet, policy: chosen, pending: make([]int, sheet.Decode)}
-	for range sheet.Prefill {
+func newSimulation(site Site, chosen policy) *simulation {
+	s := &simulation{site: site, policy: chosen, pending: make([]int, site.Decode)}
+	for range site.Prefill {
 		s.prefills = append(s.prefills, &prefillEngine{})
 	}
-	for i := range sheet.Decode {
+	for i := range site.Decode {
 		s.decodes = append(s.decodes, &decodeEngine{simulation: s, id: i})
 	}
 	return s
 }
 
-// arrive begins an attempt.
+// arrive starts an attempt.
 func (s *simulation) arrive(arriving *request) {
 	arriving.attempt = s.Now()
 	share := firstWait
-	if arriving.returning {
-		share = returnWait
+	if arriving.retried {
+		share = retryWait
 	}
-	s.wait(arriving, s.Now()+time.Duration(share*float64(s.sheet.Objective)))
+	s.wait(arriving, s.Now()+time.Duration(share*float64(s.site.Objective)))
 }
 
-// wait gives a request engines, or looks again until its time is over.
+// wait assigns engines to a request, or retries until its waiting time is over.
 func (s *simulation) wait(waiting *request, until time.Duration) {
-	reader := s.shortestPrefill()
-	reading := s.readingTime(waiting.prompt)
-	inTime := max(s.Now(), reader.free)+reading-waiting.attempt < s.sheet.Objective
+	prefiller := s.shortestPrefill()
+	prefill := s.prefillTime(waiting.prompt)
+	inTime := max(s.Now(), prefiller.free)+prefill-waiting.attempt < s.site.Objective
 	if inTime {
 		if engine := s.policy.place(s, waiting); engine != nil {
-			s.read(waiting, reader, engine)
+			s.prefill(waiting, prefiller, engine)
 			return
 		}
 	}
-	if s.Now()+waitStep > until {
+	if s.Now()+waitInterval > until {
 		s.refuse(waiting)
 		return
 	}
-	s.After(waitStep, func() { s.wait(waiting, until) })
+	s.After(waitInterval, func() { s.wait(waiting, until) })
 }
 
-// refuse gives a request its final answer; the caller comes back once.
+// refuse refuses a request; its caller retries once.
 func (s *simulation) refuse(refused *request) {
-	if refused.returning {
+	if refused.retried {
 		refused.outcome = outcomeRefused
 		return
 	}
-	refused.returning = true
-	after := min(s.policy.returnAfter(s, refused), longestReturn)
+	refused.retried = true
+	after := min(s.policy.retryAfter(s, refused), maxRetryDelay)
 	s.After(after, func() { s.arrive(refused) })
 }
 
@@ -160,59 +160,60 @@
 	return best
 }
 
-func (s *simulation) readingTime(tokens int) time.Duration {
-	return s.sheet.FirstToken + time.Duration(float64(tokens)/s.sheet.ReadPerMillisecond*float64(time.Millisecond))
+func (s *simulation) prefillTime(tokens int) time.Duration {
+	return s.site.PrefillOverhead + time.Duration(float64(tokens)/s.site.PrefillPerMillisecond*float64(time.Millisecond))
 }
 
-// read has the prompt read, and then moved to the decode engine.
-func (s *simulation) read(given *request, reader *prefillEngine, engine *decodeEngine) {
-	given.reads++
+// prefill computes the prompt and transfers the result to the decode engine.
+func (s *simulation) prefill(assigned *request, prefiller *prefillEngine, engine *decodeEngine) {
+	assigned.prefills++
 	s.pending[engine.id]++
-	engine.reserved += s.policy.setAside(given)
-	reader.free = max(s.Now(), reader.free) + s.readingTime(given.prompt)
-	s.After(reader.free-s.Now(), func() {
-		s.readTokens += float64(given.prompt)
-		begins := max(s.Now(), engine.linkFree)
-		move := s.sheet.MoveSetup + time.Duration(float64(given.prompt)/s.sheet.LinkPerMillisecond*float64(time.Millisecond))
-		if begins-s.Now() > s.sheet.HandleLife {
-			s.turnedAway(given, engine)
+	engine.reserved += s.policy.reservation(assigned)
+	prefiller.free = max(s.Now(), prefiller.free) + s.prefillTime(assigned.prompt)
+	s.After(prefiller.free-s.Now(), func() {
+		s.prefilledTokens += float64(assigned.prompt)
+		transferStart := max(s.Now(), engine.linkFree)
+		transfer := s.site.TransferOverhead + time.Duration(float64(assigned.prompt)/s.site.LinkPerMillisecond*float64(time.Millisecond))
+		if transferStart-s.Now() > s.site.HandleTTL {
+			s.rejected(assigned, engine)
 			return
 		}
-		engine.linkFree = begins + move
-		s.After(begins+move-s.Now(), func() { s.begin(given, engine) })
+		engine.linkFree = transferStart + transfer
+		s.After(transferStart+transfer-s.Now(), func() { s.startDecode(assigned, engine) })
 	})
 }
 
-// begin starts the answer where the engine has room for the prompt.
-func (s *simulation) begin(given *request, engine *decodeEngine) {
-	setAside := s.policy.setAside(given)
-	if !engine.fits(max(0, float64(given.prompt)-setAside)) {
-		s.turnedAway(given, engine)
+// startDecode starts the answer if the engine has capacity for the prompt.
+func (s *simulation) startDecode(assigned *request, engine *decodeEngine) {
+	reservation := s.policy.reservation(assigned)
+	if !engine.fits(max(0, float64(assigned.prompt)-reservation)) {
+		s.rejected(assigned, engine)
 		return
 	}
-	engine.reserved -= setAside
-	given.first = s.Now() + engine.step()*time.Duration(s.sheet.EventTokens)
-	engine.admit(&run{request: given, setAside: setAside})
+	engine.reserved -= reservation
+	assigned.first = s.Now() + engine.step()*time.Duration(s.site.EventTokens)
+	engine.admit(&run{request: assigned, reserved: reservation})
 }
 
-// turnedAway reads a prompt once more where its engine did not take it.
-func (s *simulation) turnedAway(given *request, engine *decodeEngine) {
+// rejected repeats the prefill of a request that its decode engine rejected, or refuses the
+// request after maxPrefills.
+func (s *simulation) rejected(assigned *request, engine *decodeEngine) {
 	s.pending[engine.id]--
-	engine.reserved -= s.policy.setAside(given)
-	s.wastedTokens += float64(given.prompt)
-	s.policy.ended(s, engine, given, 0, false)
-	if given.reads >= maxReads {
-		s.refuse(given)
+	engine.reserved -= s.policy.reservation(assigned)
+	s.wastedTokens += float64(assigned.prompt)
+	s.policy.ended(s, engine, assigned, 0, false)
+	if assigned.prefills >= maxPrefills {
+		s.refuse(assigned)
 		return
 	}
-	s.wait(given, s.Now())
+	s.wait(assigned, s.Now())
 }
 
-// served ends a request with a whole answer.
-func (s *simulation) served(engine *decodeEngine, over *run) {
+// served ends a request with a complete answer.
+func (s *simulation) served(engine *decodeEngine, finished *run) {
 	s.pending[engine.id]--
-	over.request.outcome = outcomeServed
-	s.policy.ended(s, engine, over.request, s.Now()-over.request.attempt, true)
+	finished.request.outcome = outcomeServed
+	s.policy.ended(s, engine, finished.request, s.Now()-finished.request.attempt, true)
 }
 
 func (s *simulation) outcome(options Options, requests []*request) Outcome {
@@ -221,7 +222,7 @@
 		Offered: len(requests), Preemptions: s.preemptions,
 	}
 	for _, ended := range requests {
-		inTime := ended.first-ended.attempt <= s.sheet.Objective && !ended.paused
+		inTime := ended.first-ended.attempt <= s.site.Objective && !ended.paused
 		switch {
 		case ended.outcome == outcomeRefused:
 			result.Refused++
@@ -229,21 +230,21 @@
 			result.Failed++
 		case !inTime:
 			result.Late++
-			result.Score += worthLate
-		case ended.returning:
+			result.Score += scoreLate
+		case ended.retried:
 			result.InTime++
-			result.Score += worthReturned
+			result.Score += scoreRetried
 		default:
 			result.InTime++
-			result.Score += worthInTime
+			result.Score += scoreInTime
 		}
 	}
 	offered := float64(max(1, len(requests)))
 	for _, share := range []*float64{&result.Score, &result.InTime, &result.Late, &result.Refused, &result.Failed} {
 		*share = round(*share / offered)
 	}
-	result.WastedPrefill = round(s.wastedTokens / max(1, s.readTokens))
-	result.Score = round(result.Score - wastedPrice*result.WastedPrefill)
+	result.WastedPrefill = round(s.wastedTokens / max(1, s.prefilledTokens))
+	result.Score = round(result.Score - wastedPrefillCost*result.WastedPrefill)
 	return result
 }
 
--- a/sim/sitemodel/run_test.go
+++ b/sim/sitemodel/run_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// play runs a policy with some seeds and returns the mean worth.
-func play(g *WithT, site, policy string, prefill int) float64 {
+// meanScore runs a policy with some seeds and returns the mean score.
+func meanScore(g *WithT, site, policy string, prefill int) float64 {
 	const seeds = 3
 	total := 0.0
 	for seed := range uint64(seeds) {
@@ -20,18 +20,18 @@
 	return total / seeds
 }
 
-// TestRankingOfPolicies wants the order in which the users' bench puts them.
+// TestRankingOfPolicies checks that the model ranks policies in the order of the users' bench.
 func TestRankingOfPolicies(t *testing.T) {
 	for _, site := range Sites() {
 		t.Run(site, func(t *testing.T) {
 			g := NewWithT(t)
-			coordinator := play(g, site, PolicyCoordinator, 0)
-			reservation := play(g, site, PolicyReservation, 0)
-			random := play(g, site, PolicyRandom, 0)
+			coordinator := meanScore(g, site, PolicyCoordinator, 0)
+			reservation := meanScore(g, site, PolicyReservation, 0)
+			random := meanScore(g, site, PolicyRandom, 0)
 			g.Expect(coordinator).To(BeNumerically(">", reservation+0.05))
 			g.Expect(reservation).To(BeNumerically(">", random+0.05))
-			const asTheyCome = 4
-			g.Expect(coordinator).To(BeNumerically(">", play(g, site, PolicyCoordinator, asTheyCome)+0.05))
+			const defaultPrefill = 4
+			g.Expect(coordinator).To(BeNumerically(">", meanScore(g, site, PolicyCoordinator, defaultPrefill)+0.05))
 		})
 	}
 }
@@ -46,8 +46,8 @@
 	g.Expect(first).To(Equal(second))
 }
 
-// TestNothingIsLost wants each request ended once, and all memory free at the end, at any
-// load and with any policy.
+// TestNothingIsLost checks that every request ends, and only once, at any load and with any
+// policy.
 func TestNothingIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		options := Options{
