--- a/sim/load/caller.go
+++ b/sim/load/caller.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// maxTries bounds the connections a caller makes for one request.
-	maxTries = 8
-	// retryPause is the time between two of them.
+	// maxAttempts bounds the attempts of a caller for one request.
+	maxAttempts = 8
+	// retryPause is the time between two attempts.
 	retryPause = 300 * time.Millisecond
-	// tryTimeout bounds one connection.
-	tryTimeout = 30 * time.Second
+	// attemptTimeout bounds one attempt.
+	attemptTimeout = 30 * time.Second
 	// maxReplyBytes bounds a reply that is not streamed.
 	maxReplyBytes = 4 << 20
 )
 
-// caller follows one request to its end, over several connections if need be.
+// caller sends one request, with client retries until it has a final answer.
 type caller struct {
 	client *http.Client
 	// nodes are tried in turn.
@@ -51,15 +51,15 @@
 	result   Result
 }
 
-// errAgain asks for another connection.
-var errAgain = errors.New("load: no final answer")
+// errRetry marks a failure after which the caller retries.
+var errRetry = errors.New("load: no final answer")
 
 func (c *caller) run(ctx context.Context) Result {
 	c.started = time.Now()
 	c.result = Result{Kind: c.kind, Key: c.key, Ending: EndingLost}
-	for try := range maxTries {
+	for attempt := range maxAttempts {
 		c.result.Attempts++
-		err := c.try(ctx, c.nodes[try%len(c.nodes)])
+		err := c.attempt(ctx, c.nodes[attempt%len(c.nodes)])
 		if err == nil {
 			return c.result
 		}
@@ -72,8 +72,8 @@
 	return c.result
 }
 
-func (c *caller) try(ctx context.Context, node string) error {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+func (c *caller) attempt(ctx context.Context, node string) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	request, err := c.request(ctx, node)
 	if err != nil {
@@ -81,19 +81,19 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return errors.Wrapf(errAgain, "%v", err)
+		return errors.Wrapf(errRetry, "%v", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	c.result.RequestIDs = append(c.result.RequestIDs, response.Header.Get(filter.HeaderRequestID))
 	switch {
 	case response.StatusCode != http.StatusOK:
-		return c.refused(response)
+		return c.readError(response)
 	case c.kind.Service != "":
 		return c.readEcho(response.Body)
 	case c.kind.Stream:
 		return c.readStream(response.Body)
 	default:
-		return c.readWhole(response.Body)
+		return c.readCompletion(response.Body)
 	}
 }
 
@@ -143,21 +143,21 @@
 	request.Header.Set("Authorization", "Bearer "+c.kind.Token)
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(completion.HeaderKey, c.key)
-	// Each connection is new: a caller that was cut off does not come back on an
-	// old one, and net/http must not send a call twice by itself.
+	// Every attempt opens a connection: a disconnected caller does not reuse an
+	// old one, and net/http must not retry a call by itself.
 	request.Close = true
 }
 
-// refused reads a typed error. One that leaves the outcome open is worth another
-// try under the same key, unless it says that the key has been used.
-func (c *caller) refused(response *http.Response) error {
+// readError reads a typed error. An error that leaves the outcome open is retried
+// under the same key, unless the key has been claimed or has expired.
+func (c *caller) readError(response *http.Response) error {
 	failure := &api.Error{Status: response.StatusCode}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return errors.Wrapf(errAgain, "%v", err)
+		return errors.Wrapf(errRetry, "%v", err)
 	}
 	if json.Unmarshal(data, failure) != nil || failure.Code == "" {
-		return errors.Wrapf(errAgain, "status %d without a typed error", response.StatusCode)
+		return errors.Wrapf(errRetry, "status %d without a typed error", response.StatusCode)
 	}
 	return c.fail(failure)
 }
@@ -166,7 +166,7 @@
 	final := failure.Code == api.CodeAlreadyClaimed || failure.Code == api.CodeKeyExpired
 	starting := failure.Code == api.CodeNotReady || failure.Code == api.CodeUnavailable
 	if !final && (failure.Outcome != api.OutcomeNotRun || starting) {
-		return errors.Wrapf(errAgain, "%s", failure)
+		return errors.Wrapf(errRetry, "%s", failure)
 	}
 	c.result.Ending, c.result.Failure = EndingRefused, failure
 	return nil
@@ -175,7 +175,7 @@
 func (c *caller) readEcho(body io.Reader) error {
 	var echo servicesim.Echo
 	if err := json.NewDecoder(io.LimitReader(body, maxReplyBytes)).Decode(&echo); err != nil {
-		return errors.Wrapf(errAgain, "%v", err)
+		return errors.Wrapf(errRetry, "%v", err)
 	}
 	c.result.FirstToken = time.Since(c.started)
 	c.result.Ending = EndingAnswered
@@ -185,61 +185,61 @@
 	return nil
 }
 
-func (c *caller) readWhole(body io.Reader) error {
+func (c *caller) readCompletion(body io.Reader) error {
 	var reply struct {
 		Choices []struct {
 			Text string `json:"text"`
 		} `json:"choices"`
 	}
 	if err := json.NewDecoder(io.LimitReader(body, maxReplyBytes)).Decode(&reply); err != nil {
-		return errors.Wrapf(errAgain, "%v", err)
+		return errors.Wrapf(errRetry, "%v", err)
 	}
 	if len(reply.Choices) != 1 {
-		return errors.Wrap(errAgain, "reply without a choice")
+		return errors.Wrap(errRetry, "reply without a choice")
 	}
 	now := time.Now()
 	c.first, c.last = now, now
 	c.received.WriteString(reply.Choices[0].Text)
 	c.next = c.tokens
-	c.judge()
+	c.evaluate()
 	return nil
 }
 
 func (c *caller) readStream(body io.Reader) error {
 	for event, err := range sse.Read(body, nil) {
 		if err != nil {
-			return errors.Wrapf(errAgain, "%v", err)
+			return errors.Wrapf(errRetry, "%v", err)
 		}
 		if event.Type == "error" {
 			failure := &api.Error{}
 			if json.Unmarshal([]byte(event.Data), failure) == nil && failure.Code != "" {
 				return c.fail(failure.WithOutcome(api.OutcomeUnknown))
 			}
-			return errAgain
+			return errRetry
 		}
 		if event.Data == "[DONE]" {
-			c.judge()
+			c.evaluate()
 			return nil
 		}
-		if err := c.take(event); err != nil {
+		if err := c.readToken(event); err != nil {
 			return err
 		}
 	}
-	return errors.Wrap(errAgain, "stream ended early")
+	return errors.Wrap(errRetry, "stream ended early")
 }
 
-// take takes one token.
-func (c *caller) take(event sse.Event) error {
+// readToken reads the event of one token.
+func (c *caller) readToken(event sse.Event) error {
 	offset, err := strconv.Atoi(event.LastEventID)
 	if err != nil {
-		return errors.Wrapf(errAgain, "%v", err)
+		return errors.Wrapf(errRetry, "%v", err)
 	}
 	if offset < c.next {
 		c.result.DuplicateTokens++
 		return nil
 	}
 	if offset > c.next {
-		return errors.Wrapf(errAgain, "gap before token %d", offset)
+		return errors.Wrapf(errRetry, "gap before token %d", offset)
 	}
 	var chunk struct {
 		Choices []struct {
@@ -247,7 +247,7 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal([]byte(event.Data), &chunk); err != nil || len(chunk.Choices) != 1 {
-		return errors.Wrap(errAgain, "malformed chunk")
+		return errors.Wrap(errRetry, "malformed chunk")
 	}
 	now := time.Now()
 	if c.first.IsZero() {
@@ -259,8 +259,8 @@
 	return nil
 }
 
-// judge compares what arrived with the only right answer.
-func (c *caller) judge() {
+// evaluate compares the received text with the expected answer.
+func (c *caller) evaluate() {
 	c.result.Ending = EndingAnswered
 	if c.received.String() != answer.Whole(c.kind.Model, c.prompt, c.tokens) {
 		c.result.Ending = EndingAltered
@@ -271,7 +271,7 @@
 	}
 }
 
-// newKey returns a UUIDv7.
+// newKey returns a new Idempotency-Key, a UUIDv7.
 func newKey() (string, error) {
 	id, err := uuid.NewV7()
 	return id.String(), errors.Wrap(err, "make key")
--- a/sim/load/doc.go
+++ b/sim/load/doc.go
@@ -1,3 +1,3 @@
-// Package load sends a mix of requests to a fleet as its callers would, and
-// judges what they received against the stand-ins' ledgers.
+// Package load is a load generator: it sends a mix of requests to a fleet, and
+// checks the responses against the ledgers of the stand-in engines and services.
 package load
--- a/sim/load/judge.go
+++ b/sim/load/judge.go
@@ -15,41 +15,42 @@
 	"github.com/reelrun/reelrun/sim/servicesim"
 )
 
-// Verdict sums a run up.
+// Verdict is the summary of a run.
 type Verdict struct {
-	Requests   int     `json:"requests"`
-	Answered   int     `json:"answered"`
-	Refused    int     `json:"refused"`
-	Lost       int     `json:"lost"`
-	Altered    int     `json:"altered"`
-	Duplicated int     `json:"duplicated"`
-	Goodput    float64 `json:"goodput"`
-	Wasted     float64 `json:"wasted_prefill"`
-	// HeldStreams is what engines still hold when every caller has gone.
+	Requests      int     `json:"requests"`
+	Answered      int     `json:"answered"`
+	Refused       int     `json:"refused"`
+	Lost          int     `json:"lost"`
+	Altered       int     `json:"altered"`
+	Duplicated    int     `json:"duplicated"`
+	Goodput       float64 `json:"goodput"`
+	WastedPrefill float64 `json:"wasted_prefill"`
+	// HeldStreams is the number of streams that engines still hold after every
+	// caller has disconnected.
 	HeldStreams int `json:"held_streams"`
-	// FalseNotRun counts refusals that said not-run although the request ran.
+	// FalseNotRun counts refusals with the outcome not-run of requests that ran.
 	FalseNotRun int `json:"false_not_run"`
-	// TTFTP95 and IntervalP95 are of answered completions, in seconds.
+	// TTFTP95 and IntervalP95 are percentiles over answered completions, in seconds.
 	TTFTP95     float64 `json:"ttft_p95_s"`
 	IntervalP95 float64 `json:"interval_p95_s"`
-	// Kinds counts offered requests and those that met their targets.
+	// Kinds counts, for each kind, offered requests and those that met their targets.
 	Kinds map[string][2]int `json:"kinds"`
-	// Violations say what went wrong, the first few.
+	// Violations describe the first violations, at most maxViolations.
 	Violations []string `json:"violations,omitempty"`
 }
 
-// Failed reports whether a promise was broken.
+// Failed reports whether a guarantee was violated.
 func (v *Verdict) Failed() bool {
 	return v.Lost+v.Altered+v.Duplicated+v.HeldStreams+v.FalseNotRun > 0
 }
 
-// Summary is the summary on one line.
+// Summary returns the main figures on one line.
 func (v *Verdict) Summary() string {
 	return fmt.Sprintf("requests=%d answered=%d refused=%d lost=%d duplicated=%d goodput=%.2f wasted_prefill=%.2f",
-		v.Requests, v.Answered, v.Refused, v.Lost+v.Altered, v.Duplicated, v.Goodput, v.Wasted)
+		v.Requests, v.Answered, v.Refused, v.Lost+v.Altered, v.Duplicated, v.Goodput, v.WastedPrefill)
 }
 
-// Ledgers are what the stand-ins did.
+// Ledgers are the stand-ins' records of what they ran.
 type Ledgers struct {
 	Engines  []enginesim.Report
 	Services []servicesim.Report
@@ -88,16 +89,16 @@
 	return errors.Wrap(json.NewDecoder(response.Body).Decode(value), "decode ledger")
 }
 
-// Evaluate judges a run by what callers received and what the stand-ins did.
+// Evaluate compares what callers received with what the stand-ins ran.
 func Evaluate(results []Result, ledgers Ledgers) *Verdict {
 	verdict := &Verdict{Requests: len(results), Kinds: map[string][2]int{}}
-	verdict.judgeCallers(results)
-	verdict.judgeServices(results, ledgers.Services)
-	verdict.judgeEngines(results, ledgers.Engines)
+	verdict.evaluateCallers(results)
+	verdict.evaluateServices(results, ledgers.Services)
+	verdict.evaluateEngines(results, ledgers.Engines)
 	return verdict
 }
 
-// maxViolations bounds the violations that are spelled out.
+// maxViolations bounds the violations that are described.
 const maxViolations = 20
 
 func (v *Verdict) violatef(format string, args ...any) {
@@ -106,7 +107,7 @@
 	}
 }
 
-func (v *Verdict) judgeCallers(results []Result) {
+func (v *Verdict) evaluateCallers(results []Result) {
 	met := 0
 	var first, intervals []time.Duration
 	for i := range results {
@@ -129,7 +130,7 @@
 			v.Duplicated++
 			v.violatef("%s %s: %d tokens twice", result.Kind.Name, result.Key, result.DuplicateTokens)
 		}
-		if result.meets() {
+		if result.meetsTargets() {
 			met++
 			counts[1]++
 		}
@@ -143,9 +144,9 @@
 	v.TTFTP95, v.IntervalP95 = quantile.P95(first), quantile.P95(intervals)
 }
 
-// judgeServices counts calls that may not be repeated and ran more than once,
-// and those that ran although their caller was told they did not.
-func (v *Verdict) judgeServices(results []Result, reports []servicesim.Report) {
+// evaluateServices counts non-idempotent calls that ran more than once, and those
+// that ran although their refusal reported not-run.
+func (v *Verdict) evaluateServices(results []Result, reports []servicesim.Report) {
 	runs := map[string]int{}
 	for _, report := range reports {
 		for _, call := range report.Calls {
@@ -161,7 +162,7 @@
 			v.Duplicated++
 			v.violatef("%s %s: ran %d times", result.Kind.Name, result.Key, runs[result.Key])
 		}
-		if result.saysNotRun() && runs[result.Key] > 0 {
+		if result.reportsNotRun() && runs[result.Key] > 0 {
 			v.FalseNotRun++
 			v.violatef("%s %s: ran although refused as not-run", result.Kind.Name, result.Key)
 		}
@@ -172,13 +173,13 @@
 	}
 }
 
-// saysNotRun reports whether the only try was refused as not run. After several
-// tries the refusal speaks of the last arrival alone.
-func (r *Result) saysNotRun() bool {
+// reportsNotRun reports whether the only attempt was refused as not run. After
+// client retries the refusal refers to the last attempt only.
+func (r *Result) reportsNotRun() bool {
 	return r.Ending == EndingRefused && r.Failure.Outcome == api.OutcomeNotRun && r.Attempts == 1
 }
 
-func (v *Verdict) judgeEngines(results []Result, reports []enginesim.Report) {
+func (v *Verdict) evaluateEngines(results []Result, reports []enginesim.Report) {
 	total, wasted := 0, 0
 	ran := map[string]bool{}
 	for _, report := range reports {
@@ -194,10 +195,10 @@
 			}
 		}
 	}
-	v.Wasted = float64(wasted) / float64(max(total, 1))
+	v.WastedPrefill = float64(wasted) / float64(max(total, 1))
 	for i := range results {
 		result := &results[i]
-		if result.Kind.Service == "" && result.saysNotRun() && ran[result.RequestIDs[0]] {
+		if result.Kind.Service == "" && result.reportsNotRun() && ran[result.RequestIDs[0]] {
 			v.FalseNotRun++
 			v.violatef("%s %s: ran although refused as not-run", result.Kind.Name, result.Key)
 		}
--- a/sim/load/result.go
+++ b/sim/load/result.go
@@ -11,7 +11,7 @@
 
 // The endings of a request.
 const (
-	// EndingAnswered means that the whole, right answer arrived.
+	// EndingAnswered means that the complete, correct answer arrived.
 	EndingAnswered Ending = "answered"
 	// EndingRefused means that a typed error arrived, with its outcome.
 	EndingRefused Ending = "refused"
@@ -21,19 +21,19 @@
 	EndingAltered Ending = "altered"
 )
 
-// Result is what one caller saw.
+// Result is what one caller observed.
 type Result struct {
 	Kind *Kind
 	// Key is the Idempotency-Key.
 	Key string
-	// RequestIDs are the identities that the nodes gave the request's arrivals.
+	// RequestIDs are the identifiers that the nodes assigned to the attempts.
 	RequestIDs []string
 	Ending     Ending
 	// Failure is the typed error of a refusal.
 	Failure *api.Error
 	// DuplicateTokens is the number of tokens that arrived more than once.
 	DuplicateTokens int
-	// Attempts is the number of connections made.
+	// Attempts is the number of attempts, each with its own connection.
 	Attempts   int
 	FirstToken time.Duration
 	// Interval is the mean time between tokens.
@@ -41,8 +41,8 @@
 	Detail   string
 }
 
-// meets reports whether the request met both targets.
-func (r *Result) meets() bool {
+// meetsTargets reports whether the request met both targets.
+func (r *Result) meetsTargets() bool {
 	if r.Ending != EndingAnswered || r.FirstToken > r.Kind.FirstToken.Std() {
 		return false
 	}
--- a/sim/load/run.go
+++ b/sim/load/run.go
@@ -13,19 +13,19 @@
 // Options describe one run.
 type Options struct {
 	Workload Workload
-	// Nodes are the callers' addresses of the fleet. One that begins with https://
-	// is called by TLS.
+	// Nodes are the addresses at which the nodes accept callers. An address that
+	// begins with https:// is called with TLS.
 	Nodes []string
 	// TLS is the configuration for such nodes.
 	TLS *tls.Config
-	// Requests is the number of requests; Rate how many arrive a second.
+	// Requests is the number of requests, Rate the number per second.
 	Requests int
 	Rate     float64
-	// Seed fixes arrivals, kinds and prompts.
+	// Seed determines arrivals, kinds and prompts.
 	Seed uint64
 }
 
-// Run sends the requests at random times and returns what each caller saw.
+// Run sends the requests with random intervals and returns their results.
 func Run(ctx context.Context, options Options) ([]Result, error) {
 	const seedStream = 0x9e3779b97f4a7c15
 	random := rand.New(rand.NewPCG(options.Seed, seedStream))
@@ -33,14 +33,14 @@
 	results := make([]Result, options.Requests)
 	var running sync.WaitGroup
 	for i := range options.Requests {
-		made, err := newCaller(client, options, i, random)
+		created, err := newCaller(client, options, i, random)
 		if err != nil {
 			return nil, err
 		}
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			results[i] = made.run(ctx)
+			results[i] = created.run(ctx)
 		}()
 		wait := time.Duration(random.ExpFloat64() / options.Rate * float64(time.Second))
 		select {
@@ -57,7 +57,7 @@
 type Call struct {
 	// Client sends it.
 	Client *http.Client
-	// Nodes are tried in turn; https:// before an address means TLS.
+	// Nodes are tried in order; https:// before an address means TLS.
 	Nodes []string
 	Kind  *Kind
 	// Key is the Idempotency-Key.
@@ -68,13 +68,13 @@
 	Body   string
 }
 
-// Send follows one request to its end and returns what its caller saw.
+// Send sends one request, with client retries, and returns its result.
 func Send(ctx context.Context, call Call) Result {
-	made := &caller{
+	created := &caller{
 		client: call.Client, nodes: call.Nodes, kind: call.Kind, key: call.Key,
 		prompt: call.Prompt, tokens: call.Tokens, body: call.Body,
 	}
-	return made.run(ctx)
+	return created.run(ctx)
 }
 
 func newCaller(client *http.Client, options Options, index int, random *rand.Rand) (*caller, error) {
@@ -87,12 +87,12 @@
 	for shift := range options.Nodes {
 		nodes = append(nodes, options.Nodes[(index+shift)%len(options.Nodes)])
 	}
-	made := &caller{client: client, nodes: nodes, kind: kind, key: key}
+	created := &caller{client: client, nodes: nodes, kind: kind, key: key}
 	if kind.Service == "" {
-		made.tokens = between(random, kind.OutputTokens)
-		made.prompt = prompt(kind, between(random, kind.PromptTokens), random)
+		created.tokens = uniform(random, kind.OutputTokens)
+		created.prompt = prompt(kind, uniform(random, kind.PromptTokens), random)
 	} else if kind.NonIdempotent {
-		made.body = fmt.Sprintf(`{"entry":%d,"note":%d}`, index, random.Uint32())
+		created.body = fmt.Sprintf(`{"entry":%d,"note":%d}`, index, random.Uint32())
 	}
-	return made, nil
+	return created, nil
 }
--- a/sim/load/workload.go
+++ b/sim/load/workload.go
@@ -26,17 +26,18 @@
 	// PromptTokens and OutputTokens are ranges, both ends included.
 	PromptTokens [2]int `json:"prompt_tokens,omitempty"`
 	OutputTokens [2]int `json:"output_tokens,omitempty"`
-	// SharedTokens is the part of the prompt that all requests of the kind share.
+	// SharedTokens is the length of the prompt prefix that all requests of the
+	// kind share.
 	SharedTokens int  `json:"shared_tokens,omitempty"`
 	Stream       bool `json:"stream,omitempty"`
 	// Service, Method and Path are set for calls to plain services.
 	Service string `json:"service,omitempty"`
 	Method  string `json:"method,omitempty"`
 	Path    string `json:"path,omitempty"`
-	// NonIdempotent marks a call that may not be repeated.
+	// NonIdempotent marks a call that must run at most once.
 	NonIdempotent bool `json:"once,omitempty"`
-	// FirstToken and TokenInterval are the targets to judge by; for a service
-	// call FirstToken is the target of the whole answer.
+	// FirstToken and TokenInterval are the latency targets; for a service call
+	// FirstToken is the target for the complete answer.
 	FirstToken    api.Duration `json:"first_token"`
 	TokenInterval api.Duration `json:"token_interval,omitempty"`
 }
@@ -46,9 +47,9 @@
 	Kinds []Kind `json:"kinds"`
 }
 
-// Read reads and joins workload files.
+// Read reads workload files and merges their kinds.
 func Read(paths ...string) (Workload, error) {
-	var joined Workload
+	var merged Workload
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
 		if err != nil {
@@ -58,15 +59,15 @@
 		if err := json.Unmarshal(data, &read); err != nil {
 			return Workload{}, errors.Wrapf(err, "decode %s", path)
 		}
-		joined.Kinds = append(joined.Kinds, read.Kinds...)
+		merged.Kinds = append(merged.Kinds, read.Kinds...)
 	}
-	if len(joined.Kinds) == 0 {
+	if len(merged.Kinds) == 0 {
 		return Workload{}, errors.New("workload has no kinds")
 	}
-	return joined, nil
+	return merged, nil
 }
 
-// draw picks a kind by the shares.
+// draw selects a random kind, weighted by the shares.
 func (w Workload) draw(random *rand.Rand) *Kind {
 	total := 0.0
 	for i := range w.Kinds {
@@ -82,19 +83,19 @@
 	return &w.Kinds[len(w.Kinds)-1]
 }
 
-// between draws a number from a range, both ends included.
-func between(random *rand.Rand, ends [2]int) int {
+// uniform returns a random number from a range, both ends included.
+func uniform(random *rand.Rand, ends [2]int) int {
 	if ends[1] <= ends[0] {
 		return ends[0]
 	}
 	return ends[0] + random.IntN(ends[1]-ends[0]+1)
 }
 
-// wordBytes is the length of a generated word, one token.
+// wordBytes is the length of a generated word, which is one token.
 const wordBytes = 4
 
-// prompt makes a prompt of the given length whose first part is the same for
-// all requests of the kind.
+// prompt generates a prompt of the given length whose prefix is the same for all
+// requests of the kind.
 func prompt(kind *Kind, tokens int, random *rand.Rand) string {
 	var text strings.Builder
 	shared := min(kind.SharedTokens, tokens)
