--- a/sim/hollow/doc.go
+++ b/sim/hollow/doc.go
@@ -1,5 +1,5 @@
-// Package hollow measures what a fleet costs and how fast it reacts at a given
+// Package hollow measures the cost and the reaction times of a fleet of a given
 // size. Its nodes run the real membership, configuration, ownership and claim
-// code, share one process, and are joined by in-memory connections under real
-// yamux sessions.
+// code in one process, and are connected by real yamux sessions over in-memory
+// connections.
 package hollow
--- a/sim/hollow/measure.go
+++ b/sim/hollow/measure.go
@@ -25,24 +25,26 @@
 	Models  int
 	// Window is how long the settled fleet is measured.
 	Window time.Duration
-	// Trials is the number of configuration changes for each spread.
+	// Trials is the number of configuration changes for each measured delay.
 	Trials int
-	// Failures also measures churn, a zone that is cut off, and deaths.
+	// Failures adds measurements of churn, an isolated zone, and node failures.
 	Failures bool
-	// PartitionDuration also measures two regions that lose each other for this time.
+	// PartitionDuration is the length of a measured network partition between two
+	// regions; zero measures none.
 	PartitionDuration time.Duration
-	// Restarts also measures this number of restarts under load.
+	// Restarts is the number of measured restarts under load; zero measures none.
 	Restarts int
 }
 
-// Spread is how long accepted configurations took to be in force everywhere.
-type Spread struct {
+// Delays summarizes measured times, as from the acceptance of a configuration until it is in
+// force at all nodes.
+type Delays struct {
 	Trials int     `json:"trials"`
 	Median float64 `json:"median_s"`
 	Worst  float64 `json:"worst_s"`
 }
 
-// Report is the result of one measurement. Rates are for one node and second.
+// Report is the result of one measurement. Rates are per node and second.
 type Report struct {
 	Nodes   int `json:"nodes"`
 	Zones   int `json:"zones"`
@@ -51,45 +53,44 @@
 	Models  int `json:"models"`
 
 	StartSeconds float64 `json:"start_s"`
-	// BytesSent and BytesReceived are between nodes; MaxBytesSent is of the node
-	// that sent most.
+	// BytesSent is between nodes; MaxBytesSent is that of the node that sent most.
 	BytesSent      float64 `json:"bytes_sent_per_s"`
 	MaxBytesSent   float64 `json:"max_bytes_sent_per_s"`
 	Frames         float64 `json:"frames_per_s"`
 	HeapBytes      float64 `json:"heap_bytes"`
 	Goroutines     float64 `json:"goroutines"`
 	ProcessorShare float64 `json:"processor_share"`
-	// PlatformReads and the like are of the whole fleet.
+	// PlatformReads, PlatformWrites and PlatformWaiting are of the whole fleet.
 	PlatformReads   float64 `json:"platform_reads_per_s"`
 	PlatformWrites  float64 `json:"platform_writes_per_s"`
 	PlatformWaiting int64   `json:"platform_waiting_watches"`
 
-	Spread        Spread  `json:"spread"`
-	SpreadChurn5  *Spread `json:"spread_churn_5,omitempty"`
-	SpreadChurn20 *Spread `json:"spread_churn_20,omitempty"`
-	SpreadZoneCut *Spread `json:"spread_zone_cut,omitempty"`
-	// OwnerSeconds is the time from a node's death until its pools have another owner.
-	OwnerSeconds *Spread `json:"owner_replaced,omitempty"`
-	// ZoneLostSeconds is the time from the loss of a zone until its pools have
-	// owners elsewhere.
+	Propagation             Delays  `json:"spread"`
+	PropagationChurn5       *Delays `json:"spread_churn_5,omitempty"`
+	PropagationChurn20      *Delays `json:"spread_churn_20,omitempty"`
+	PropagationZoneIsolated *Delays `json:"spread_zone_cut,omitempty"`
+	// OwnerReplaced is the time from a node's failure until its pools have another owner.
+	OwnerReplaced *Delays `json:"owner_replaced,omitempty"`
+	// ZoneLostSeconds is the time from the failure of a zone until its pools have
+	// owners in other zones.
 	ZoneLostSeconds float64 `json:"zone_lost_s,omitempty"`
-	// StreamsFreed is the time from a node's death until the engines hold none of
+	// StreamsFreed is the time from a node's failure until the engines hold none of
 	// its streams; it includes the resume window.
-	StreamsFreed *Spread   `json:"streams_freed,omitempty"`
-	Parting      *Parting  `json:"regions_parted,omitempty"`
-	Restarts     *Restarts `json:"restarts,omitempty"`
+	StreamsFreed *Delays    `json:"streams_freed,omitempty"`
+	Partition    *Partition `json:"regions_parted,omitempty"`
+	Restarts     *Restarts  `json:"restarts,omitempty"`
 }
 
 // startInterval is the time between the starts of two nodes.
 const startInterval = 15 * time.Millisecond
 
-// readyLimit bounds the start of the fleet.
-const readyLimit = 3 * time.Minute
+// readyTimeout bounds the start of the fleet.
+const readyTimeout = 3 * time.Minute
 
-// enginesPerPool is the size of a generated pool.
+// enginesPerPool is the number of engines of a generated pool.
 const enginesPerPool = 8
 
-// newFleet makes a fleet whose nodes are still to be started.
+// newFleet returns a fleet whose nodes are not started.
 func newFleet(ctx context.Context, options Options) (*rehearsal.Fleet, error) {
 	zones := make([]string, options.Zones)
 	for i := range zones {
@@ -102,12 +103,12 @@
 	}
 	return rehearsal.NewFleet(ctx, rehearsal.Options{
 		Zones: zones, NodesPerZone: (options.Nodes + options.Zones - 1) / options.Zones,
-		Configuration: rehearsal.Generate(shape), Engine: idleEngine(),
+		Configuration: rehearsal.Generate(shape), Engine: engineOptions(),
 		Platform: platformsim.Options{WritesPerSecond: 300, ReadsPerSecond: 2000},
 	})
 }
 
-// Measure builds a fleet, measures it and ends it.
+// Measure starts a fleet, measures it and closes it.
 func Measure(ctx context.Context, options Options) (*Report, error) {
 	fleet, err := newFleet(ctx, options)
 	if err != nil {
@@ -122,29 +123,29 @@
 		fleet.Start(name)
 		time.Sleep(startInterval)
 	}
-	if !fleet.WaitReady(readyLimit) {
-		return nil, errors.Newf("%d nodes are not ready after %s", report.Nodes, readyLimit)
+	if !fleet.WaitReady(readyTimeout) {
+		return nil, errors.Newf("%d nodes are not ready after %s", report.Nodes, readyTimeout)
 	}
 	report.StartSeconds = time.Since(started).Seconds()
-	report.settled(fleet, options.Window)
-	if err := report.reactions(ctx, fleet, options); err != nil {
+	report.measureIdle(fleet, options.Window)
+	if err := report.measureReactions(ctx, fleet, options); err != nil {
 		return nil, err
 	}
 	return report, nil
 }
 
-// idleEngine is a stand-in engine with a small cache, since thousands share the
-// process.
-func idleEngine() enginesim.Options {
+// engineOptions returns the options of stand-in engines. Their caches are small,
+// since thousands of engines share the process.
+func engineOptions() enginesim.Options {
 	options := rehearsal.EngineOptions()
 	const blocks = 64
 	options.CacheBlocks = blocks
 	return options
 }
 
-// settled measures the cost of a fleet in which nothing happens.
-func (r *Report) settled(fleet *rehearsal.Fleet, window time.Duration) {
-	// The first seconds after the start still carry joins.
+// measureIdle measures the cost of a fleet without load or changes.
+func (r *Report) measureIdle(fleet *rehearsal.Fleet, window time.Duration) {
+	// The first seconds after the start still include traffic of joining nodes.
 	const quiet = 5 * time.Second
 	time.Sleep(quiet)
 	nodes := fleet.Alive()
@@ -182,7 +183,7 @@
 	r.Goroutines = float64(runtime.NumGoroutine()) / count
 }
 
-// processorTime is the user and system time of the process.
+// processorTime returns the user and system time of the process.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -191,13 +192,13 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func summarize(times []time.Duration) Spread {
+func summarize(times []time.Duration) Delays {
 	if len(times) == 0 {
-		return Spread{}
+		return Delays{}
 	}
 	slices.Sort(times)
-	return Spread{Trials: len(times), Median: times[len(times)/2].Seconds(), Worst: times[len(times)-1].Seconds()}
+	return Delays{Trials: len(times), Median: times[len(times)/2].Seconds(), Worst: times[len(times)-1].Seconds()}
 }
 
-// storeOf returns the platform without the limits of a node.
+// storeOf returns the platform's store, without the faults injected for nodes.
 func storeOf(fleet *rehearsal.Fleet) objectapi.Store { return fleet.Platform.Store }
--- a/sim/hollow/measure_test.go
+++ b/sim/hollow/measure_test.go
@@ -12,11 +12,11 @@
 	"github.com/reelrun/reelrun/sim/rehearsal"
 )
 
-// TestRoundsOfASmallFleet runs every round in virtual time: what the rounds say
-// of a fleet that works must be within its promises.
+// TestRoundsOfASmallFleet runs every measurement in virtual time: the figures of a
+// fleet without defects must be within its guarantees.
 func TestRoundsOfASmallFleet(t *testing.T) {
 	runtime.GC()
-	runtime.GC() // See rehearsal's tests: yamux keeps timers in a global pool.
+	runtime.GC() // Empties the global pool of timers of yamux; see inVirtualTime in package rehearsal.
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		report, err := Measure(context.Background(), Options{
@@ -25,12 +25,12 @@
 		})
 		g.Expect(err).NotTo(HaveOccurred())
 		inForce := rehearsal.InForceWithin.Seconds()
-		for _, spread := range []Spread{report.Spread, *report.SpreadChurn20, *report.SpreadZoneCut, report.Parting.Near} {
-			g.Expect(spread.Trials).To(BeNumerically(">=", 2))
-			g.Expect(spread.Worst).To(BeNumerically("<", inForce))
+		for _, propagation := range []Delays{report.Propagation, *report.PropagationChurn20, *report.PropagationZoneIsolated, report.Partition.Connected} {
+			g.Expect(propagation.Trials).To(BeNumerically(">=", 2))
+			g.Expect(propagation.Worst).To(BeNumerically("<", inForce))
 		}
-		g.Expect(report.Parting.FarStopped).To(BeNumerically("<", inForce))
-		g.Expect(report.Parting.Seconds).To(BeNumerically(">=", 30))
+		g.Expect(report.Partition.IsolatedStopped).To(BeNumerically("<", inForce))
+		g.Expect(report.Partition.Seconds).To(BeNumerically(">=", 30))
 		g.Expect(report.Restarts.Kills + report.Restarts.Stops).To(Equal(12))
 		g.Expect(report.Restarts.Verdict.Requests).To(Equal(12 * requestsPerRestart))
 		g.Expect(report.Restarts.Verdict.Violations).To(BeEmpty())
@@ -40,8 +40,8 @@
 	})
 }
 
-// TestRestartsNoticeLostRequests kills every node for good under load: the verdict
-// must not come out clean.
+// TestRestartsNoticeLostRequests kills every node under load, without a restart: the
+// verdict must report the lost requests.
 func TestRestartsNoticeLostRequests(t *testing.T) {
 	runtime.GC()
 	runtime.GC()
@@ -52,7 +52,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		defer fleet.Close()
 		fleet.StartAll()
-		g.Expect(fleet.WaitReady(readyLimit)).To(BeTrue())
+		g.Expect(fleet.WaitReady(readyTimeout)).To(BeTrue())
 		sent := newTraffic(fleet, options)
 		for range 10 {
 			g.Expect(sent.start(context.Background(), sent.completion(0, endlessTokens), fleet.Alive())).To(Succeed())
@@ -60,7 +60,7 @@
 		for _, name := range fleet.NodeNames() {
 			fleet.Kill(name)
 		}
-		verdict := judge(sent.wait(), fleet)
+		verdict := evaluate(sent.wait(), fleet)
 		g.Expect(verdict.Lost).To(Equal(10))
 		g.Expect(verdict.Failed()).To(BeTrue())
 	})
--- a/sim/hollow/react.go
+++ b/sim/hollow/react.go
@@ -14,76 +14,76 @@
 )
 
 const (
-	// reactionLimit is when a reaction counts as missing.
-	reactionLimit = 60 * time.Second
-	pollInterval  = 5 * time.Millisecond
+	// reactionTimeout is the time after which a reaction counts as missing.
+	reactionTimeout = 60 * time.Second
+	pollInterval    = 5 * time.Millisecond
 )
 
-// errNoReaction means that a reaction did not come within its limit.
+// errNoReaction is returned when a reaction takes longer than its limit.
 var errNoReaction = errors.New("hollow: no reaction")
 
-// reactions measures how fast the fleet reacts to changes and failures.
-func (r *Report) reactions(ctx context.Context, fleet *rehearsal.Fleet, options Options) error {
-	spread, err := measureSpread(ctx, fleet, options.Trials, func() {}, everyone)
+// measureReactions measures how fast the fleet reacts to changes and failures.
+func (r *Report) measureReactions(ctx context.Context, fleet *rehearsal.Fleet, options Options) error {
+	propagation, err := measurePropagation(ctx, fleet, options.Trials, func() {}, allNodes)
 	if err != nil {
 		return err
 	}
-	r.Spread = spread
+	r.Propagation = propagation
 	if options.Restarts > 0 {
-		if err := r.restarts(fleet, options); err != nil {
+		if err := r.measureRestarts(fleet, options); err != nil {
 			return err
 		}
 	}
 	if options.PartitionDuration > 0 {
-		if err := r.regionsParted(ctx, fleet, options); err != nil {
+		if err := r.partitionRegions(ctx, fleet, options); err != nil {
 			return err
 		}
 	}
 	if !options.Failures {
 		return nil
 	}
-	if err := r.streamsFreed(fleet, options); err != nil {
+	if err := r.measureStreamsFreed(fleet, options); err != nil {
 		return err
 	}
 	for _, churn := range []struct {
 		percent int
-		target  **Spread
-	}{{5, &r.SpreadChurn5}, {20, &r.SpreadChurn20}} {
-		measured, err := measureSpread(ctx, fleet, options.Trials, func() { replace(fleet, churn.percent) }, everyone)
+		target  **Delays
+	}{{5, &r.PropagationChurn5}, {20, &r.PropagationChurn20}} {
+		measured, err := measurePropagation(ctx, fleet, options.Trials, func() { restartNodes(fleet, churn.percent) }, allNodes)
 		if err != nil {
 			return errors.Wrapf(err, "churn of %d %%", churn.percent)
 		}
 		*churn.target = &measured
-		if !fleet.WaitReady(readyLimit) {
+		if !fleet.WaitReady(readyTimeout) {
 			return errors.Wrap(errNoReaction, "fleet after churn")
 		}
 	}
-	if err := r.zoneCut(ctx, fleet, options); err != nil {
+	if err := r.isolateZone(ctx, fleet, options); err != nil {
 		return err
 	}
-	if err := r.deaths(fleet, options); err != nil {
+	if err := r.killOwners(fleet, options); err != nil {
 		return err
 	}
-	return r.zoneLost(fleet)
+	return r.killZone(fleet)
 }
 
-// everyone is every running node.
-func everyone(fleet *rehearsal.Fleet) []*rehearsal.Node { return fleet.Alive() }
+// allNodes returns every running node.
+func allNodes(fleet *rehearsal.Fleet) []*rehearsal.Node { return fleet.Alive() }
 
-// measureSpread accepts configurations while disturb happens, and measures the
-// time until each is in force at all selected nodes.
-func measureSpread(ctx context.Context, fleet *rehearsal.Fleet, trials int, disturb func(), selected func(*rehearsal.Fleet) []*rehearsal.Node) (Spread, error) {
+// measurePropagation publishes configurations, each after a call of disturb, and
+// measures the time until each is in force at all selected nodes.
+func measurePropagation(ctx context.Context, fleet *rehearsal.Fleet, trials int, disturb func(), selected func(*rehearsal.Fleet) []*rehearsal.Node) (Delays, error) {
 	times := make([]time.Duration, 0, trials)
 	for range trials {
 		disturb()
-		version, err := change(ctx, fleet)
+		version, err := publishChange(ctx, fleet)
 		if err != nil {
-			return Spread{}, err
+			return Delays{}, err
 		}
 		accepted := time.Now()
 		err = await(func() bool { return inForce(selected(fleet), version) })
 		if err != nil {
-			return Spread{}, errors.Wrapf(err, "version %d at every node", version)
+			return Delays{}, errors.Wrapf(err, "version %d at every node", version)
 		}
 		times = append(times, time.Since(accepted))
 	}
@@ -92,7 +92,7 @@
 
 func inForce(nodes []*rehearsal.Node, version uint64) bool {
 	for _, running := range nodes {
-		// A node that takes no work yet cannot serve by an older version.
+		// A node that accepts no work cannot serve with an older version.
 		if running.Core.AcceptsWork() && running.Core.Configuration.Current().Version() < version {
 			return false
 		}
@@ -101,7 +101,7 @@
 }
 
 func await(condition func() bool) error {
-	for start := time.Now(); time.Since(start) < reactionLimit; time.Sleep(pollInterval) {
+	for start := time.Now(); time.Since(start) < reactionTimeout; time.Sleep(pollInterval) {
 		if condition() {
 			return nil
 		}
@@ -109,8 +109,8 @@
 	return errNoReaction
 }
 
-// change accepts a new weight of one tenant, as an operator's node does.
-func change(ctx context.Context, fleet *rehearsal.Fleet) (uint64, error) {
+// publishChange publishes a new weight of one tenant, as an operator's node does.
+func publishChange(ctx context.Context, fleet *rehearsal.Fleet) (uint64, error) {
 	store := storeOf(fleet)
 	head, err := configuration.ReadHead(ctx, store)
 	if err != nil {
@@ -132,8 +132,8 @@
 	return published.Version, err
 }
 
-// replace kills a share of the nodes and starts them again.
-func replace(fleet *rehearsal.Fleet, percent int) {
+// restartNodes kills a share of the nodes and starts them again.
+func restartNodes(fleet *rehearsal.Fleet, percent int) {
 	alive := fleet.Alive()
 	count := max(len(alive)*percent/100, 1)
 	stride := max(len(alive)/count, 1)
@@ -144,24 +144,25 @@
 	}
 }
 
-// zoneCut cuts the last zone off from the other zones and the platform. The
-// change must reach the others; the zone must catch up when it is back.
-func (r *Report) zoneCut(ctx context.Context, fleet *rehearsal.Fleet, options Options) error {
+// isolateZone disconnects the last zone from the other zones and the platform.
+// Changes must reach the other zones; the isolated one must catch up once it is
+// connected again.
+func (r *Report) isolateZone(ctx context.Context, fleet *rehearsal.Fleet, options Options) error {
 	if options.Zones < 2 {
 		return nil
 	}
-	cut := fleet.Options.Zones[options.Zones-1]
-	heal := fleet.Partition([]string{cut}, true)
+	isolated := fleet.Options.Zones[options.Zones-1]
+	heal := fleet.Partition([]string{isolated}, true)
 	defer heal()
-	rest := fleet.Options.Zones[:options.Zones-1]
-	outside := func(fleet *rehearsal.Fleet) []*rehearsal.Node { return nodesIn(fleet, rest) }
-	measured, err := measureSpread(ctx, fleet, options.Trials, func() {}, outside)
+	others := fleet.Options.Zones[:options.Zones-1]
+	outside := func(fleet *rehearsal.Fleet) []*rehearsal.Node { return nodesIn(fleet, others) }
+	measured, err := measurePropagation(ctx, fleet, options.Trials, func() {}, outside)
 	if err != nil {
-		return errors.Wrap(err, "zone cut off")
+		return errors.Wrap(err, "isolated zone")
 	}
-	r.SpreadZoneCut = &measured
+	r.PropagationZoneIsolated = &measured
 	heal()
-	return errors.Wrap(await(func() bool { return inForce(fleet.Alive(), r.newest(fleet)) }), "zone after its return")
+	return errors.Wrap(await(func() bool { return inForce(fleet.Alive(), r.newest(fleet)) }), "isolated zone after its reconnection")
 }
 
 func (r *Report) newest(fleet *rehearsal.Fleet) uint64 {
@@ -172,54 +173,55 @@
 	return version
 }
 
-// deaths kills the owner of a pool and waits until the other nodes of the zone
-// agree on another one.
-func (r *Report) deaths(fleet *rehearsal.Fleet, options Options) error {
+// killOwners kills owners of pools, and measures the time until the other nodes
+// agree on a new owner.
+func (r *Report) killOwners(fleet *rehearsal.Fleet, options Options) error {
 	var times []time.Duration
 	for trial := range options.Trials {
 		pools := fleet.Options.Configuration.Pools
 		pool := pools[trial%len(pools)]
 		ownerName := ownerOf(fleet.Alive()[0], pool)
 		fleet.Kill(ownerName)
-		died := time.Now()
+		killed := time.Now()
 		if err := await(func() bool { return agreeWithout(fleet, pool, map[string]bool{ownerName: true}) }); err != nil {
-			return errors.Wrapf(err, "owner of %s after a death", pool.Name)
+			return errors.Wrapf(err, "owner of %s after a node failure", pool.Name)
 		}
-		times = append(times, time.Since(died))
+		times = append(times, time.Since(killed))
 		fleet.Start(ownerName)
-		if !fleet.WaitReady(readyLimit) {
-			return errors.Wrap(errNoReaction, "fleet after a death")
+		if !fleet.WaitReady(readyTimeout) {
+			return errors.Wrap(errNoReaction, "fleet after a node failure")
 		}
 	}
 	measured := summarize(times)
-	r.OwnerSeconds = &measured
+	r.OwnerReplaced = &measured
 	return nil
 }
 
-func ownerOf(asked *rehearsal.Node, pool api.Pool) string {
-	found, err := asked.Core.Cluster.Owner(pool.Zone, owner.Key(pool.Name))
+func ownerOf(observer *rehearsal.Node, pool api.Pool) string {
+	found, err := observer.Core.Cluster.Owner(pool.Zone, owner.Key(pool.Name))
 	if err != nil {
 		return ""
 	}
 	return found.Name
 }
 
-// agreeWithout reports whether all nodes name one living owner of a pool.
+// agreeWithout reports whether all nodes report the same owner of a pool, one that
+// is not dead.
 func agreeWithout(fleet *rehearsal.Fleet, pool api.Pool, dead map[string]bool) bool {
-	named := ""
+	agreed := ""
 	for _, running := range fleet.Alive() {
 		current := ownerOf(running, pool)
-		if current == "" || dead[current] || (named != "" && current != named) {
+		if current == "" || dead[current] || (agreed != "" && current != agreed) {
 			return false
 		}
-		named = current
+		agreed = current
 	}
 	return true
 }
 
-// zoneLost kills every node of the last zone and waits until its pools have
-// owners in other zones.
-func (r *Report) zoneLost(fleet *rehearsal.Fleet) error {
+// killZone kills every node of the last zone, and measures the time until its
+// pools have owners in other zones.
+func (r *Report) killZone(fleet *rehearsal.Fleet) error {
 	zone := fleet.Options.Zones[len(fleet.Options.Zones)-1]
 	dead := map[string]bool{}
 	for _, running := range fleet.Alive() {
@@ -231,15 +233,15 @@
 	if len(fleet.Alive()) == 0 {
 		return nil
 	}
-	lost := time.Now()
+	zoneKilled := time.Now()
 	for _, pool := range fleet.Options.Configuration.Pools {
 		if pool.Zone != zone {
 			continue
 		}
 		if err := await(func() bool { return agreeWithout(fleet, pool, dead) }); err != nil {
-			return errors.Wrap(err, "pools of lost zone "+zone)
+			return errors.Wrap(err, "pools of failed zone "+zone)
 		}
 	}
-	r.ZoneLostSeconds = time.Since(lost).Seconds()
+	r.ZoneLostSeconds = time.Since(zoneKilled).Seconds()
 	return nil
 }
--- a/sim/hollow/restarting.go
+++ b/sim/hollow/restarting.go
@@ -6,13 +6,13 @@
 	"github.com/reelrun/reelrun/sim/rehearsal"
 )
 
-// restartStride spreads the restarts over the zones.
+// restartStride distributes the restarts over the zones.
 const restartStride = 13
 
-// busyShare is the share of the nodes that are restarted at the same time at most.
-const busyShare = 0.25
+// maxConcurrentShare is the largest share of the nodes that restart at the same time.
+const maxConcurrentShare = 0.25
 
-// restarter restarts nodes, a share of them at the same time.
+// restarter restarts nodes, a bounded number of them concurrently.
 type restarter struct {
 	fleet   *rehearsal.Fleet
 	slots   chan struct{}
@@ -20,12 +20,12 @@
 }
 
 func newRestarter(fleet *rehearsal.Fleet) *restarter {
-	slots := int(busyShare * float64(len(fleet.NodeNames())))
+	slots := int(maxConcurrentShare * float64(len(fleet.NodeNames())))
 	return &restarter{fleet: fleet, slots: make(chan struct{}, max(slots, 1))}
 }
 
-// restart ends a node in the given way and starts it again, as soon as few enough
-// others are being restarted. It does not wait for the end.
+// restart ends a node with the given function and starts it again. It blocks while
+// too many other nodes are restarting, but not until the node is ready.
 func (r *restarter) restart(name string, end func(string)) {
 	r.slots <- struct{}{}
 	r.running.Add(1)
@@ -34,7 +34,7 @@
 		defer func() { <-r.slots }()
 		end(name)
 		r.fleet.Start(name)
-		_ = await(r.fleet.Node(name).Core.IsReady) // The verdict shows what follows.
+		_ = await(r.fleet.Node(name).Core.IsReady) // Consequences show in the verdict.
 	}()
 }
 
--- a/sim/hollow/rounds.go
+++ b/sim/hollow/rounds.go
@@ -10,60 +10,60 @@
 	"github.com/reelrun/reelrun/sim/rehearsal"
 )
 
-// Parting is what two regions did while they had lost each other.
-type Parting struct {
+// Partition is the behavior of two regions during and after a network partition.
+type Partition struct {
 	Seconds float64 `json:"seconds"`
-	// Near is the spread of changes in the region that reaches the platform.
-	Near Spread `json:"near"`
-	// FarStopped is the time until no node of the other region takes new work.
-	FarStopped float64 `json:"far_stopped_s"`
-	// Rejoined is the time from the end of the parting until every node is ready
-	// with the newest version and hears all others.
+	// Connected is the propagation of changes in the region that reaches the platform.
+	Connected Delays `json:"near"`
+	// IsolatedStopped is the time until no node of the other region accepts new work.
+	IsolatedStopped float64 `json:"far_stopped_s"`
+	// Rejoined is the time from the end of the partition until every node is ready
+	// with the newest version and receives the heartbeats of all others.
 	Rejoined float64 `json:"rejoined_s"`
 }
 
-// Restarts is what callers saw while nodes were restarted.
+// Restarts is what callers observed while nodes were restarted.
 type Restarts struct {
 	Kills   int     `json:"kills"`
 	Stops   int     `json:"planned_stops"`
 	Seconds float64 `json:"seconds"`
-	// Verdict is that of the callers and the stand-ins' ledgers.
+	// Verdict is based on the callers' results and the stand-ins' ledgers.
 	Verdict *load.Verdict `json:"verdict"`
 }
 
-// streamsOfNode is the number of streams of the node that is killed.
-const streamsOfNode = 8
+// streamsPerNode is the number of streams of the node that is killed.
+const streamsPerNode = 8
 
-// streamsFreed kills nodes whose callers read endless answers and go away, and
-// measures the time until no engine holds a stream.
-func (r *Report) streamsFreed(fleet *rehearsal.Fleet, options Options) error {
+// measureStreamsFreed kills nodes whose callers read endless answers and then
+// disconnect, and measures the time until no engine holds a stream.
+func (r *Report) measureStreamsFreed(fleet *rehearsal.Fleet, options Options) error {
 	var times []time.Duration
 	for trial := range options.Trials {
 		alive := fleet.Alive()
-		killed := alive[(trial*7+1)%len(alive)]
+		victim := alive[(trial*7+1)%len(alive)]
 		sent := newTraffic(fleet, options)
-		ctx, hangUp := context.WithCancel(context.Background())
-		for range streamsOfNode {
-			if err := sent.start(ctx, sent.completion(trial, endlessTokens), []*rehearsal.Node{killed}); err != nil {
-				hangUp()
+		ctx, disconnect := context.WithCancel(context.Background())
+		for range streamsPerNode {
+			if err := sent.start(ctx, sent.completion(trial, endlessTokens), []*rehearsal.Node{victim}); err != nil {
+				disconnect()
 				return err
 			}
 		}
-		err := await(func() bool { return fleet.DecodingStreams() == streamsOfNode })
-		fleet.Kill(killed.Name)
-		hangUp()
-		died := time.Now()
+		err := await(func() bool { return fleet.DecodingStreams() == streamsPerNode })
+		fleet.Kill(victim.Name)
+		disconnect()
+		killed := time.Now()
 		if err == nil {
 			err = await(func() bool { return fleet.HeldStreams() == 0 })
 		}
 		if err != nil {
-			return errors.Wrap(err, "streams of a dead node")
+			return errors.Wrap(err, "streams of a killed node")
 		}
-		times = append(times, time.Since(died))
+		times = append(times, time.Since(killed))
 		sent.wait()
-		fleet.Start(killed.Name)
-		if !fleet.WaitReady(readyLimit) {
-			return errors.Wrap(errNoReaction, "fleet after the death of a node with streams")
+		fleet.Start(victim.Name)
+		if !fleet.WaitReady(readyTimeout) {
+			return errors.Wrap(errNoReaction, "fleet after the failure of a node with streams")
 		}
 	}
 	measured := summarize(times)
@@ -71,17 +71,18 @@
 	return nil
 }
 
-// regionsParted parts the zones into two regions, of which the second loses the
-// platform too, and changes the configuration meanwhile.
-func (r *Report) regionsParted(ctx context.Context, fleet *rehearsal.Fleet, options Options) error {
+// partitionRegions measures a network partition of the zones into two regions, of
+// which the second is disconnected from the platform too, and changes the
+// configuration meanwhile.
+func (r *Report) partitionRegions(ctx context.Context, fleet *rehearsal.Fleet, options Options) error {
 	zones := fleet.Options.Zones
-	far := zones[(len(zones)+1)/2:]
-	nearNodes := func(fleet *rehearsal.Fleet) []*rehearsal.Node { return nodesIn(fleet, zones[:(len(zones)+1)/2]) }
-	heal := fleet.Partition(far, true)
+	isolated := zones[(len(zones)+1)/2:]
+	connectedNodes := func(fleet *rehearsal.Fleet) []*rehearsal.Node { return nodesIn(fleet, zones[:(len(zones)+1)/2]) }
+	heal := fleet.Partition(isolated, true)
 	defer heal()
-	parted := time.Now()
+	partitionStart := time.Now()
 	err := await(func() bool {
-		for _, running := range nodesIn(fleet, far) {
+		for _, running := range nodesIn(fleet, isolated) {
 			if running.Core.AcceptsWork() {
 				return false
 			}
@@ -89,45 +90,45 @@
 		return true
 	})
 	if err != nil {
-		return errors.Wrap(err, "far region after the parting")
+		return errors.Wrap(err, "isolated region after the start of the partition")
 	}
-	measured := Parting{FarStopped: time.Since(parted).Seconds()}
-	for start := true; start || time.Since(parted) < options.PartitionDuration; start = false {
-		spread, err := measureSpread(ctx, fleet, options.Trials, func() {}, nearNodes)
+	measured := Partition{IsolatedStopped: time.Since(partitionStart).Seconds()}
+	for start := true; start || time.Since(partitionStart) < options.PartitionDuration; start = false {
+		propagation, err := measurePropagation(ctx, fleet, options.Trials, func() {}, connectedNodes)
 		if err != nil {
-			return errors.Wrap(err, "near region while parted")
+			return errors.Wrap(err, "connected region during the partition")
 		}
-		measured.Near = measured.Near.with(spread)
+		measured.Connected = measured.Connected.merge(propagation)
 		time.Sleep(time.Second)
 	}
-	measured.Seconds = time.Since(parted).Seconds()
+	measured.Seconds = time.Since(partitionStart).Seconds()
 	heal()
-	healed := time.Now()
+	partitionEnd := time.Now()
 	newest := r.newest(fleet)
-	if !fleet.WaitReady(readyLimit) {
-		return errors.Wrap(errNoReaction, "regions after the parting")
+	if !fleet.WaitReady(readyTimeout) {
+		return errors.Wrap(errNoReaction, "regions after the partition")
 	}
 	if err := await(func() bool { return inForce(fleet.Alive(), newest) }); err != nil {
-		return errors.Wrap(err, "newest version after the parting")
+		return errors.Wrap(err, "newest version after the partition")
 	}
-	measured.Rejoined = time.Since(healed).Seconds()
-	r.Parting = &measured
+	measured.Rejoined = time.Since(partitionEnd).Seconds()
+	r.Partition = &measured
 	return nil
 }
 
-// with joins two spreads. The median becomes the mean of both medians, weighted by
-// their trials.
-func (s Spread) with(other Spread) Spread {
+// merge combines two summaries. The median becomes the mean of both medians,
+// weighted by the number of trials.
+func (s Delays) merge(other Delays) Delays {
 	trials := s.Trials + other.Trials
 	if trials == 0 {
 		return s
 	}
 	mean := (s.Median*float64(s.Trials) + other.Median*float64(other.Trials)) / float64(trials)
-	return Spread{Trials: trials, Median: mean, Worst: max(s.Worst, other.Worst)}
+	return Delays{Trials: trials, Median: mean, Worst: max(s.Worst, other.Worst)}
 }
 
-// judge compares what callers saw with what the stand-ins did.
-func judge(results []load.Result, fleet *rehearsal.Fleet) *load.Verdict {
+// evaluate compares what callers received with what the stand-ins ran.
+func evaluate(results []load.Result, fleet *rehearsal.Fleet) *load.Verdict {
 	return load.Evaluate(results, fleet.Ledgers())
 }
 
@@ -146,18 +147,18 @@
 }
 
 const (
-	// restartInterval is the time between two restarts of the compressed day.
+	// restartInterval is the time between two restarts. It compresses those of a day.
 	restartInterval = 300 * time.Millisecond
-	// requestsPerRestart is how many requests begin between two restarts.
+	// requestsPerRestart is the number of requests sent between two restarts.
 	requestsPerRestart = 10
-	// settleTime is above the resume window, the hold time and the retries of
+	// settleTime is longer than the resume window, the hold time and the retries of
 	// cancellations.
 	settleTime = 20 * time.Second
 )
 
-// restarts ends and starts nodes one after the other while requests run: every second
-// one by a planned stop, the others by a kill.
-func (r *Report) restarts(fleet *rehearsal.Fleet, options Options) error {
+// measureRestarts restarts nodes one after the other under load: every second one
+// with a planned stop, the others with a kill.
+func (r *Report) measureRestarts(fleet *rehearsal.Fleet, options Options) error {
 	sent := newTraffic(fleet, options)
 	measured := Restarts{}
 	began := time.Now()
@@ -182,11 +183,11 @@
 	restarting.wait()
 	results := sent.wait()
 	measured.Seconds = time.Since(began).Seconds()
-	if !fleet.WaitReady(readyLimit) {
+	if !fleet.WaitReady(readyTimeout) {
 		return errors.Wrap(errNoReaction, "fleet after the restarts")
 	}
 	time.Sleep(settleTime)
-	measured.Verdict = judge(results, fleet)
+	measured.Verdict = evaluate(results, fleet)
 	r.Restarts = &measured
 	return nil
 }
--- a/sim/hollow/series.go
+++ b/sim/hollow/series.go
@@ -18,7 +18,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of the fleet that the users expect.
+// Size of the full fleet, as the users expect it.
 const (
 	fullNodes   = 410
 	fullZones   = 7
@@ -27,18 +27,18 @@
 	fullModels  = 18
 )
 
-// Scaled returns the options of a fleet of the given number of nodes, with the
-// users' other figures in proportion.
+// Scaled returns the options of a fleet with the given number of nodes, and with
+// the other figures of the full fleet in proportion.
 func Scaled(nodes int, window time.Duration, trials int, failures bool) Options {
 	share := float64(nodes) / fullNodes
-	part := func(full int) int { return max(int(math.Round(share*float64(full))), 1) }
+	scaled := func(full int) int { return max(int(math.Round(share*float64(full))), 1) }
 	return Options{
-		Nodes: nodes, Zones: min(fullZones, max(nodes/4, 1)), Servers: max(part(fullServers), enginesPerPool), Tenants: part(fullTenants),
-		Models: part(fullModels), Window: window, Trials: trials, Failures: failures,
+		Nodes: nodes, Zones: min(fullZones, max(nodes/4, 1)), Servers: max(scaled(fullServers), enginesPerPool), Tenants: scaled(fullTenants),
+		Models: scaled(fullModels), Window: window, Trials: trials, Failures: failures,
 	}
 }
 
-// Fit is a straight line through a measured quantity against the nodes of a zone.
+// Fit is a linear regression of a measured quantity against the nodes per zone.
 type Fit struct {
 	Quantity string `json:"quantity"`
 	// Intercept and Slope describe the line; StandardError is that of the slope.
@@ -47,7 +47,7 @@
 	StandardError float64 `json:"slope_standard_error"`
 }
 
-// quantity is one column of a report.
+// quantity is one measured quantity of a report.
 type quantity struct {
 	name  string
 	value func(*Report) float64
@@ -117,23 +117,23 @@
 	return fits
 }
 
-// slopeError is the standard error of a fitted slope; zero for fewer than three points.
+// slopeError returns the standard error of a fitted slope; zero for fewer than three points.
 func slopeError(x, y []float64, intercept, slope float64) float64 {
 	const parameters = 2
 	if len(x) <= parameters {
 		return 0
 	}
 	mean := stat.Mean(x, nil)
-	residuals, spread := 0.0, 0.0
+	residuals, squares := 0.0, 0.0
 	for i := range x {
 		residual := y[i] - intercept - slope*x[i]
 		residuals += residual * residual
-		spread += (x[i] - mean) * (x[i] - mean)
+		squares += (x[i] - mean) * (x[i] - mean)
 	}
-	if spread == 0 {
+	if squares == 0 {
 		return 0
 	}
-	return math.Sqrt(residuals / float64(len(x)-parameters) / spread)
+	return math.Sqrt(residuals / float64(len(x)-parameters) / squares)
 }
 
 // drawSeries plots each quantity as a share of its value at the largest fleet.
--- a/sim/hollow/traffic.go
+++ b/sim/hollow/traffic.go
@@ -18,17 +18,17 @@
 
 const (
 	callerHost = "192.0.2.1"
-	// promptWords is the length of a request's prompt.
+	// promptWords is the length of a prompt in words.
 	promptWords = 100
-	// answerTokens is the length of a usual answer, endlessTokens of one that only
-	// a cancellation ends.
+	// answerTokens is the largest length of a usual answer, endlessTokens the length
+	// of one that only a cancellation ends.
 	answerTokens  = 40
 	endlessTokens = 20000
-	// nodesTried is how many nodes the balancer offers a caller in turn.
-	nodesTried = 4
+	// nodesPerCaller is the number of nodes that the load balancer offers to a caller.
+	nodesPerCaller = 4
 )
 
-// traffic sends requests to a fleet as callers behind a balancer do.
+// traffic sends requests to a fleet as callers behind a load balancer do.
 type traffic struct {
 	fleet   *rehearsal.Fleet
 	options Options
@@ -56,8 +56,8 @@
 	}
 }
 
-// onceCall returns a call to a service that may not be repeated.
-func (t *traffic) onceCall(tenant int) load.Call {
+// nonIdempotentCall returns a non-idempotent call to a service.
+func (t *traffic) nonIdempotentCall(tenant int) load.Call {
 	return load.Call{
 		Kind: &load.Kind{
 			Name: "log", Token: rehearsal.Token(tenant), Service: "service-0", Method: http.MethodPost, Path: "/entries", NonIdempotent: true,
@@ -67,7 +67,7 @@
 	}
 }
 
-// start sends a call through the given nodes and keeps its result.
+// start sends a call through the given nodes and records its result.
 func (t *traffic) start(ctx context.Context, call load.Call, nodes []*rehearsal.Node) error {
 	key, err := uuid.NewV7()
 	if err != nil {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// balanced returns the nodes that the balancer offers a caller: some of those
-// that are ready, in random order.
+// balanced returns the nodes that the load balancer offers to a caller: some of
+// the ready ones, in random order.
 func (t *traffic) balanced() []*rehearsal.Node {
 	var ready []*rehearsal.Node
 	for _, running := range t.fleet.Alive() {
@@ -98,23 +98,23 @@
 		}
 	}
 	t.random.Shuffle(len(ready), func(i, j int) { ready[i], ready[j] = ready[j], ready[i] })
-	return ready[:min(len(ready), nodesTried)]
+	return ready[:min(len(ready), nodesPerCaller)]
 }
 
-// onceEvery is how many requests pass between two that may not be repeated.
-const onceEvery = 4
+// nonIdempotentEvery is the mean number of requests for each non-idempotent one.
+const nonIdempotentEvery = 4
 
-// startAny sends the next request of the mix through the balancer.
+// startAny sends a random request of the mix through the load balancer.
 func (t *traffic) startAny() error {
 	tenant := t.random.IntN(t.options.Tenants)
 	call := t.completion(tenant, 1+t.random.IntN(answerTokens))
-	if t.random.IntN(onceEvery) == 0 {
-		call = t.onceCall(tenant)
+	if t.random.IntN(nonIdempotentEvery) == 0 {
+		call = t.nonIdempotentCall(tenant)
 	}
 	return t.start(context.Background(), call, t.balanced())
 }
 
-// wait waits for every caller and returns what they saw.
+// wait waits for every caller and returns their results.
 func (t *traffic) wait() []load.Result {
 	t.running.Wait()
 	t.mu.Lock()
