--- a/sim/rehearsal/benchmark_test.go
+++ b/sim/rehearsal/benchmark_test.go
@@ -16,8 +16,8 @@
 	"github.com/reelrun/reelrun/sim/load"
 )
 
-// benchmarkFleet starts a fleet of three nodes in one zone with engines that
-// take next to no time, so that what is left is the router's.
+// benchmarkFleet starts a fleet of three nodes in one zone with engines that take
+// almost no time, so that the router dominates the measured cost.
 func benchmarkFleet(b *testing.B) *Fleet {
 	b.Helper()
 	shape := Shape{Zones: []string{"zone-a"}, Models: 1, PoolsPerModel: 1, EnginesPerPool: 2, Tenants: 1, Services: 1}
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// BenchmarkRequest measures a request that ends with its prefill: sent straight
-// to the engine, through the node that owns the pool, and through another.
+// BenchmarkRequest measures a request that ends with its prefill: sent directly to
+// the engine, through the node that owns the pool, and through another node.
 func BenchmarkRequest(b *testing.B) {
 	fleet := benchmarkFleet(b)
 	defer fleet.Close()
@@ -107,8 +107,8 @@
 	b.ReportMetric(float64(framesAfter-framesBefore)/float64(b.N), "peer-frames/op")
 }
 
-// BenchmarkHeldStream measures the memory of a stream that is being relayed, the
-// ends of its caller and of the stand-in engine included.
+// BenchmarkHeldStream measures the memory of a relayed stream, including that of its
+// caller and of the stand-in engine.
 func BenchmarkHeldStream(b *testing.B) {
 	const streams = 500
 	for b.Loop() {
@@ -128,7 +128,7 @@
 		}
 		for start := time.Now(); heldDecodes(fleet) < streams; time.Sleep(10 * time.Millisecond) {
 			if time.Since(start) > time.Minute {
-				b.Fatalf("%d of %d streams run", heldDecodes(fleet), streams)
+				b.Fatalf("%d of %d streams are running", heldDecodes(fleet), streams)
 			}
 		}
 		b.ReportMetric(float64(heap()-before)/streams, "B/stream")
--- a/sim/rehearsal/defects_test.go
+++ b/sim/rehearsal/defects_test.go
@@ -17,8 +17,8 @@
 	"github.com/reelrun/reelrun/operator"
 )
 
-// The tests of this file break the system on purpose, one promise each, and fail
-// if the oracle does not notice.
+// The tests of this file inject defects, each of which violates one guarantee, and
+// fail if the oracle does not detect the violation.
 
 // roundTripper is a function that is an http.RoundTripper.
 type roundTripper func(*http.Request) (*http.Response, error)
@@ -32,7 +32,7 @@
 	}
 }
 
-// requestSteps is a schedule of requests of all kinds, some of which hang up.
+// requestSteps returns a schedule of requests of all kinds. Some callers disconnect.
 func requestSteps() []step {
 	random := rand.New(rand.NewPCG(11, 11))
 	steps := make([]step, 60)
@@ -42,9 +42,9 @@
 	return steps
 }
 
-// mustNotice runs a schedule on a defective fleet and wants a violation with the
-// given text.
-func mustNotice(t *testing.T, defects Defects, text string) {
+// expectViolation runs a schedule on a defective fleet, and fails without a violation
+// that contains the given text.
+func expectViolation(t *testing.T, defects Defects, text string) {
 	t.Helper()
 	options := smallOptions()
 	options.Defects = defects
@@ -54,18 +54,18 @@
 			return
 		}
 	}
-	t.Fatalf("the oracle did not notice; it said %q", violations)
+	t.Fatalf("the oracle did not detect the defect; it reported %q", violations)
 }
 
-func TestOracleIsQuietWithoutDefects(t *testing.T) {
+func TestOracleReportsNothingWithoutDefects(t *testing.T) {
 	violations, _ := runSchedule(t, smallOptions(), requestSteps())
 	if len(violations) > 0 {
 		t.Fatal(violations)
 	}
 }
 
-func TestOracleNoticesHeldMemory(t *testing.T) {
-	mustNotice(t, Defects{Transport: func(next http.RoundTripper) http.RoundTripper {
+func TestOracleDetectsHeldMemory(t *testing.T) {
+	expectViolation(t, Defects{Transport: func(next http.RoundTripper) http.RoundTripper {
 		return roundTripper(func(r *http.Request) (*http.Response, error) {
 			switch {
 			case strings.HasSuffix(r.URL.Path, "/cancel"):
@@ -79,14 +79,14 @@
 }
 
 // repeatingWriter writes each token of a stream twice.
-type repeatingWriter struct {
+type duplicatingWriter struct {
 	http.ResponseWriter
 	pending bytes.Buffer
 }
 
-func (w *repeatingWriter) Write(data []byte) (int, error) { return w.pending.Write(data) }
+func (w *duplicatingWriter) Write(data []byte) (int, error) { return w.pending.Write(data) }
 
-func (w *repeatingWriter) FlushError() error {
+func (w *duplicatingWriter) FlushError() error {
 	event := bytes.Clone(w.pending.Bytes())
 	w.pending.Reset()
 	if bytes.Contains(event, []byte("id: ")) {
@@ -98,17 +98,17 @@
 	return http.NewResponseController(w.ResponseWriter).Flush()
 }
 
-func TestOracleNoticesTokensTwice(t *testing.T) {
-	mustNotice(t, Defects{Handler: func(next http.Handler) http.Handler {
+func TestOracleDetectsDuplicateTokens(t *testing.T) {
+	expectViolation(t, Defects{Handler: func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			repeating := &repeatingWriter{ResponseWriter: w}
-			next.ServeHTTP(repeating, r)
-			_ = repeating.FlushError()
+			duplicating := &duplicatingWriter{ResponseWriter: w}
+			next.ServeHTTP(duplicating, r)
+			_ = duplicating.FlushError()
 		})
 	}}, "tokens twice")
 }
 
-// alteringWriter changes a letter of every answer.
+// alteringWriter adds a letter to every answer.
 type alteringWriter struct{ http.ResponseWriter }
 
 func (w alteringWriter) Write(data []byte) (int, error) {
@@ -121,14 +121,14 @@
 
 func (w alteringWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func TestOracleNoticesAlteredAnswer(t *testing.T) {
-	mustNotice(t, Defects{Handler: func(next http.Handler) http.Handler {
+func TestOracleDetectsAlteredAnswer(t *testing.T) {
+	expectViolation(t, Defects{Handler: func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { next.ServeHTTP(alteringWriter{w}, r) })
 	}}, "altered")
 }
 
-func TestOracleNoticesFalseNotRun(t *testing.T) {
-	mustNotice(t, Defects{Handler: func(next http.Handler) http.Handler {
+func TestOracleDetectsFalseNotRun(t *testing.T) {
+	expectViolation(t, Defects{Handler: func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodPost && strings.HasPrefix(r.URL.Path, "/services/") {
 				discarded := &discardingWriter{header: http.Header{}}
@@ -148,8 +148,8 @@
 func (w *discardingWriter) WriteHeader(int)                {}
 func (w *discardingWriter) FlushError() error              { return nil }
 
-func TestOracleNoticesSecondRun(t *testing.T) {
-	mustNotice(t, Defects{Transport: func(next http.RoundTripper) http.RoundTripper {
+func TestOracleDetectsSecondRun(t *testing.T) {
+	expectViolation(t, Defects{Transport: func(next http.RoundTripper) http.RoundTripper {
 		return roundTripper(func(r *http.Request) (*http.Response, error) {
 			if r.Method != http.MethodPost || !strings.HasPrefix(r.URL.Host, "10.200.") {
 				return next.RoundTrip(r)
@@ -169,34 +169,34 @@
 	}}, "ran 2 times")
 }
 
-// blindStore hides one kind of object.
-type blindStore struct {
+// hidingStore fails to list one kind of object.
+type hidingStore struct {
 	objectapi.Store
 	kind objectapi.Kind
 }
 
-func (s blindStore) List(ctx context.Context, kind objectapi.Kind) ([]objectapi.Object, int64, error) {
+func (s hidingStore) List(ctx context.Context, kind objectapi.Kind) ([]objectapi.Object, int64, error) {
 	if kind == s.kind {
 		return nil, 0, objectapi.ErrUnavailable
 	}
 	return s.Store.List(ctx, kind)
 }
 
-func TestOracleNoticesWorkForLeavingBackEnd(t *testing.T) {
+func TestOracleDetectsWorkForLeavingBackend(t *testing.T) {
 	options := smallOptions()
-	options.Defects.Store = func(next objectapi.Store) objectapi.Store { return blindStore{next, objectapi.KindMachine} }
+	options.Defects.Store = func(next objectapi.Store) objectapi.Store { return hidingStore{next, objectapi.KindMachine} }
 	if len(leaveUnderLoad(t, options)) == 0 {
-		t.Fatal("the oracle did not notice that leaving back ends got new work")
+		t.Fatal("the oracle did not detect that leaving backends got new work")
 	}
 }
 
-func TestOracleNoticesStopThatCutsOff(t *testing.T) {
+func TestOracleDetectsStopThatCutsOff(t *testing.T) {
 	if plannedStop(t, (*Fleet).Kill) == 0 {
-		t.Fatal("the oracle did not notice that requests were cut off")
+		t.Fatal("the oracle did not detect that requests were cut off")
 	}
 }
 
-// staleStore shows a node the first configuration for ever, once it is switched on.
+// staleStore hides all changes of the configuration from a node once stale is set.
 type staleStore struct {
 	objectapi.Store
 	stale *atomic.Bool
@@ -217,37 +217,37 @@
 	return s.Store.Watch(ctx, kind, after, handle)
 }
 
-func TestOracleNoticesStaleConfiguration(t *testing.T) {
+func TestOracleDetectsStaleConfiguration(t *testing.T) {
 	var stale atomic.Bool
 	options := smallOptions()
 	options.Defects.Store = func(next objectapi.Store) objectapi.Store { return staleStore{next, &stale} }
 	if violations := changeConfiguration(t, options, &stale); len(violations) == 0 {
-		t.Fatal("the oracle did not notice that nodes kept the old configuration")
+		t.Fatal("the oracle did not detect that nodes kept the old configuration")
 	}
 }
 
-// changeConfiguration accepts a version behind the nodes' backs and returns what
-// the monitor says after a while.
+// changeConfiguration publishes a version directly in the store and returns what the
+// monitor reports after twice the time in which it must be in force.
 func changeConfiguration(t *testing.T, options Options, stale *atomic.Bool) (violations []string) {
-	bubble(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, options)
 		defer fleet.Close()
 		stale.Store(true)
-		// The watches under way end, so that the defect takes hold.
+		// The outage ends the open watches, so that the defect takes effect.
 		fleet.Platform.SetOutage(true)
 		time.Sleep(time.Second)
 		fleet.Platform.SetOutage(false)
 		monitor := NewMonitor(fleet)
-		stopWatching := watch(monitor)
+		stopMonitor := startMonitor(monitor)
 		publishWeight(t, fleet, 7)
 		time.Sleep(2 * InForceWithin)
-		stopWatching()
+		stopMonitor()
 		violations = monitor.Violations()
 	})
 	return violations
 }
 
-func TestMonitorIsQuietWhenConfigurationSpreads(t *testing.T) {
+func TestMonitorReportsNothingWhenConfigurationPropagates(t *testing.T) {
 	var never atomic.Bool
 	options := smallOptions()
 	options.Defects.Store = func(next objectapi.Store) objectapi.Store { return staleStore{next, new(atomic.Bool)} }
@@ -256,25 +256,25 @@
 	}
 }
 
-func TestOracleNoticesVersionThatReverts(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+func TestOracleDetectsVersionThatReverts(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		publishWeight(t, fleet, 7)
 		waitUntil(t, InForceWithin, "version 2", func() bool { return fleet.Alive()[0].Core.Configuration.Current().Version() == 2 })
 		monitor := NewMonitor(fleet)
-		monitor.look()
+		monitor.check()
 		reverted := fleet.Alive()[0]
-		reverted.Core.Configuration = newOldHolder(t, fleet)
-		monitor.look()
+		reverted.Core.Configuration = newHolderOfFirst(t, fleet)
+		monitor.check()
 		if len(monitor.Violations()) == 0 {
-			t.Fatal("the oracle did not notice that a version went back")
+			t.Fatal("the oracle did not detect that a version went back")
 		}
 	})
 }
 
-// newOldHolder returns a holder of the first version.
-func newOldHolder(t *testing.T, fleet *Fleet) *configuration.Holder {
+// newHolderOfFirst returns a holder of the first version.
+func newHolderOfFirst(t *testing.T, fleet *Fleet) *configuration.Holder {
 	t.Helper()
 	holder := configuration.NewHolder()
 	store := fleet.Platform.Store
@@ -295,7 +295,7 @@
 	return holder
 }
 
-// publishWeight accepts a change of a tenant's weight as an operator would.
+// publishWeight publishes a change of a tenant's weight as an operator would.
 func publishWeight(t *testing.T, fleet *Fleet, weight float64) {
 	t.Helper()
 	through := fleet.Alive()[0]
--- a/sim/rehearsal/discovery_test.go
+++ b/sim/rehearsal/discovery_test.go
@@ -13,13 +13,13 @@
 	"github.com/reelrun/reelrun/sim/load"
 )
 
-// TestZonesWithoutSeedsFindEachOther starts six zones that are told of one node
-// only. Every node must come to know every other, also when a zone starts later
-// and when the seed is gone by then.
+// TestZonesWithoutSeedsFindEachOther starts six zones with a single seed node.
+// Every node must discover every other, also when a zone starts later, and keep
+// them after the seed has been terminated.
 func TestZonesWithoutSeedsFindEachOther(t *testing.T) {
 	for _, nodes := range []int{1, 3} {
 		t.Run(fmt.Sprintf("%d nodes a zone", nodes), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			inVirtualTime(t, func(t *testing.T) {
 				options := smallOptions()
 				options.Zones = []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e", "zone-f"}
 				options.NodesPerZone, options.SeedZones = nodes, 1
@@ -42,12 +42,13 @@
 	}
 }
 
-// TestSecondArrivalWhileTheFleetStarts sends a request to the first node that is
-// ready after a start of the whole fleet, and again to the next one at once: it
-// must be decoded once, although not all nodes are known to be ready yet.
-func TestSecondArrivalWhileTheFleetStarts(t *testing.T) {
+// TestClientRetryWhileTheFleetStarts sends a request to the first node that is
+// ready after a start of the whole fleet, and retries it at another one as soon as
+// that is ready: it must be decoded once, although not all nodes are known to be
+// ready yet.
+func TestClientRetryWhileTheFleetStarts(t *testing.T) {
 	for range 5 {
-		bubble(t, func(t *testing.T) {
+		inVirtualTime(t, func(t *testing.T) {
 			fleet, err := NewFleet(context.Background(), smallOptions())
 			if err != nil {
 				t.Fatal(err)
@@ -67,19 +68,19 @@
 			waitUntil(t, 10*time.Second, "another ready node", func() bool { return len(ready()) > 1 })
 			nodes := ready()
 			second.Client, second.Nodes = fleet.Client("192.0.2.2"), []string{nodes[len(nodes)-1].CallerAddress()}
-			// Each comes back when the other has taken the request over, until one has
-			// the whole answer.
+			// Each caller retries when the other has taken the request over, until one has
+			// the complete answer.
 			results := []load.Result{load.Send(context.Background(), second), <-done}
 			answered := 0
 			for _, result := range results {
 				if result.Ending == load.EndingAnswered {
 					answered++
 				} else if !api.IsCode(result.Failure, api.CodeAlreadyClaimed) {
-					t.Errorf("%s after %d tries: %v", result.Ending, result.Attempts, result.Failure)
+					t.Errorf("%s after %d attempts: %v", result.Ending, result.Attempts, result.Failure)
 				}
 			}
 			if starts := countEntries(fleet, enginesim.EntryDecodeStart); answered != 1 || starts != 1 {
-				t.Fatalf("%d whole answers, decoded %d times", answered, starts)
+				t.Fatalf("%d complete answers, decoded %d times", answered, starts)
 			}
 		})
 	}
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -40,28 +40,28 @@
 	NodesPerZone int
 	// SeedZones is the number of zones whose first node is a seed. Default all.
 	SeedZones int
-	// Configuration is accepted before the nodes start. Its engines and replicas
+	// Configuration is published before the nodes start. Its engines and replicas
 	// are started as stand-ins.
 	Configuration api.Configuration
 	// Platform are the limits of the platform.
 	Platform platformsim.Options
-	// Engine is the pattern of the stand-in engines.
+	// Engine are the options of the stand-in engines, without name, model and role.
 	Engine enginesim.Options
 	// Scheduler is the routing policy.
 	Scheduler scheduler.Options
 	// Interval is the time between heartbeats. Default 1s.
 	Interval time.Duration
-	// Defects break the system on purpose, to show that an oracle notices.
+	// Defects are injected to show that the oracles detect them.
 	Defects Defects
 }
 
 // Defects are deliberate defects of every node. The zero value has none.
 type Defects struct {
-	// Handler wraps the handler of callers.
+	// Handler wraps the handler of callers' requests.
 	Handler func(http.Handler) http.Handler
 	// Transport wraps the connections to engines and services.
 	Transport func(http.RoundTripper) http.RoundTripper
-	// Store wraps the platform.
+	// Store wraps the platform's store.
 	Store func(objectapi.Store) objectapi.Store
 }
 
@@ -79,11 +79,11 @@
 	down    chan struct{}
 	alive   bool
 	serving sync.WaitGroup
-	// dead keeps what a killed node still wants to send from leaving it.
+	// dead is set once the node is killed; whatever it sends afterwards is discarded.
 	dead atomic.Bool
 }
 
-// hostTransport is the transport of one start of a node.
+// hostTransport is the transport of one incarnation of a node.
 type hostTransport struct {
 	http.RoundTripper
 	node *Node
@@ -97,7 +97,7 @@
 	return t.RoundTripper.RoundTrip(request)
 }
 
-// CallerAddress is where callers reach the node.
+// CallerAddress is the address at which the node accepts callers.
 func (n *Node) CallerAddress() string { return n.Host + callerPort }
 
 // Engine is one stand-in engine of a fleet.
@@ -128,12 +128,12 @@
 	nodes map[string]*Node
 }
 
-// NewFleet starts the stand-ins and accepts the configuration. Nodes are started
+// NewFleet starts the stand-ins and publishes the configuration. Nodes are started
 // by StartAll.
 func NewFleet(ctx context.Context, options Options) (*Fleet, error) {
-	gate := memnet.NewLinkFilter()
+	links := memnet.NewLinkFilter()
 	created := &Fleet{
-		Options: options, Links: gate, Network: memnet.NewNetwork(gate), HTTP: memnet.NewHTTPNetwork(gate),
+		Options: options, Links: links, Network: memnet.NewNetwork(links), HTTP: memnet.NewHTTPNetwork(links),
 		Platform: NewPlatform(options.Platform), Engines: map[string]*Engine{}, Services: map[string]*Service{}, nodes: map[string]*Node{},
 	}
 	for _, pool := range options.Configuration.Pools {
@@ -184,7 +184,7 @@
 
 func nodeName(zone, number int) string { return fmt.Sprintf("node-%d-%03d", zone, number) }
 
-// hostOfNode gives every node an address of its own.
+// hostOfNode returns the IP address of a node.
 func hostOfNode(zone, number int) string { return fmt.Sprintf("10.%d.0.%d", zone+1, number+1) }
 
 // StartAll starts every node.
@@ -194,7 +194,7 @@
 	}
 }
 
-// Start starts a node under its name; an earlier start must have ended.
+// Start starts a node; an earlier incarnation must have ended.
 func (f *Fleet) Start(name string) {
 	var zone, number int
 	_, _ = fmt.Sscanf(name, "node-%d-%d", &zone, &number)
@@ -239,7 +239,7 @@
 	f.nodes[name] = started
 }
 
-// seeds are the first nodes of the zones that have one.
+// seeds returns the peer addresses of the first nodes of the seed zones.
 func (f *Fleet) seeds() []string {
 	zones := len(f.Options.Zones)
 	if f.Options.SeedZones > 0 {
@@ -252,7 +252,7 @@
 	return seeds
 }
 
-// Node returns a node by name.
+// Node returns the last incarnation of a node.
 func (f *Fleet) Node(name string) *Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -288,7 +288,7 @@
 	return alive
 }
 
-// readsPlatform reports whether some running node reaches the platform.
+// readsPlatform reports whether any running node reaches the platform.
 func (f *Fleet) readsPlatform() bool {
 	for _, running := range f.Alive() {
 		if down, _ := f.Platform.isDown(running.Name); !down {
@@ -298,7 +298,7 @@
 	return false
 }
 
-// markStopped reports whether the node was running.
+// markStopped marks a node as not running and reports whether it was running.
 func (f *Fleet) markStopped(stopped *Node) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -309,8 +309,8 @@
 	return true
 }
 
-// Kill ends a node as the end of its process does: every connection closes, and
-// nothing that it still wants to send leaves it.
+// Kill ends a node as the termination of its process does: every connection
+// closes, and whatever the node still sends is discarded.
 func (f *Fleet) Kill(name string) {
 	killed := f.Node(name)
 	if !f.markStopped(killed) {
@@ -324,9 +324,9 @@
 	close(killed.down)
 }
 
-// Partition cuts the nodes of some zones off from the nodes of the others, and from the
-// platform if asked to. Engines stay reachable from both sides. The returned
-// function ends the parting.
+// Partition disconnects the nodes of some zones from the nodes of the others, and
+// from the platform if withoutPlatform is set. Engines stay reachable from both
+// sides. The returned function ends the partition.
 func (f *Fleet) Partition(zones []string, withoutPlatform bool) (heal func()) {
 	inside, hosts := map[string]bool{}, map[string]bool{}
 	for _, running := range f.Alive() {
@@ -347,11 +347,11 @@
 	}
 }
 
-// drainDelay is the time in which the balancer takes a draining node out.
+// drainDelay is the time in which the load balancer removes a draining node.
 const drainDelay = 5 * time.Second
 
-// Stop stops a node as planned: unready, drained, and ended when its last
-// request has.
+// Stop is a planned stop of a node: it becomes unready, drains, and ends after its
+// last request.
 func (f *Fleet) Stop(name string) {
 	stopping := f.Node(name)
 	if !f.markStopped(stopping) {
@@ -385,8 +385,8 @@
 	}
 }
 
-// WaitReady waits until every running node is ready, and reports whether that
-// came about in time.
+// WaitReady waits until every running node is ready and receives the heartbeats of
+// all others, and reports whether this happened within the limit.
 func (f *Fleet) WaitReady(limit time.Duration) bool {
 	const step = 100 * time.Millisecond
 	for waited := time.Duration(0); waited < limit; waited += step {
@@ -440,7 +440,7 @@
 	return decoding
 }
 
-// Ledgers returns what the stand-ins did.
+// Ledgers returns the stand-ins' records of what they ran.
 func (f *Fleet) Ledgers() load.Ledgers {
 	var ledgers load.Ledgers
 	for _, started := range f.Engines {
@@ -457,7 +457,7 @@
 	return &http.Client{Transport: f.HTTP.Transport(host)}
 }
 
-// StoreOf returns the platform as a node of the given name reaches it.
+// StoreOf returns the platform's store with the faults injected for a node.
 func (f *Fleet) StoreOf(name string) objectapi.Store {
 	return &nodeStore{platform: f.Platform, node: name, dead: func() bool { return false }}
 }
--- a/sim/rehearsal/fleet_test.go
+++ b/sim/rehearsal/fleet_test.go
@@ -14,8 +14,8 @@
 	"github.com/reelrun/reelrun/sim/load"
 )
 
-// smallShape is the fleet of most tests: two zones, one model with a pool in
-// each, and one service.
+// smallShape is the shape of the fleet in most tests: two zones, one model with a
+// pool in each, and one service.
 func smallShape() Shape {
 	return Shape{Zones: []string{"zone-a", "zone-b"}, Models: 1, PoolsPerModel: 2, EnginesPerPool: 4, Tenants: 2, Services: 1}
 }
@@ -25,17 +25,18 @@
 	return Options{Zones: shape.Zones, NodesPerZone: 2, Configuration: Generate(shape), Engine: EngineOptions()}
 }
 
-// bubble runs a test in virtual time. yamux keeps timers in a global pool, and a
-// timer of one bubble must not be used in another: two collections empty it.
-func bubble(t *testing.T, run func(*testing.T)) {
+// inVirtualTime runs a test in a synctest bubble. yamux keeps timers in a global
+// pool, and a timer of one bubble must not be used in another: two garbage
+// collections empty the pool.
+func inVirtualTime(t *testing.T, run func(*testing.T)) {
 	t.Helper()
 	runtime.GC()
 	runtime.GC()
 	synctest.Test(t, run)
 }
 
-// watch runs a monitor in the background. The returned function ends it.
-func watch(monitor *Monitor) (stop func()) {
+// startMonitor runs a monitor in the background. The returned function stops it.
+func startMonitor(monitor *Monitor) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -58,7 +59,7 @@
 	fleet.StartAll()
 	if !fleet.WaitReady(time.Minute) {
 		for _, running := range fleet.Alive() {
-			t.Logf("%s: ready %t, hears %s", running.Name, running.Core.IsReady(), membership.Names(running.Core.Cluster.Live()))
+			t.Logf("%s: ready %t, live nodes %s", running.Name, running.Core.IsReady(), membership.Names(running.Core.Cluster.Live()))
 		}
 		fleet.Close()
 		t.Fatal("fleet is not ready")
@@ -74,7 +75,7 @@
 }
 
 func TestFleetAnswersACompletion(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		result := load.Send(context.Background(), load.Call{
@@ -82,12 +83,12 @@
 			Kind: longKind(0), Key: "first", Prompt: "a short prompt of some tokens", Tokens: 20,
 		})
 		if result.Ending != load.EndingAnswered || result.Attempts != 1 {
-			t.Fatalf("ending %s after %d tries: %s", result.Ending, result.Attempts, result.Detail)
+			t.Fatalf("ending %s after %d attempts: %s", result.Ending, result.Attempts, result.Detail)
 		}
 	})
 }
 
-// newKey returns a UUIDv7 with the bubble's time.
+// newKey returns a new Idempotency-Key, a UUIDv7 with the virtual time.
 func newKey() string {
 	id, err := uuid.NewV7()
 	if err != nil {
--- a/sim/rehearsal/generate.go
+++ b/sim/rehearsal/generate.go
@@ -15,11 +15,12 @@
 // Shape is the size of a generated configuration.
 type Shape struct {
 	Zones []string
-	// Models is the number of models; each gets a pool in as many zones as
-	// PoolsPerModel says.
+	// Models is the number of models, each with PoolsPerModel pools in different
+	// zones.
 	Models        int
 	PoolsPerModel int
-	// EnginesPerPool counts prefill and decode engines together, half of each.
+	// EnginesPerPool is the number of engines of a pool, alternately prefill and
+	// decode engines.
 	EnginesPerPool int
 	Tenants        int
 	Services       int
@@ -30,8 +31,9 @@
 // Token returns the bearer token of a generated tenant.
 func Token(tenant int) string { return fmt.Sprintf("token-%d", tenant) }
 
-// Generate returns a configuration of the given shape. Tenants may use the class
-// "short", which ends with the prefill, and the class "long" of each model.
+// Generate returns a configuration of the given shape. Each tenant may use the
+// classes of one model: a short one, whose answers end with the prefill, and a long
+// one.
 func Generate(shape Shape) api.Configuration {
 	var generated api.Configuration
 	var classes []string
@@ -75,14 +77,14 @@
 	return generated
 }
 
-// classesOf returns the classes of a tenant, which uses one model.
+// classesOf returns the classes of a tenant, which are those of one model.
 func classesOf(classes []string, tenant int) []string {
 	const classesPerModel = 2
 	first := tenant * classesPerModel % len(classes)
 	return classes[first : first+classesPerModel]
 }
 
-// EngineOptions returns the properties of the engines that fit a generated
+// EngineOptions returns options of stand-in engines that match the defaults of a
 // configuration.
 func EngineOptions() enginesim.Options {
 	const linger, cacheBlocks = 5 * time.Second, 4096
--- a/sim/rehearsal/monitor.go
+++ b/sim/rehearsal/monitor.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// monitorStep is the time between two looks at the nodes.
-	monitorStep = 250 * time.Millisecond
-	// InForceWithin is when an accepted configuration must be in force everywhere.
+	// monitorInterval is the time between two checks of the nodes.
+	monitorInterval = 250 * time.Millisecond
+	// InForceWithin is the time in which an accepted configuration must be in force
+	// at all nodes.
 	InForceWithin = 6 * time.Second
-	// LeavingWithin is when a leaving back end must get no new work, counted from
-	// the moment at which the platform's list shows it.
+	// LeavingWithin is the time after which a leaving backend must get no new work,
+	// from when the platform's list reports it as leaving.
 	LeavingWithin = 5 * time.Second
 )
 
-// accepted is when a version was first seen in the platform.
+// accepted records when a version was first observed in the platform.
 type accepted struct {
 	version uint64
 	at      time.Time
 }
 
-// Monitor watches a fleet for broken promises that only show over time. It looks
-// at the platform's store and at the nodes from outside.
+// Monitor checks a fleet for violations that depend on time. It observes the
+// platform's store and the nodes from outside.
 type Monitor struct {
 	fleet *Fleet
 
@@ -37,8 +38,8 @@
 	versions []accepted
 	seen     map[*Node]uint64
 	leaving  map[string]time.Time
-	// blind are the times at which no node could read the platform's list.
-	blind      []time.Time
+	// unreadable are the times at which no node could read the platform's list.
+	unreadable []time.Time
 	violations []string
 }
 
@@ -47,12 +48,12 @@
 	return &Monitor{fleet: fleet, seen: map[*Node]uint64{}, leaving: map[string]time.Time{}}
 }
 
-// Run watches until the context ends.
+// Run checks periodically until the context ends.
 func (m *Monitor) Run(ctx context.Context) {
-	periodic.Run(ctx, monitorStep, func(context.Context) { m.look() })
+	periodic.Run(ctx, monitorInterval, func(context.Context) { m.check() })
 }
 
-// Violations returns what was seen to break.
+// Violations returns the violations found so far.
 func (m *Monitor) Violations() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,14 +64,14 @@
 	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
-func (m *Monitor) look() {
+func (m *Monitor) check() {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.noteAccepted(now)
+	m.recordAccepted(now)
 	required := m.required(now)
 	if !m.fleet.readsPlatform() {
-		m.blind = append(m.blind, now)
+		m.unreadable = append(m.unreadable, now)
 	}
 	for _, running := range m.fleet.Alive() {
 		version := running.Core.Configuration.Current().Version()
@@ -79,13 +80,13 @@
 		}
 		m.seen[running] = version
 		if running.Core.AcceptsWork() && version < required {
-			m.violatef("%s takes work with version %d, %d was accepted over %s ago", running.Name, version, required, InForceWithin)
+			m.violatef("%s accepts work with version %d, %d was accepted over %s ago", running.Name, version, required, InForceWithin)
 		}
 	}
 }
 
-// noteAccepted records a version that the platform has accepted.
-func (m *Monitor) noteAccepted(now time.Time) {
+// recordAccepted records a new version in the platform.
+func (m *Monitor) recordAccepted(now time.Time) {
 	for _, object := range m.fleet.Platform.Store.Snapshot(objectapi.KindConfiguration) {
 		head, err := configuration.DecodeHead(object.Spec)
 		if err != nil {
@@ -98,7 +99,7 @@
 	}
 }
 
-// required is the newest version that must be in force everywhere.
+// required returns the newest version that must be in force at all nodes.
 func (m *Monitor) required(now time.Time) uint64 {
 	var version uint64
 	for _, seen := range m.versions {
@@ -109,7 +110,7 @@
 	return version
 }
 
-// RecordLeaving records when the platform's list began to show a back end as
+// RecordLeaving records that the platform's list now reports a backend as
 // leaving.
 func (m *Monitor) RecordLeaving(machine string) {
 	m.mu.Lock()
@@ -117,14 +118,13 @@
 	m.leaving[machine] = time.Now()
 }
 
-// CheckLeaving compares the ledgers with the times at which back ends began to
-// leave.
+// CheckLeaving checks in the ledgers that leaving backends got no new work.
 func (m *Monitor) CheckLeaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for machine, since := range m.leaving {
 		if started, ok := m.fleet.Engines[machine]; ok {
-			m.judgeEngine(started, machine, since)
+			m.checkEngine(started, machine, since)
 		}
 		if started, ok := m.fleet.Services[machine]; ok {
 			for _, call := range started.Report().Calls {
@@ -136,10 +136,11 @@
 	}
 }
 
-// isLate reports whether work began too long after the list showed that its back
-// end leaves. While no node can read the list, none can know.
+// isLate reports whether work began later than LeavingWithin after its backend was
+// listed as leaving. The time starts anew while no node can read the list, since no
+// node can learn of the change then.
 func (m *Monitor) isLate(began, since time.Time) bool {
-	for _, at := range m.blind {
+	for _, at := range m.unreadable {
 		if at.After(since) && !at.After(began) {
 			since = at
 		}
@@ -147,7 +148,7 @@
 	return began.Sub(since) > LeavingWithin
 }
 
-func (m *Monitor) judgeEngine(started *Engine, machine string, since time.Time) {
+func (m *Monitor) checkEngine(started *Engine, machine string, since time.Time) {
 	for _, entry := range started.Report().Entries {
 		newWork := entry.Kind == enginesim.EntryDecodeStart || entry.Kind == enginesim.EntryPrefillStart
 		if newWork && m.isLate(entry.Time, since) {
--- a/sim/rehearsal/platform.go
+++ b/sim/rehearsal/platform.go
@@ -8,20 +8,20 @@
 	"github.com/reelrun/reelrun/sim/platformsim"
 )
 
-// Platform is the platform with faults. It is safe for concurrent use.
+// Platform is the platform with injected faults. It is safe for concurrent use.
 type Platform struct {
 	Store *platformsim.Store
 
-	mu      sync.Mutex
-	outage  bool
-	cutOff  map[string]bool
-	lost    int
-	changed chan struct{}
+	mu            sync.Mutex
+	outage        bool
+	unreachable   map[string]bool
+	repliesToLose int
+	changed       chan struct{}
 }
 
 // NewPlatform returns a platform without faults.
 func NewPlatform(options platformsim.Options) *Platform {
-	return &Platform{Store: platformsim.NewStore(options), cutOff: map[string]bool{}, changed: make(chan struct{})}
+	return &Platform{Store: platformsim.NewStore(options), unreachable: map[string]bool{}, changed: make(chan struct{})}
 }
 
 func (p *Platform) change(apply func()) {
@@ -36,28 +36,30 @@
 func (p *Platform) SetOutage(outage bool) { p.change(func() { p.outage = outage }) }
 
 // SetUnreachable begins or ends an outage for one node.
-func (p *Platform) SetUnreachable(node string, cut bool) { p.change(func() { p.cutOff[node] = cut }) }
+func (p *Platform) SetUnreachable(node string, unreachable bool) {
+	p.change(func() { p.unreachable[node] = unreachable })
+}
 
-// LoseReplies makes the next writes take effect and lose their replies.
-func (p *Platform) LoseReplies(count int) { p.change(func() { p.lost = count }) }
+// LoseReplies executes the next count writes, but returns errors for them.
+func (p *Platform) LoseReplies(count int) { p.change(func() { p.repliesToLose = count }) }
 
 func (p *Platform) isDown(node string) (bool, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.outage || p.cutOff[node], p.changed
+	return p.outage || p.unreachable[node], p.changed
 }
 
-func (p *Platform) losesReply() bool {
+func (p *Platform) takeLostReply() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lost == 0 {
+	if p.repliesToLose == 0 {
 		return false
 	}
-	p.lost--
+	p.repliesToLose--
 	return true
 }
 
-// nodeStore is the platform as one node reaches it.
+// nodeStore is the platform's store with the faults injected for one node.
 type nodeStore struct {
 	platform *Platform
 	node     string
@@ -91,7 +93,7 @@
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	stored, err := s.platform.Store.Put(ctx, object)
-	if s.platform.losesReply() {
+	if s.platform.takeLostReply() {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	return stored, err
@@ -103,7 +105,7 @@
 		return objectapi.ErrUnavailable
 	}
 	err := s.platform.Store.Delete(ctx, kind, name, version)
-	if s.platform.losesReply() {
+	if s.platform.takeLostReply() {
 		return objectapi.ErrUnavailable
 	}
 	return err
@@ -116,11 +118,11 @@
 	if s.down() {
 		return objectapi.ErrUnavailable
 	}
-	go s.endOnOutage(ctx, cancel)
+	go s.cancelOnOutage(ctx, cancel)
 	return s.platform.Store.Watch(ctx, kind, after, handle)
 }
 
-func (s *nodeStore) endOnOutage(ctx context.Context, cancel context.CancelFunc) {
+func (s *nodeStore) cancelOnOutage(ctx context.Context, cancel context.CancelFunc) {
 	for {
 		down, changed := s.platform.isDown(s.node)
 		if down {
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -27,12 +27,12 @@
 		}
 		time.Sleep(step)
 	}
-	t.Fatalf("%s did not come about within %s", what, limit)
+	t.Fatalf("%s did not happen within %s", what, limit)
 }
 
-// startEndless starts a request whose answer goes on for minutes, and waits until
-// it is being decoded.
-func startEndless(t *testing.T, fleet *Fleet, through *Node, key string) (hangUp func() load.Result) {
+// startEndless starts a request whose answer takes minutes, and waits until it is
+// being decoded.
+func startEndless(t *testing.T, fleet *Fleet, through *Node, key string) (disconnect func() load.Result) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan load.Result, 1)
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestCallerGoneFreesEngine(t *testing.T) {
+func TestDisconnectedCallerFreesEngine(t *testing.T) {
 	for name, breakNode := range map[string]func(*Fleet, *Node){
 		"node lives":  func(*Fleet, *Node) {},
 		"node killed": func(fleet *Fleet, through *Node) { fleet.Kill(through.Name) },
@@ -63,51 +63,51 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			inVirtualTime(t, func(t *testing.T) {
 				fleet := startFleet(t, smallOptions())
 				defer fleet.Close()
 				through := fleet.Alive()[0]
-				hangUp := startEndless(t, fleet, through, newKey())
+				disconnect := startEndless(t, fleet, through, newKey())
 				breakNode(fleet, through)
-				hangUp()
+				disconnect()
 				waitUntil(t, 20*time.Second, "freedom of the engines", func() bool { return fleet.HeldStreams() == 0 })
 			})
 		})
 	}
 }
 
-// TestCutOffNodeCancelsNothing shows that a node which merely loses sight of the
-// others does not end their streams.
-func TestCutOffNodeCancelsNothing(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// TestIsolatedNodeCancelsNothing checks that a node which only loses the connections
+// to its peers does not cancel their streams.
+func TestIsolatedNodeCancelsNothing(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		through := fleet.Alive()[0]
-		hangUp := startEndless(t, fleet, through, newKey())
+		disconnect := startEndless(t, fleet, through, newKey())
 		engines := map[string]bool{}
 		for _, engine := range fleet.Engines {
 			engines[engine.Host] = true
 		}
-		// Another node of the zone loses its peers but reaches the engines.
-		lonely := fleet.Alive()[1]
+		// Another node of the zone is disconnected from its peers but reaches the engines.
+		isolated := fleet.Alive()[1]
 		fleet.Links.Block(func(link memnet.Link) bool {
-			return (link.From == lonely.Host && !engines[link.To]) || (link.To == lonely.Host && !engines[link.From])
+			return (link.From == isolated.Host && !engines[link.To]) || (link.To == isolated.Host && !engines[link.From])
 		})
 		time.Sleep(20 * time.Second)
 		if fleet.DecodingStreams() != 1 {
-			t.Fatal("the stream of a living node was cancelled")
+			t.Fatal("the stream of a live node was cancelled")
 		}
-		hangUp()
+		disconnect()
 	})
 }
 
-func TestSecondArrivalTakesOver(t *testing.T) {
+func TestClientRetryTakesOver(t *testing.T) {
 	for name, prepare := range map[string]func(*Fleet, *Node){
 		"holder lives":  func(*Fleet, *Node) {},
 		"holder killed": func(fleet *Fleet, holder *Node) { fleet.Kill(holder.Name) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			inVirtualTime(t, func(t *testing.T) {
 				fleet := startFleet(t, smallOptions())
 				defer fleet.Close()
 				nodes := fleet.Alive()
@@ -125,12 +125,12 @@
 				second.Client, second.Nodes = fleet.Client("192.0.2.2"), []string{nodes[1].CallerAddress()}
 				result := load.Send(context.Background(), second)
 				if result.Ending != load.EndingAnswered || result.DuplicateTokens != 0 {
-					t.Fatalf("second arrival: %s, %d repeated: %s %v", result.Ending, result.DuplicateTokens, result.Detail, result.Failure)
+					t.Fatalf("client retry: %s, %d duplicate tokens: %s %v", result.Ending, result.DuplicateTokens, result.Detail, result.Failure)
 				}
 				cancel()
 				earlier := <-firstDone
 				if earlier.Ending == load.EndingAnswered {
-					t.Fatal("both connections got the whole answer")
+					t.Fatal("both connections got the complete answer")
 				}
 				if starts := countEntries(fleet, enginesim.EntryDecodeStart); starts != 1 {
 					t.Fatalf("the request was decoded %d times", starts)
@@ -152,7 +152,7 @@
 	return count
 }
 
-// TestEngineFailureKeepsTheAnswerWhole breaks engines in the middle of answers.
+// TestEngineFailureKeepsTheAnswerWhole lets engines fail in the middle of answers.
 func TestEngineFailureKeepsTheAnswerWhole(t *testing.T) {
 	for name, breakEngines := range map[string]func(*Fleet){
 		"connections cut": func(fleet *Fleet) {
@@ -176,7 +176,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			inVirtualTime(t, func(t *testing.T) {
 				fleet := startFleet(t, smallOptions())
 				defer fleet.Close()
 				done := make(chan load.Result, 1)
@@ -191,17 +191,17 @@
 				breakEngines(fleet)
 				result := <-done
 				if result.Ending != load.EndingAnswered || result.Attempts != 1 || result.DuplicateTokens != 0 {
-					t.Fatalf("%s after %d tries, %d repeated: %s %v", result.Ending, result.Attempts, result.DuplicateTokens, result.Detail, result.Failure)
+					t.Fatalf("%s after %d attempts, %d duplicate tokens: %s %v", result.Ending, result.Attempts, result.DuplicateTokens, result.Detail, result.Failure)
 				}
 			})
 		})
 	}
 }
 
-// TestStalledTransferMovesThePrefill shows that a transfer which stalls is made
-// again from the prefill result while it lives, without a second prefill.
+// TestStalledTransferMovesThePrefill checks that a stalled transfer is retried from
+// the prefill result while that is kept, without a second prefill.
 func TestStalledTransferMovesThePrefill(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		for _, engine := range fleet.Engines {
@@ -227,11 +227,11 @@
 	}
 }
 
-// plannedStop stops two nodes under load and counts the requests that did not
-// get their whole answer on their first connection.
+// plannedStop stops two nodes under load and counts the requests without a complete
+// answer in their first attempt.
 func plannedStop(t *testing.T, stop func(*Fleet, string)) int {
 	broken := 0
-	bubble(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		nodes := fleet.Alive()
@@ -265,16 +265,16 @@
 	return broken
 }
 
-// TestLeavingBackEndsGetNoNewWork marks an engine of each role and a replica as
+// TestLeavingBackendsGetNoNewWork marks an engine of each role and a replica as
 // leaving, under load.
-func TestLeavingBackEndsGetNoNewWork(t *testing.T) {
+func TestLeavingBackendsGetNoNewWork(t *testing.T) {
 	if violations := leaveUnderLoad(t, smallOptions()); len(violations) > 0 {
 		t.Fatal(violations)
 	}
 }
 
 func leaveUnderLoad(t *testing.T, options Options) (violations []string) {
-	bubble(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, options)
 		defer fleet.Close()
 		monitor := NewMonitor(fleet)
@@ -313,15 +313,15 @@
 	return &load.Kind{Name: "lookup", Token: Token(0), Service: "service-0", Method: http.MethodGet, Path: "/plans/1", FirstToken: api.Duration(time.Second)}
 }
 
-// TestRacingOperators lets two operators confirm plans on one version through
-// different nodes while replies of the platform are lost.
+// TestRacingOperators has two operators confirm plans based on one version through
+// different nodes, while replies of the platform are lost: exactly one must succeed.
 func TestRacingOperators(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		for round := range 10 {
 			fleet.Platform.LoseReplies(round % 3)
-			outcomes := raceOnce(t, fleet, round)
+			outcomes := confirmConcurrently(t, fleet, round)
 			if outcomes[0] == outcomes[1] {
 				t.Fatalf("round %d: both operators got accepted=%t", round, outcomes[0])
 			}
@@ -339,7 +339,7 @@
 }
 
 // raceOnce returns whether each of two operators won.
-func raceOnce(t *testing.T, fleet *Fleet, round int) [2]bool {
+func confirmConcurrently(t *testing.T, fleet *Fleet, round int) [2]bool {
 	t.Helper()
 	var won [2]bool
 	var racing sync.WaitGroup
--- a/sim/rehearsal/property_test.go
+++ b/sim/rehearsal/property_test.go
@@ -12,14 +12,14 @@
 // operationNames are the names of the operations in the summary.
 var operationNames = map[operation]string{
 	opRequest: "request", opKill: "kill", opStart: "start", opStop: "planned-stop", opIsolate: "isolate", opHeal: "heal",
-	opCutPlatform: "cut-platform", opOutage: "outage", opLoseReplies: "lost-replies", opCutEngine: "cut-engine",
-	opFreezeEngine: "freeze-engine", opStallTransfers: "stall-transfers", opThaw: "thaw", opLeave: "leave",
+	opIsolateFromPlatform: "cut-platform", opOutage: "outage", opLoseReplies: "lost-replies", opAbortExchanges: "cut-engine",
+	opFreezeEngine: "freeze-engine", opStallTransfers: "stall-transfers", opEndFaults: "thaw", opLeave: "leave",
 	opConfigure: "configure", opRace: "operator-race",
 }
 
-// promisesHold plays random schedules of requests and faults. The oracle judges
-// by what callers received and what the stand-ins' ledgers say.
-func promisesHold(outer *testing.T, total map[operation]int) func(*rapid.T) {
+// guaranteesHold runs random schedules of requests and faults. The oracle compares
+// what callers received with the stand-ins' ledgers.
+func guaranteesHold(outer *testing.T, total map[operation]int) func(*rapid.T) {
 	return func(t *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 5, 40).Draw(t, "steps")
 		violations, injected := runSchedule(outer, smallOptions(), steps)
@@ -44,12 +44,12 @@
 
 func TestPromisesHoldUnderRandomFaults(t *testing.T) {
 	total := map[operation]int{}
-	rapid.Check(t, promisesHold(t, total))
+	rapid.Check(t, guaranteesHold(t, total))
 	t.Logf("faults injected: %s", summary(total))
 }
 
 func FuzzPromises(f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
-		rapid.MakeFuzz(promisesHold(t, map[operation]int{}))(t, data)
+		rapid.MakeFuzz(guaranteesHold(t, map[operation]int{}))(t, data)
 	})
 }
--- a/sim/rehearsal/quarantine_test.go
+++ b/sim/rehearsal/quarantine_test.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// crashPrompt ends each engine that reads it, after crashAfter; the engine is back restartAfter later.
+	// crashPrompt crashes each engine that prefills it after crashAfter; the engine restarts restartAfter
+	// later.
 	crashPrompt  = "a prompt that ends its engine"
 	crashAfter   = 50 * time.Millisecond
 	restartAfter = 3 * time.Second
-	// crashKnown is when all nodes must know of a request that has ended three engines, and
-	// crashReturns how often it may reach engines from then on.
-	crashKnown   = 3 * time.Second
-	crashReturns = 3
+	// quarantineWithin is the time in which all nodes must have a record of a request that has crashed
+	// three engines; maxLateArrivals is how often it may reach engines after that.
+	quarantineWithin = 3 * time.Second
+	maxLateArrivals  = 3
 )
 
-// crashes records when the prompt that ends engines arrived at any, and when engines ended.
+// crashes records when crashPrompt arrived at engines, and when engines crashed.
 type crashes struct {
 	mu       sync.Mutex
 	arrivals []time.Time
@@ -46,36 +47,36 @@
 	c.ends = append(c.ends, time.Now())
 }
 
-// arrivedLate counts the arrivals from some time after the third end on.
-func (c *crashes) arrivedLate(t *testing.T) int {
+// lateArrivals counts the arrivals later than quarantineWithin after the third crash.
+func (c *crashes) lateArrivals(t *testing.T) int {
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.ends) < 3 {
-		t.Fatalf("%d engines ended", len(c.ends))
+		t.Fatalf("%d engines crashed", len(c.ends))
 	}
 	late := 0
 	for _, at := range c.arrivals {
-		if at.After(c.ends[2].Add(crashKnown)) {
+		if at.After(c.ends[2].Add(quarantineWithin)) {
 			late++
 		}
 	}
 	return late
 }
 
-// crashEngines has all engines of a fleet end when they have begun to read crashPrompt.
+// crashEngines makes all engines of a fleet crash when they prefill crashPrompt.
 func crashEngines(fleet *Fleet) *crashes {
 	seen := &crashes{}
 	for _, pool := range fleet.Options.Configuration.Pools {
 		for _, member := range pool.Engines {
 			started, address := fleet.Engines[member.Name], member.Address
-			sound := started.Faults.Wrap(enginesim.Handler(started.Engine))
+			healthy := started.Faults.Wrap(enginesim.Handler(started.Engine))
 			var handler http.Handler
 			handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				body, _ := io.ReadAll(r.Body) // What cannot be read is no such prompt.
+				body, _ := io.ReadAll(r.Body) // A body that cannot be read does not contain the prompt.
 				if r.URL.Path != engine.PathPrefill || !strings.Contains(string(body), crashPrompt) {
 					r.Body = io.NopCloser(bytes.NewReader(body))
-					sound.ServeHTTP(w, r)
+					healthy.ServeHTTP(w, r)
 					return
 				}
 				seen.arrived()
@@ -90,11 +91,11 @@
 	return seen
 }
 
-// A completion that crashed its engines was started anew at each of its returns: a request may have
-// three attempts, and nothing said that the next request was the same. From 3 s after the third engine
-// on it must be known at every node, and others must be answered.
-func TestACompletionThatCrashesItsEnginesIsKeptAway(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// A completion that crashed its engines was started again by each client retry: a request may have
+// three attempts, and nodes did not recognize the next request as the same. From 3 s after the third
+// crash every node must have a record of it, and other requests must be answered.
+func TestCompletionThatCrashesItsEnginesIsQuarantined(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		seen := crashEngines(fleet)
@@ -111,8 +112,8 @@
 			send(number, crashPrompt)
 			time.Sleep(300 * time.Millisecond)
 		}
-		if late := seen.arrivedLate(t); late > crashReturns {
-			t.Errorf("%d engines ended; the request came to engines %d times more", len(seen.ends), late)
+		if late := seen.lateArrivals(t); late > maxLateArrivals {
+			t.Errorf("%d engines crashed; the request reached engines %d times more", len(seen.ends), late)
 		}
 		time.Sleep(restartAfter + 10*time.Second)
 		for number := range 8 {
--- a/sim/rehearsal/roles_test.go
+++ b/sim/rehearsal/roles_test.go
@@ -12,11 +12,11 @@
 	"github.com/reelrun/reelrun/sim/load"
 )
 
-// TestRoleChangeUnderLoad turns a decode engine into a prefill engine while
-// answers run on it. The answers run to their end, the engine gets no work that
-// it cannot do yet, and then it does prefill.
+// TestRoleChangeUnderLoad turns a decode engine into a prefill engine while it
+// decodes answers. The answers must be completed, the engine must get no work that
+// its current role excludes, and it must prefill afterwards.
 func TestRoleChangeUnderLoad(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		random := rand.New(rand.NewPCG(8, 8))
@@ -36,7 +36,7 @@
 		}
 		for range requests {
 			if result := <-results; result.Ending != load.EndingAnswered || result.Attempts != 1 {
-				t.Errorf("%s after %d tries: %v", result.Ending, result.Attempts, result.Failure)
+				t.Errorf("%s after %d attempts: %v", result.Ending, result.Attempts, result.Failure)
 			}
 		}
 		if refused := countEntries(fleet, enginesim.EntryRefused); refused != 0 {
@@ -71,8 +71,9 @@
 // slowPrefill is a prefill rate in tokens a second that short prompts can exhaust.
 const slowPrefill = 2000
 
-// shortOfPrefill is a fleet under a standing policy whose prefill engines are slow.
-func shortOfPrefill(policy api.RoleChanges) Options {
+// slowPrefillOptions returns a fleet with slow prefill engines and the given policy for
+// role changes.
+func slowPrefillOptions(policy api.RoleChanges) Options {
 	options := smallOptions()
 	options.Engine.PrefillTokensPerSecond = slowPrefill
 	for i := range options.Configuration.Pools {
@@ -82,8 +83,8 @@
 	return options
 }
 
-// askForPrefill sends two minutes of short answers to long prompts.
-func askForPrefill(fleet *Fleet) (answered, requests int) {
+// sendPrefillLoad sends requests with long prompts and short answers for two minutes.
+func sendPrefillLoad(fleet *Fleet) (answered, requests int) {
 	random := rand.New(rand.NewPCG(10, 10))
 	kind := *longKind(1)
 	kind.Name, kind.Class, kind.Stream = "short", "short-0", false
@@ -105,16 +106,16 @@
 	return answered, requests + 1
 }
 
-// TestLoadChangesRoles offers more prefill than the engines of that role can do.
-// Under the policy "apply" decode engines take the role and more requests are
-// answered; under "advise" the owners say so and change nothing.
+// TestLoadChangesRoles offers more prefill load than the engines of that role can
+// serve. Under the policy "apply" decode engines change to that role and more
+// requests are answered; under "advise" the owners advise it and change nothing.
 func TestLoadChangesRoles(t *testing.T) {
 	answered := map[api.RoleChanges]int{}
 	for _, policy := range []api.RoleChanges{api.RoleChangesAdvise, api.RoleChangesApply} {
-		bubble(t, func(t *testing.T) {
-			fleet := startFleet(t, shortOfPrefill(policy))
+		inVirtualTime(t, func(t *testing.T) {
+			fleet := startFleet(t, slowPrefillOptions(policy))
 			defer fleet.Close()
-			answered[policy], _ = askForPrefill(fleet)
+			answered[policy], _ = sendPrefillLoad(fleet)
 			applied, advised := int64(0), int64(0)
 			for _, running := range fleet.Alive() {
 				applied += running.Core.Metrics.Count("role_changes_applied")
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -30,13 +30,13 @@
 	opStop
 	opIsolate
 	opHeal
-	opCutPlatform
+	opIsolateFromPlatform
 	opOutage
 	opLoseReplies
-	opCutEngine
+	opAbortExchanges
 	opFreezeEngine
 	opStallTransfers
-	opThaw
+	opEndFaults
 	opLeave
 	opConfigure
 	opRace
@@ -53,7 +53,7 @@
 func (s step) String() string { return fmt.Sprintf("%d(%d,%d)+%s", s.op, s.a, s.b, s.pause) }
 
 func drawStep(t *rapid.T) step {
-	// Half of the steps are requests, or the faults would meet an idle fleet.
+	// Half of the steps are requests, since faults in an idle fleet would show little.
 	op := operation(rapid.IntRange(0, 2*int(opCount)-1).Draw(t, "op"))
 	if op >= opCount {
 		op = opRequest
@@ -64,8 +64,8 @@
 	}
 }
 
-// play is one schedule under way.
-type play struct {
+// execution is the state of a running schedule.
+type execution struct {
 	fleet    *Fleet
 	monitor  *Monitor
 	random   *rand.Rand
@@ -78,7 +78,7 @@
 	running sync.WaitGroup
 }
 
-func (p *play) apply(s step) {
+func (p *execution) apply(s step) {
 	names := p.fleet.NodeNames()
 	name := names[s.a%len(names)]
 	switch s.op {
@@ -99,7 +99,7 @@
 		p.block()
 	case opHeal:
 		p.heal()
-	case opCutPlatform:
+	case opIsolateFromPlatform:
 		p.fleet.Platform.SetUnreachable(name, s.b%2 == 0)
 	case opOutage:
 		p.fleet.Platform.SetOutage(s.b%2 == 0)
@@ -110,16 +110,16 @@
 	}
 }
 
-func (p *play) applyToEngines(s step) {
+func (p *execution) applyToEngines(s step) {
 	engine := p.fleet.Engines[fmt.Sprintf("engine-%d", s.a%len(p.fleet.Engines))]
 	switch s.op {
-	case opCutEngine:
+	case opAbortExchanges:
 		p.fleet.HTTP.Abort(func(link memnet.Link) bool { return link.To == engine.Host })
 	case opFreezeEngine:
 		engine.Faults.Set(fault.Faults{Freeze: true})
 	case opStallTransfers:
 		engine.Faults.Set(fault.Faults{Freeze: true, PathPrefix: "/v1/kv"})
-	case opThaw:
+	case opEndFaults:
 		for _, frozen := range p.fleet.Engines {
 			frozen.Faults.Set(fault.Faults{})
 		}
@@ -134,7 +134,7 @@
 }
 
 // stop begins a planned stop, unless the node is the last one.
-func (p *play) stop(name string) {
+func (p *execution) stop(name string) {
 	if len(p.fleet.Alive()) < 2 {
 		return
 	}
@@ -145,8 +145,8 @@
 	}()
 }
 
-// block holds back every byte from and to the isolated hosts.
-func (p *play) block() {
+// block blocks all links from and to the isolated hosts.
+func (p *execution) block() {
 	isolated := make(map[string]bool, len(p.isolated))
 	for host := range p.isolated {
 		isolated[host] = true
@@ -157,14 +157,14 @@
 	}
 }
 
-func (p *play) heal() {
+func (p *execution) heal() {
 	p.isolated = map[string]bool{}
 	p.block()
 }
 
-// leave makes a back end leave. The list shows it at once here; the fleet's
-// pools keep one engine of each role that stays.
-func (p *play) leave(s step) {
+// leave marks a backend as leaving. The list reports it without delay here; the
+// fleet's pools keep one engine of each role.
+func (p *execution) leave(s step) {
 	leaving := []string{"engine-0", "engine-1", "service-0-a"}[s.b%3]
 	if p.fleet.SetMachine(leaving, machines.StateLeaving) == nil {
 		p.monitor.RecordLeaving(leaving)
@@ -172,7 +172,7 @@
 }
 
 // configure changes a tenant's weight through one node, as an operator does.
-func (p *play) configure(node, weight int) {
+func (p *execution) configure(node, weight int) {
 	alive := p.fleet.Alive()
 	if len(alive) == 0 {
 		return
@@ -199,11 +199,11 @@
 	}()
 }
 
-// request sends one request of some kind from a caller that may give up.
-func (p *play) request(s step) {
+// request sends one request of some kind from a caller that may disconnect.
+func (p *execution) request(s step) {
 	alive := p.fleet.Alive()
 	if len(alive) == 0 {
-		return // Planned stops have overtaken each other.
+		return // Concurrent planned stops have stopped all nodes.
 	}
 	p.requests++
 	number := p.requests
@@ -231,7 +231,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	if s.b >= 44 {
-		// Some callers hang up in the middle of an answer that would go on for
+		// Some callers disconnect in the middle of an answer that would take
 		// minutes: only a cancellation frees its memory.
 		if call.Kind.Stream {
 			call.Tokens = longOutput
@@ -242,15 +242,15 @@
 	go func() {
 		defer p.running.Done()
 		defer cancel()
-		p.keep(load.Send(ctx, call))
+		p.record(load.Send(ctx, call))
 	}()
 }
 
-func (p *play) client(number int) *http.Client {
+func (p *execution) client(number int) *http.Client {
 	return p.fleet.Client(fmt.Sprintf("192.0.2.%d", number))
 }
 
-func (p *play) keep(result load.Result) {
+func (p *execution) record(result load.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.results = append(p.results, result)
@@ -264,19 +264,19 @@
 	return text.String()
 }
 
-// settleTime is the quiet time at the end, above the resume window, the hold
-// time and the retries of cancellations.
+// settleTime is the time without load at the end, longer than the resume window, the
+// hold time and the retries of cancellations.
 const settleTime = 40 * time.Second
 
-// runSchedule plays a schedule in virtual time, heals every fault, and returns
-// the promises that were broken.
+// runSchedule runs a schedule in virtual time, ends every fault, and returns the
+// violations of guarantees.
 func runSchedule(t *testing.T, options Options, steps []step) (violations []string, injected map[operation]int) {
 	injected = map[operation]int{}
-	bubble(t, func(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, options)
 		monitor := NewMonitor(fleet)
-		stopWatching := watch(monitor)
-		started := &play{fleet: fleet, monitor: monitor, random: rand.New(rand.NewPCG(1, 2)), isolated: map[string]bool{}}
+		stopMonitor := startMonitor(monitor)
+		started := &execution{fleet: fleet, monitor: monitor, random: rand.New(rand.NewPCG(1, 2)), isolated: map[string]bool{}}
 		for _, next := range steps {
 			injected[next.op]++
 			started.apply(next)
@@ -284,7 +284,7 @@
 		}
 		started.recover()
 		violations = append(violations, started.finish()...)
-		stopWatching()
+		stopMonitor()
 		monitor.CheckLeaving()
 		violations = append(violations, monitor.Violations()...)
 		fleet.Close()
@@ -292,8 +292,8 @@
 	return violations, injected
 }
 
-// recover heals every fault and starts every node.
-func (p *play) recover() {
+// recover ends every fault and starts every node.
+func (p *execution) recover() {
 	p.heal()
 	p.fleet.Platform.SetOutage(false)
 	p.fleet.Platform.LoseReplies(0)
@@ -311,8 +311,9 @@
 	}
 }
 
-// finish waits for every caller, proves that the fleet serves again, and judges.
-func (p *play) finish() []string {
+// finish waits for every caller, checks that the fleet serves again, and returns the
+// violations.
+func (p *execution) finish() []string {
 	var broken []string
 	p.running.Wait()
 	if !p.fleet.WaitReady(time.Minute) {
@@ -329,7 +330,7 @@
 	}
 	time.Sleep(settleTime)
 	verdict := load.Evaluate(p.results, p.fleet.Ledgers())
-	verdict.Lost = 0 // A caller that meets only dead nodes, or hangs up, gets no answer.
+	verdict.Lost = 0 // A caller that reaches only dead nodes, or disconnects, gets no answer.
 	if verdict.Failed() {
 		for _, violation := range verdict.Violations {
 			if !strings.Contains(violation, ": lost") {
