--- a/sim/hollow/react.go
+++ b/sim/hollow/react.go
@@ -239,7 +239,7 @@
 			continue
 		}
 		if err := await(func() bool { return agreeWithout(fleet, pool, dead) }); err != nil {
-			return errors.Wrap(err, "pools of failed zone "+zone)
+			return errors.Wrap(err, "pools of lost zone "+zone)
 		}
 	}
 	r.ZoneLostSeconds = time.Since(zoneKilled).Seconds()
--- a/sim/rehearsal/monitor.go
+++ b/sim/rehearsal/monitor.go
@@ -80,7 +80,7 @@
 		}
 		m.seen[running] = version
 		if running.Core.AcceptsWork() && version < required {
-			m.violatef("%s accepts work with version %d, %d was accepted over %s ago", running.Name, version, required, InForceWithin)
+			m.violatef("%s takes work with version %d, %d was accepted over %s ago", running.Name, version, required, InForceWithin)
 		}
 	}
 }
