--- a/cmd/reelrun-sim/load.go
+++ b/cmd/reelrun-sim/load.go
@@ -51,7 +51,7 @@
 			if err != nil {
 				return err
 			}
-			return reportVerdict(load.Judge(results, ledgers), *report)
+			return reportVerdict(load.Evaluate(results, ledgers), *report)
 		},
 	}
 }
@@ -70,7 +70,7 @@
 	for _, violation := range verdict.Violations {
 		fmt.Fprintln(os.Stderr, "violation:", violation)
 	}
-	fmt.Println(verdict.Line())
+	fmt.Println(verdict.Summary())
 	if verdict.Failed() {
 		return errViolations
 	}
--- a/configuration/property_test.go
+++ b/configuration/property_test.go
@@ -30,7 +30,7 @@
 	return change{
 		behind:  rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "behind"),
 		pause:   time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond,
-		effects: rapid.SliceOfN(rapid.SampledFrom([]platformsim.Effect{platformsim.Pass, platformsim.Refuse, platformsim.LoseReply}), 0, 5).Draw(t, "effects"),
+		effects: rapid.SliceOfN(rapid.SampledFrom([]platformsim.Effect{platformsim.Pass, platformsim.Refuse, platformsim.DropReply}), 0, 5).Draw(t, "effects"),
 	}
 }
 
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		var effects []platformsim.Effect
-		flaky := platformsim.NewFlaky(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect {
+		flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect {
 			mu.Lock()
 			defer mu.Unlock()
 			if len(effects) == 0 {
@@ -97,7 +97,7 @@
 }
 
 // follow advances the holder to the stored head, as a watcher does.
-func follow(store *platformsim.Flaky, holder *Holder, violations *[]string) {
+func follow(store *platformsim.FaultyStore, holder *Holder, violations *[]string) {
 	before := holder.Current().Version()
 	head, err := ReadHead(context.Background(), store)
 	if err != nil {
--- a/lease/property_test.go
+++ b/lease/property_test.go
@@ -36,7 +36,7 @@
 
 func newSimulation(candidates int, margin time.Duration) *simulation {
 	w := &simulation{now: time.Unix(1000, 0), fences: make([]uint64, candidates)}
-	flaky := platformsim.NewFlaky(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect {
+	flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect {
 		effect := w.effect
 		w.effect = platformsim.Pass
 		return effect
@@ -118,7 +118,7 @@
 		case 5, 6:
 			w.markIdle(i)
 		case 7:
-			w.effect = rapid.SampledFrom([]platformsim.Effect{platformsim.Refuse, platformsim.LoseReply}).Draw(t, "effect")
+			w.effect = rapid.SampledFrom([]platformsim.Effect{platformsim.Refuse, platformsim.DropReply}).Draw(t, "effect")
 		default:
 			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 15000).Draw(t, "advance")) * time.Millisecond)
 		}
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -35,7 +35,7 @@
 var _ = Describe("the operators' API", func() {
 	var (
 		store  *platformsim.Store
-		flaky  *platformsim.Flaky
+		flaky  *platformsim.FaultyStore
 		effect platformsim.Effect
 		client *Client
 		ctx    context.Context
@@ -56,7 +56,7 @@
 		ctx = context.Background()
 		effect = platformsim.Pass
 		store = platformsim.NewStore(platformsim.Options{})
-		flaky = platformsim.NewFlaky(store, func(write bool) platformsim.Effect {
+		flaky = platformsim.NewFaultyStore(store, func(write bool) platformsim.Effect {
 			if !write {
 				return platformsim.Pass
 			}
@@ -114,7 +114,7 @@
 	It("accepts a plan once although its reply was lost and it is confirmed again", func() {
 		plan, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: pool(api.RoleDecode)})
 		Expect(err).NotTo(HaveOccurred())
-		effect = platformsim.LoseReply
+		effect = platformsim.DropReply
 		for range 2 {
 			confirmed, err := client.Confirm(ctx, plan)
 			Expect(err).NotTo(HaveOccurred())
--- a/sim/platformsim/flaky.go
+++ b/sim/platformsim/flaky.go
@@ -7,19 +7,20 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// Effect is what a Flaky store does with one call.
+// Effect is what a FaultyStore does with one call.
 type Effect int
 
-// The effects. LoseReply lets the call take effect and hides that it did.
+// The effects. Refuse fails a call without executing it; DropReply executes a
+// write and returns an error for it.
 const (
 	Pass Effect = iota
 	Refuse
-	LoseReply
+	DropReply
 )
 
-// Flaky is a store whose calls fail as a test decides. It is safe for
-// concurrent use.
-type Flaky struct {
+// FaultyStore wraps a store and injects faults that a test chooses for each
+// call. It is safe for concurrent use.
+type FaultyStore struct {
 	objectapi.Store
 
 	mu     sync.Mutex
@@ -27,26 +28,26 @@
 	counts map[Effect]int
 }
 
-// NewFlaky returns a store that asks decide about each call.
-func NewFlaky(store objectapi.Store, decide func(write bool) Effect) *Flaky {
-	return &Flaky{Store: store, decide: decide, counts: map[Effect]int{}}
+// NewFaultyStore returns a store that calls decide for the effect of each call.
+func NewFaultyStore(store objectapi.Store, decide func(write bool) Effect) *FaultyStore {
+	return &FaultyStore{Store: store, decide: decide, counts: map[Effect]int{}}
 }
 
-// SetDecide replaces the decision.
-func (f *Flaky) SetDecide(decide func(write bool) Effect) {
+// SetFaults replaces the function that chooses the effects.
+func (f *FaultyStore) SetFaults(decide func(write bool) Effect) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.decide = decide
 }
 
-// Injected returns the number of calls refused and of replies lost.
-func (f *Flaky) Injected() (refused, lost int) {
+// Injected returns the numbers of refused calls and of dropped replies.
+func (f *FaultyStore) Injected() (refused, dropped int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.counts[Refuse], f.counts[LoseReply]
+	return f.counts[Refuse], f.counts[DropReply]
 }
 
-func (f *Flaky) effect(write bool) Effect {
+func (f *FaultyStore) effect(write bool) Effect {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	decided := f.decide(write)
@@ -55,7 +56,7 @@
 }
 
 // Get implements objectapi.Store.
-func (f *Flaky) Get(ctx context.Context, kind objectapi.Kind, name string) (objectapi.Object, error) {
+func (f *FaultyStore) Get(ctx context.Context, kind objectapi.Kind, name string) (objectapi.Object, error) {
 	if f.effect(false) != Pass {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
@@ -63,7 +64,7 @@
 }
 
 // List implements objectapi.Store.
-func (f *Flaky) List(ctx context.Context, kind objectapi.Kind) ([]objectapi.Object, int64, error) {
+func (f *FaultyStore) List(ctx context.Context, kind objectapi.Kind) ([]objectapi.Object, int64, error) {
 	if f.effect(false) != Pass {
 		return nil, 0, objectapi.ErrUnavailable
 	}
@@ -71,11 +72,11 @@
 }
 
 // Put implements objectapi.Store.
-func (f *Flaky) Put(ctx context.Context, object objectapi.Object) (objectapi.Object, error) {
+func (f *FaultyStore) Put(ctx context.Context, object objectapi.Object) (objectapi.Object, error) {
 	switch f.effect(true) {
 	case Refuse:
 		return objectapi.Object{}, objectapi.ErrUnavailable
-	case LoseReply:
+	case DropReply:
 		_, _ = f.Store.Put(ctx, object)
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	default:
@@ -84,11 +85,11 @@
 }
 
 // Delete implements objectapi.Store.
-func (f *Flaky) Delete(ctx context.Context, kind objectapi.Kind, name string, version int64) error {
+func (f *FaultyStore) Delete(ctx context.Context, kind objectapi.Kind, name string, version int64) error {
 	switch f.effect(true) {
 	case Refuse:
 		return objectapi.ErrUnavailable
-	case LoseReply:
+	case DropReply:
 		_ = f.Store.Delete(ctx, kind, name, version)
 		return objectapi.ErrUnavailable
 	default:
@@ -97,7 +98,7 @@
 }
 
 // Watch implements objectapi.Store.
-func (f *Flaky) Watch(ctx context.Context, kind objectapi.Kind, after int64, handle func(objectapi.Event)) error {
+func (f *FaultyStore) Watch(ctx context.Context, kind objectapi.Kind, after int64, handle func(objectapi.Event)) error {
 	if f.effect(false) != Pass {
 		return objectapi.ErrUnavailable
 	}
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -40,28 +40,28 @@
 	NodesPerZone int
 	// SeedZones is the number of zones whose first node is a seed. Default all.
 	SeedZones int
-	// Configuration is accepted before the nodes start. Its engines and replicas
+	// Configuration is published before the nodes start. Its engines and replicas
 	// are started as stand-ins.
 	Configuration api.Configuration
 	// Platform are the limits of the platform.
 	Platform platformsim.Options
-	// Engine is the pattern of the stand-in engines.
+	// Engine are the options of the stand-in engines, without name, model and role.
 	Engine enginesim.Options
 	// Scheduler is the routing policy.
 	Scheduler scheduler.Options
 	// Interval is the time between heartbeats. Default 1s.
 	Interval time.Duration
-	// Defects break the system on purpose, to show that an oracle notices.
+	// Defects are injected to show that the oracles detect them.
 	Defects Defects
 }
 
 // Defects are deliberate defects of every node. The zero value has none.
 type Defects struct {
-	// Handler wraps the handler of callers.
+	// Handler wraps the handler of callers' requests.
 	Handler func(http.Handler) http.Handler
 	// Transport wraps the connections to engines and services.
 	Transport func(http.RoundTripper) http.RoundTripper
-	// Store wraps the platform.
+	// Store wraps the platform's store.
 	Store func(objectapi.Store) objectapi.Store
 }
 
@@ -79,11 +79,11 @@
 	down    chan struct{}
 	alive   bool
 	serving sync.WaitGroup
-	// dead keeps what a killed node still wants to send from leaving it.
+	// dead is set once the node is killed; whatever it sends afterwards is discarded.
 	dead atomic.Bool
 }
 
-// hostTransport is the transport of one start of a node.
+// hostTransport is the transport of one incarnation of a node.
 type hostTransport struct {
 	http.RoundTripper
 	node *Node
@@ -92,12 +92,12 @@
 // RoundTrip implements http.RoundTripper.
 func (t *hostTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	if t.node.dead.Load() {
-		return nil, memnet.ErrCut
+		return nil, memnet.ErrAborted
 	}
 	return t.RoundTripper.RoundTrip(request)
 }
 
-// CallerAddress is where callers reach the node.
+// CallerAddress is the address at which the node accepts callers.
 func (n *Node) CallerAddress() string { return n.Host + callerPort }
 
 // Engine is one stand-in engine of a fleet.
@@ -117,9 +117,9 @@
 // Fleet is a whole system in one process.
 type Fleet struct {
 	Options  Options
-	Gate     *memnet.Gate
+	Links    *memnet.LinkFilter
 	Network  *memnet.Network
-	Web      *memnet.Web
+	HTTP     *memnet.HTTPNetwork
 	Platform *Platform
 	Engines  map[string]*Engine
 	Services map[string]*Service
@@ -128,12 +128,12 @@
 	nodes map[string]*Node
 }
 
-// NewFleet starts the stand-ins and accepts the configuration. Nodes are started
+// NewFleet starts the stand-ins and publishes the configuration. Nodes are started
 // by StartAll.
 func NewFleet(ctx context.Context, options Options) (*Fleet, error) {
-	gate := memnet.NewGate()
+	links := memnet.NewLinkFilter()
 	created := &Fleet{
-		Options: options, Gate: gate, Network: memnet.NewNetwork(gate), Web: memnet.NewWeb(gate),
+		Options: options, Links: links, Network: memnet.NewNetwork(links), HTTP: memnet.NewHTTPNetwork(links),
 		Platform: NewPlatform(options.Platform), Engines: map[string]*Engine{}, Services: map[string]*Service{}, nodes: map[string]*Node{},
 	}
 	for _, pool := range options.Configuration.Pools {
@@ -157,10 +157,10 @@
 	options := f.Options.Engine
 	options.Name, options.Model, options.Role, options.ChecksFence = member.Name, pool.Model, member.Role, pool.ChecksFence
 	host, _, _ := net.SplitHostPort(member.Address)
-	options.HTTP = &http.Client{Transport: f.Web.Transport(host)}
+	options.HTTP = &http.Client{Transport: f.HTTP.Transport(host)}
 	started := &Engine{Engine: enginesim.New(options), Faults: fault.NewInjector(), Host: host}
 	f.Engines[member.Name] = started
-	f.Web.Handle(member.Address, started.Faults.Wrap(enginesim.Handler(started.Engine)))
+	f.HTTP.Handle(member.Address, started.Faults.Wrap(enginesim.Handler(started.Engine)))
 }
 
 func (f *Fleet) addService(backend api.Backend) {
@@ -168,7 +168,7 @@
 	const work = 2 * time.Millisecond
 	started := &Service{Service: servicesim.New(backend.Name, work), Faults: fault.NewInjector(), Host: host}
 	f.Services[backend.Name] = started
-	f.Web.Handle(backend.Address, started.Faults.Wrap(started.Service))
+	f.HTTP.Handle(backend.Address, started.Faults.Wrap(started.Service))
 }
 
 // NodeNames returns the names of all nodes, running or not.
@@ -184,7 +184,7 @@
 
 func nodeName(zone, number int) string { return fmt.Sprintf("node-%d-%03d", zone, number) }
 
-// hostOfNode gives every node an address of its own.
+// hostOfNode returns the IP address of a node.
 func hostOfNode(zone, number int) string { return fmt.Sprintf("10.%d.0.%d", zone+1, number+1) }
 
 // StartAll starts every node.
@@ -194,12 +194,12 @@
 	}
 }
 
-// Start starts a node under its name; an earlier start must have ended.
+// Start starts a node; an earlier incarnation must have ended.
 func (f *Fleet) Start(name string) {
 	var zone, number int
 	_, _ = fmt.Sscanf(name, "node-%d-%d", &zone, &number)
 	started := &Node{Name: name, Zone: f.Options.Zones[zone], Host: hostOfNode(zone, number), alive: true, stopped: make(chan struct{}), down: make(chan struct{})}
-	var transport http.RoundTripper = &hostTransport{f.Web.Transport(started.Host), started}
+	var transport http.RoundTripper = &hostTransport{f.HTTP.Transport(started.Host), started}
 	if wrap := f.Options.Defects.Transport; wrap != nil {
 		transport = wrap(transport)
 	}
@@ -211,7 +211,7 @@
 		Name: name, Zone: started.Zone, PeerAddress: started.Host + peerPort, Seeds: f.seeds(),
 		Dial: func(ctx context.Context, to string) (net.Conn, error) {
 			if started.dead.Load() {
-				return nil, memnet.ErrCut
+				return nil, memnet.ErrAborted
 			}
 			return f.Network.Dial(ctx, started.Host, to)
 		},
@@ -229,7 +229,7 @@
 	if wrap := f.Options.Defects.Handler; wrap != nil {
 		chain = wrap(chain)
 	}
-	f.Web.Handle(started.CallerAddress(), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	f.HTTP.Handle(started.CallerAddress(), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		started.serving.Add(1)
 		defer started.serving.Done()
 		chain.ServeHTTP(w, r)
@@ -239,7 +239,7 @@
 	f.nodes[name] = started
 }
 
-// seeds are the first nodes of the zones that have one.
+// seeds returns the peer addresses of the first nodes of the seed zones.
 func (f *Fleet) seeds() []string {
 	zones := len(f.Options.Zones)
 	if f.Options.SeedZones > 0 {
@@ -252,7 +252,7 @@
 	return seeds
 }
 
-// Node returns a node by name.
+// Node returns the last incarnation of a node.
 func (f *Fleet) Node(name string) *Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -288,7 +288,7 @@
 	return alive
 }
 
-// readsPlatform reports whether some running node reaches the platform.
+// readsPlatform reports whether any running node reaches the platform.
 func (f *Fleet) readsPlatform() bool {
 	for _, running := range f.Alive() {
 		if down, _ := f.Platform.isDown(running.Name); !down {
@@ -298,7 +298,7 @@
 	return false
 }
 
-// markStopped reports whether the node was running.
+// markStopped marks a node as not running and reports whether it was running.
 func (f *Fleet) markStopped(stopped *Node) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -309,8 +309,8 @@
 	return true
 }
 
-// Kill ends a node as the end of its process does: every connection closes, and
-// nothing that it still wants to send leaves it.
+// Kill ends a node as the termination of its process does: every connection
+// closes, and whatever the node still sends is discarded.
 func (f *Fleet) Kill(name string) {
 	killed := f.Node(name)
 	if !f.markStopped(killed) {
@@ -318,40 +318,40 @@
 	}
 	killed.dead.Store(true)
 	f.Network.Kill(killed.Host)
-	f.Web.Kill(killed.Host)
+	f.HTTP.Kill(killed.Host)
 	killed.cancel()
 	<-killed.stopped
 	close(killed.down)
 }
 
-// Part cuts the nodes of some zones off from the nodes of the others, and from the
-// platform if asked to. Engines stay reachable from both sides. The returned
-// function ends the parting.
-func (f *Fleet) Part(zones []string, withoutPlatform bool) (heal func()) {
+// Partition disconnects the nodes of some zones from the nodes of the others, and
+// from the platform if withoutPlatform is set. Engines stay reachable from both
+// sides. The returned function ends the partition.
+func (f *Fleet) Partition(zones []string, withoutPlatform bool) (heal func()) {
 	inside, hosts := map[string]bool{}, map[string]bool{}
 	for _, running := range f.Alive() {
 		hosts[running.Host] = true
 		if slices.Contains(zones, running.Zone) {
 			inside[running.Host] = true
-			f.Platform.CutOff(running.Name, withoutPlatform)
+			f.Platform.SetUnreachable(running.Name, withoutPlatform)
 		}
 	}
-	f.Gate.Block(func(link memnet.Link) bool {
+	f.Links.Block(func(link memnet.Link) bool {
 		return hosts[link.From] && hosts[link.To] && inside[link.From] != inside[link.To]
 	})
 	return func() {
-		f.Gate.Block(func(memnet.Link) bool { return false })
+		f.Links.Block(func(memnet.Link) bool { return false })
 		for _, name := range f.NodeNames() {
-			f.Platform.CutOff(name, false)
+			f.Platform.SetUnreachable(name, false)
 		}
 	}
 }
 
-// drainDelay is the time in which the balancer takes a draining node out.
+// drainDelay is the time in which the load balancer removes a draining node.
 const drainDelay = 5 * time.Second
 
-// Stop stops a node as planned: unready, drained, and ended when its last
-// request has.
+// Stop is a planned stop of a node: it becomes unready, drains, and ends after its
+// last request.
 func (f *Fleet) Stop(name string) {
 	stopping := f.Node(name)
 	if !f.markStopped(stopping) {
@@ -361,7 +361,7 @@
 	time.Sleep(drainDelay)
 	stopping.serving.Wait()
 	stopping.Core.Completions.WaitCancels()
-	f.Web.Kill(stopping.Host)
+	f.HTTP.Kill(stopping.Host)
 	stopping.cancel()
 	<-stopping.stopped
 	f.Network.Kill(stopping.Host)
@@ -385,8 +385,8 @@
 	}
 }
 
-// WaitReady waits until every running node is ready, and reports whether that
-// came about in time.
+// WaitReady waits until every running node is ready and receives the heartbeats of
+// all others, and reports whether this happened within the limit.
 func (f *Fleet) WaitReady(limit time.Duration) bool {
 	const step = 100 * time.Millisecond
 	for waited := time.Duration(0); waited < limit; waited += step {
@@ -440,7 +440,7 @@
 	return decoding
 }
 
-// Ledgers returns what the stand-ins did.
+// Ledgers returns the stand-ins' records of what they ran.
 func (f *Fleet) Ledgers() load.Ledgers {
 	var ledgers load.Ledgers
 	for _, started := range f.Engines {
@@ -454,10 +454,10 @@
 
 // Client returns the HTTP client of a caller.
 func (f *Fleet) Client(host string) *http.Client {
-	return &http.Client{Transport: f.Web.Transport(host)}
+	return &http.Client{Transport: f.HTTP.Transport(host)}
 }
 
-// StoreOf returns the platform as a node of the given name reaches it.
+// StoreOf returns the platform's store with the faults injected for a node.
 func (f *Fleet) StoreOf(name string) objectapi.Store {
 	return &nodeStore{platform: f.Platform, node: name, dead: func() bool { return false }}
 }
