--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -79,7 +79,7 @@
 	// ExchangeTimeout bounds one exchange of objects, which carries up to 128 KiB on a connection of its own. A
 	// node that exceeds it does not count as unresponsive. Default 2s.
 	ExchangeTimeout time.Duration
-	// Fanout is the number of nodes to which an update is pushed at once. Default 2.
+	// Fanout is the number of nodes to which an update is pushed at once. Default 3.
 	Fanout int
 	// UnresponsiveBackoff is how long a node that did not answer is not called again. Default 2s.
 	UnresponsiveBackoff time.Duration
--- a/antientropy/transfer.go
+++ b/antientropy/transfer.go
@@ -121,7 +121,8 @@
 	return slices.Clone(t.missing)
 }
 
-// addChunks adds received chunks and ignores those that were not requested. It returns how many of them had been missing.
+// addChunks adds received chunks and ignores those that were not requested. It returns how many of them had been
+// missing.
 func (t *transfer) addChunks(contents map[chunk.ID][]byte) int {
 	before := len(t.missing)
 	t.missing = slices.DeleteFunc(t.missing, func(reference chunk.Reference) bool {
