--- a/configuration/syncer.go
+++ b/configuration/syncer.go
@@ -121,7 +121,7 @@
 		return
 	}
 	if err == nil {
-		err = s.holder.Advance(ctx, head, s.fromNeighbours())
+		err = s.holder.Advance(ctx, head, s.fromZonePeers())
 	}
 	if err != nil {
 		s.metrics.Add("configuration_advance_errors", 1)
@@ -136,14 +136,14 @@
 	return s.placement.IsAmongTop(watcherKey, watchersPerZone) || len(s.placement.ZonePeers()) == 0 || s.now().Sub(s.started) > peerGracePeriod
 }
 
-// neighbourAttempts is the number of neighbours that are asked for a part before the platform.
-const neighbourAttempts = 2
+// zonePeerAttempts is the number of nodes of the zone that are asked for a part before the platform.
+const zonePeerAttempts = 2
 
-// fromNeighbours fetches parts from nodes of the zone, and from the platform if they do not have them.
-func (s *Syncer) fromNeighbours() FetchPart {
+// fromZonePeers fetches parts from nodes of the zone, and from the platform if they do not have them.
+func (s *Syncer) fromZonePeers() FetchPart {
 	return func(ctx context.Context, digest string) ([]byte, error) {
-		neighbours := s.placement.ZonePeers()
-		for _, address := range neighbours[:min(len(neighbours), neighbourAttempts)] {
+		zonePeers := s.placement.ZonePeers()
+		for _, address := range zonePeers[:min(len(zonePeers), zonePeerAttempts)] {
 			if data, err := s.partFrom(ctx, address, digest); err == nil {
 				return data, nil
 			}
