--- a/completion/run.go
+++ b/completion/run.go
@@ -40,8 +40,9 @@
 	requestID string
 	attempt   uint32
 	excluded  []string
-	// generated is the text of the tokens before offset, as far as this node has
-	// received it from the first token on.
+	// generated is the text of the tokens before offset. complete is set while it
+	// holds all of them, that is, if this node has received the stream from its
+	// first token on.
 	generated strings.Builder
 	complete  bool
 	offset    int
--- a/completion/service.go
+++ b/completion/service.go
@@ -15,7 +15,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// Options are the parts of a Service.
+// Options configures a Service.
 type Options struct {
 	Cluster *cluster.Cluster
 	Engines *engine.Client
--- a/engine/dialect/dialect.go
+++ b/engine/dialect/dialect.go
@@ -32,7 +32,7 @@
 // cancelTimeout bounds the call that frees what an engine keeps.
 const cancelTimeout = 2 * time.Second
 
-// Options are the parts of a Dialect.
+// Options configures a Dialect.
 type Options struct {
 	// Node identifies this node to engines as the holder of its streams.
 	Node string
@@ -55,7 +55,7 @@
 
 var _ gateway.Dialect = (*Dialect)(nil)
 
-// New returns a dialect with the given parts.
+// New returns a dialect with the given options.
 func New(options Options) *Dialect {
 	if options.Observe == nil {
 		options.Observe = func(backend.Backend, backend.Notice) {}
