--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -38,7 +38,7 @@
 // Live returns the live members.
 func (c *Cluster) Live() []membership.Member { return c.table.Live(c.now()) }
 
-// IsTerminated reports whether a start of a node has ended.
+// IsTerminated reports whether an incarnation of a node has ended.
 func (c *Cluster) IsTerminated(node string, incarnation uint64) bool {
 	return c.table.IsTerminated(c.now(), node, incarnation)
 }
--- a/service/balancer.go
+++ b/service/balancer.go
@@ -60,7 +60,7 @@
 	b.backoffs[name] = b.now().Add(duration)
 }
 
-// backoffRemaining returns for how much longer a replica is in backoff; the lock is held.
+// backoffRemaining returns for how much longer a replica is in backoff; the caller holds the lock.
 func (b *balancer) backoffRemaining(name string) time.Duration {
 	until, inBackoff := b.backoffs[name]
 	if !inBackoff {
--- a/service/handler.go
+++ b/service/handler.go
@@ -116,7 +116,7 @@
 		return err
 	}
 	err = h.attemptReplicas(ctx, w, started)
-	if typed := api.AsError(err, api.OutcomeUnknown); err != nil && typed.Outcome == api.OutcomeNotRun {
+	if apiErr := api.AsError(err, api.OutcomeUnknown); err != nil && apiErr.Outcome == api.OutcomeNotRun {
 		// The key stays usable, since the call certainly did not run.
 		if withdrawErr := h.options.Claims.Withdraw(context.WithoutCancel(ctx), started.key, claimID); withdrawErr != nil {
 			h.options.Metrics.Add("claim_withdraw_errors", 1)
@@ -175,14 +175,14 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	var typed *api.Error
-	if !errors.As(err, &typed) {
+	var apiErr *api.Error
+	if !errors.As(err, &apiErr) {
 		return false
 	}
-	if typed.Outcome == api.OutcomeNotRun {
+	if apiErr.Outcome == api.OutcomeNotRun {
 		return true
 	}
-	return !c.nonIdempotent && c.request.ContentLength == 0 && typed.Code == api.CodeBackendFailed
+	return !c.nonIdempotent && c.request.ContentLength == 0 && apiErr.Code == api.CodeBackendFailed
 }
 
 // attempt sends the call to one replica and copies its response.
