--- a/peer/failure.go
+++ b/peer/failure.go
@@ -10,13 +10,13 @@
 // FailureOf returns the wire form of an error. An untyped error becomes an
 // internal error with the given outcome.
 func FailureOf(err error, outcome api.Outcome) *peerpb.Failure {
-	typed := api.AsError(err, outcome)
+	apiErr := api.AsError(err, outcome)
 	return &peerpb.Failure{
-		Code:         string(typed.Code),
-		Outcome:      string(typed.Outcome),
-		Message:      typed.Message,
-		Status:       int32(typed.Status),
-		RetryAfterMs: typed.RetryAfter.Milliseconds(),
+		Code:         string(apiErr.Code),
+		Outcome:      string(apiErr.Outcome),
+		Message:      apiErr.Message,
+		Status:       int32(apiErr.Status),
+		RetryAfterMs: apiErr.RetryAfter.Milliseconds(),
 	}
 }
 
