--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -16,7 +16,7 @@
 	until time.Time
 }
 
-// Responsive reports whether a node answered when it was last called.
+// Responsive reports whether a node counts as responsive: ReportFailure has not found the contrary.
 func (s *Syncer) Responsive(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/antientropy/pushthrottle.go
+++ b/antientropy/pushthrottle.go
@@ -21,8 +21,8 @@
 }
 
 // gate returns the channel of updates, or nil during an interval.
-func (r *pushThrottle) gate(updates chan struct{}) chan struct{} {
-	if r.expired != nil {
+func (t *pushThrottle) gate(updates chan struct{}) chan struct{} {
+	if t.expired != nil {
 		return nil
 	}
 	return updates
@@ -30,14 +30,14 @@
 
 // start starts the interval after a round. It is twice as long as the one before if the round followed soon
 // after that.
-func (r *pushThrottle) start(now time.Time) {
-	if r.interval == 0 || now.Sub(r.endedAt) > minPushInterval {
-		r.interval = minPushInterval
+func (t *pushThrottle) start(now time.Time) {
+	if t.interval == 0 || now.Sub(t.endedAt) > minPushInterval {
+		t.interval = minPushInterval
 	} else {
-		r.interval = min(2*r.interval, maxPushInterval)
+		t.interval = min(2*t.interval, maxPushInterval)
 	}
-	r.expired = time.After(r.interval)
+	t.expired = time.After(t.interval)
 }
 
 // release ends the interval.
-func (r *pushThrottle) release() { r.expired, r.endedAt = nil, time.Now() }
+func (t *pushThrottle) release() { t.expired, t.endedAt = nil, time.Now() }
--- a/antientropy/silent_test.go
+++ b/antientropy/silent_test.go
@@ -17,10 +17,10 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// hopLimit is how long a change may take from one node to the next where a connection has stalled: it has 3 s
+// maxHopTime is how long a change may take from one node to the next where a connection has stalled: it has 3 s
 // to reach all nodes, and takes three hops in the largest supported fleet, in which most nodes do not watch the
 // store.
-const hopLimit = time.Second
+const maxHopTime = time.Second
 
 // peerPair is a node and another one to which it pushes changes, in virtual time.
 type peerPair struct {
@@ -93,13 +93,13 @@
 		g := NewWithT(t)
 		pair := newPeerPair()
 		defer pair.close()
-		g.Expect(pair.change(1)).To(BeNumerically("<", hopLimit))
+		g.Expect(pair.change(1)).To(BeNumerically("<", maxHopTime))
 		for version := int64(2); version < 6; version++ {
 			time.Sleep(3 * time.Second)
 			g.Expect(pair.network.DropTraffic(func(memnet.Link) bool { return true })).To(BeNumerically(">", 0))
 			took := pair.change(version)
 			t.Logf("reached the next node after %v", took)
-			g.Expect(took).To(BeNumerically("<", hopLimit))
+			g.Expect(took).To(BeNumerically("<", maxHopTime))
 		}
 	})
 }
