--- a/peer/server.go
+++ b/peer/server.go
@@ -117,14 +117,14 @@
 	_ = mux.Close()
 }
 
-func (s *Server) serveStream(conn *stream) {
-	defer func() { _ = conn.Close() }()
+func (s *Server) serveStream(callStream *stream) {
+	defer func() { _ = callStream.Close() }()
 	for {
 		request := &peerpb.Request{}
-		if err := readMessage(conn.reader, request); err != nil {
+		if err := readMessage(callStream.reader, request); err != nil {
 			return
 		}
-		if err := writeMessage(conn, s.answer(request)); err != nil {
+		if err := writeMessage(callStream, s.answer(request)); err != nil {
 			return
 		}
 	}
--- a/peer/session.go
+++ b/peer/session.go
@@ -219,12 +219,12 @@
 	return response, nil
 }
 
-func exchange(conn *stream, request *peerpb.Request) (*peerpb.Response, error) {
-	if err := writeMessage(conn, request); err != nil {
+func exchange(callStream *stream, request *peerpb.Request) (*peerpb.Response, error) {
+	if err := writeMessage(callStream, request); err != nil {
 		return nil, err
 	}
 	response := &peerpb.Response{}
-	if err := readMessage(conn.reader, response); err != nil {
+	if err := readMessage(callStream.reader, response); err != nil {
 		return nil, err
 	}
 	return response, nil
