--- a/backendhttp/exchange.go
+++ b/backendhttp/exchange.go
@@ -54,9 +54,10 @@
 	lastUsedAt atomic.Int64
 }
 
-// NewTransport returns a transport that opens connections with the given function.
-func NewTransport(dial DialFunc, source *clock.Clock) *Transport {
-	return &Transport{clock: source, http: &http.Transport{
+// NewTransport returns a transport that opens connections with dial and measures by connClock how long
+// they are idle.
+func NewTransport(dial DialFunc, connClock *clock.Clock) *Transport {
+	return &Transport{clock: connClock, http: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
