--- a/node/node.go
+++ b/node/node.go
@@ -178,8 +178,8 @@
 	return mux, nil
 }
 
-// Run serves until the context is done and then shuts down gracefully: it makes
-// the node unready, closes the listeners, and waits for the requests in flight.
+// Run serves until the context is done, then performs a planned stop: it makes the
+// node unready, closes the listeners, and waits for the requests in flight.
 func (n *Node) Run(ctx context.Context) error {
 	listeners, err := n.listen()
 	if err != nil {
@@ -226,7 +226,7 @@
 	return err
 }
 
-// listeners are the node's open listeners.
+// listeners holds one listener for each kind of client.
 type listeners struct {
 	callers, peers, operator net.Listener
 }
--- a/settings/router.go
+++ b/settings/router.go
@@ -25,7 +25,7 @@
 	Seeds []string
 	// FirstStart is set for the first start of the whole fleet: the store has no objects of an earlier start.
 	FirstStart bool
-	// Grace is how long a graceful shutdown may take.
+	// Grace is how long a planned stop may take.
 	Grace time.Duration
 	// RetryRatio, RetryBurst and RetryWindow define the retry budget of the whole fleet.
 	RetryRatio  float64
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -52,7 +52,7 @@
 	// DrainDelay is the time between becoming unready and closing the listeners,
 	// in which the load balancer stops sending requests to the node.
 	DrainDelay time.Duration
-	// DrainTimeout bounds the wait for requests in flight during a graceful shutdown.
+	// DrainTimeout bounds the wait for requests in flight during a planned stop.
 	DrainTimeout time.Duration
 	// HeartbeatInterval is the time between heartbeats of two nodes.
 	HeartbeatInterval time.Duration
