--- a/api/objects.go
+++ b/api/objects.go
@@ -1,6 +1,6 @@
 package api
 
-// Role is the current role of an engine.
+// Role is the stage of requests that an engine runs. Orders can change it.
 type Role string
 
 // The roles of an engine.
--- a/api/validate.go
+++ b/api/validate.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Finding is one fault in a setting or an object, with its location.
+// Finding is one fault in a setting or an object, with its place.
 type Finding struct {
 	// Place is the flag, variable or object field.
 	Place string `json:"place"`
