--- a/objectapi/follow.go
+++ b/objectapi/follow.go
@@ -14,7 +14,7 @@
 	Replace(objects []Object, revision int64)
 	// Apply is called with each change.
 	Apply(event Event)
-	// StoreAnswered is called after each response of the store, with nil or the error of the call.
+	// StoreAnswered is called with nil after each response of the store, and with the error of each failed call.
 	StoreAnswered(err error)
 	// PageListed is called after each page of a list except the last. It may block until the context ends, since
 	// the remaining objects may become known by other means.
