--- a/controller/rolechange/reconciler.go
+++ b/controller/rolechange/reconciler.go
@@ -51,7 +51,7 @@
 	DecodeUse  float64 `json:"decode_use"`
 }
 
-// observedPool is a pool whose load is being observedPool.
+// observedPool is a pool whose load is monitored.
 type observedPool struct {
 	advisor   *rebalance.Advisor
 	startedAt time.Time
