--- a/cmd/reelrun-router/main.go
+++ b/cmd/reelrun-router/main.go
@@ -5,7 +5,7 @@
 // It is separate from reelrund, which serves the product's own interface, so that it does not
 // link the libraries of that interface: they take half of a small node's memory.
 //
-// Exit codes: 0 after a planned stop, 1 for a failure, 2 for faulty settings.
+// Exit codes: 0 after a planned stop, 1 for a failure, 2 for invalid settings.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	"github.com/reelrun/reelrun/settings"
 )
 
-// logCloseTimeout limits how long the end of the process waits until the log has been read.
+// logCloseTimeout bounds the wait at exit until the queued log lines are written.
 const logCloseTimeout = 200 * time.Millisecond
 
 // Exit codes.
--- a/cmd/reelrund/main.go
+++ b/cmd/reelrund/main.go
@@ -2,7 +2,7 @@
 // API). All entry machines run the same program. It is configured by flags and environment
 // variables. On the users' platform, reelrun-router is used instead.
 //
-// Exit codes: 0 after a planned stop, 1 for a failure, 2 for faulty settings.
+// Exit codes: 0 after a planned stop, 1 for a failure, 2 for invalid settings.
 package main
 
 import (
