--- a/soak/configuration_test.go
+++ b/soak/configuration_test.go
@@ -24,7 +24,7 @@
 	configurationZones = 3
 )
 
-// TestSoakConfigurations changes the configuration in series while nodes are killed, frozen and restarted and the
+// TestSoakConfigurations changes the configuration repeatedly while nodes are killed, frozen and restarted and the
 // store is unreachable. Most nodes of this fleet receive changes from other nodes, not from the store.
 func TestSoakConfigurations(t *testing.T) {
 	for _, seed := range configurationSeeds(t) {
@@ -130,7 +130,7 @@
 	answers []configurationAnswer
 }
 
-// change adds routes in series until the given time.
+// change adds routes one after the other until the given time.
 func (c *configurationChecks) change(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		c.addRoute()
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -9,7 +9,7 @@
 	"github.com/reelrun/reelrun/platform/standin"
 )
 
-// injectFaults injects faults in series, some of them at the same time, and waits until
+// injectFaults starts faults one after the other, so that some overlap, and waits until
 // all have ended.
 func (h *harness) injectFaults(random *rand.Rand, duration time.Duration) {
 	var running sync.WaitGroup
--- a/soak/tenants_test.go
+++ b/soak/tenants_test.go
@@ -39,8 +39,8 @@
 	return "key-of-" + tenant
 }
 
-// tenantsFor returns the tenants of a version as the platform stores them. Other tenants and keys come and go
-// beside those of the callers.
+// tenantsFor returns the tenants of a version as the platform stores them. Besides the callers' tenants and keys
+// it contains others that differ from version to version.
 func tenantsFor(version int) []map[string]any {
 	tenants := []map[string]any{
 		{"name": steadyTenant, "api_keys": []string{keyOf(steadyTenant), fmt.Sprintf("second-key-%d", version)}},
