--- a/sim/enginesim/engine.go
+++ b/sim/enginesim/engine.go
@@ -36,7 +36,7 @@
 	StreamRetention time.Duration
 	// LoadLag is the age of load reports.
 	LoadLag time.Duration
-	// ChecksFence makes the engine reject orders with a stale fence.
+	// ChecksFence makes the engine reject orders with a stale fencing token.
 	ChecksFence bool
 	// CacheBlocks is the size of the prefix cache. Its events become visible after
 	// CacheDelay, without those whose sequence number is divisible by CacheGapEvery.
--- a/sim/hollow/react.go
+++ b/sim/hollow/react.go
@@ -205,8 +205,8 @@
 	return found.Name
 }
 
-// agreeWithout reports whether all nodes report the same owner of a pool, one that
-// is not dead.
+// agreeWithout reports whether all running nodes have the same owner of a pool, and
+// that owner is not one of the dead.
 func agreeWithout(fleet *rehearsal.Fleet, pool api.Pool, dead map[string]bool) bool {
 	agreed := ""
 	for _, running := range fleet.Alive() {
--- a/sim/model/roles.go
+++ b/sim/model/roles.go
@@ -18,8 +18,8 @@
 	roleChangeTime = 10 * time.Second
 )
 
-// roleChanger applies the advice of rebalance.Advisor without confirmation, as a
-// standing policy does.
+// roleChanger applies the advice of rebalance.Advisor without an operator, as the
+// role change policy "apply" does.
 type roleChanger struct {
 	poolRouter *poolRouter
 	advisor    *rebalance.Advisor
--- a/sim/rehearsal/defects_test.go
+++ b/sim/rehearsal/defects_test.go
@@ -78,7 +78,7 @@
 	}}, "holds")
 }
 
-// repeatingWriter writes each token of a stream twice.
+// duplicatingWriter writes each token of a stream twice.
 type duplicatingWriter struct {
 	http.ResponseWriter
 	pending bytes.Buffer
--- a/sim/rehearsal/platform.go
+++ b/sim/rehearsal/platform.go
@@ -32,7 +32,7 @@
 	p.changed = make(chan struct{})
 }
 
-// SetOutage begins or ends an outage for everyone.
+// SetOutage begins or ends an outage for all nodes.
 func (p *Platform) SetOutage(outage bool) { p.change(func() { p.outage = outage }) }
 
 // SetUnreachable begins or ends an outage for one node.
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -338,7 +338,7 @@
 	})
 }
 
-// raceOnce returns whether each of two operators won.
+// confirmConcurrently has two operators confirm conflicting plans at once and returns which of them succeeded.
 func confirmConcurrently(t *testing.T, fleet *Fleet, round int) [2]bool {
 	t.Helper()
 	var won [2]bool
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -103,7 +103,7 @@
 	return s.decodes[id]
 }
 
-// assumedFirstEvent is the time to the first event, which the rate of the emulator's runs does
+// assumedFirstEvent is the time to the first event, which the rate of the simulated runs does
 // not include.
 const assumedFirstEvent = 150 * time.Millisecond
 
@@ -115,7 +115,7 @@
 		p.ledger.End(p.names[finished], ledger.AnswerTiming{})
 		return
 	}
-	// The first event of the emulator's runs is assumed to come at assumedFirstEvent.
+	// The first event of the simulated runs is assumed to come at assumedFirstEvent.
 	answer := ledger.AnswerTiming{FirstEvent: assumedFirstEvent, Duration: duration, RestTokens: finished.output}
 	if run, known := p.ledger.End(p.names[finished], answer); known {
 		p.output.Observe(run.CallerEstimate, finished.output)
