--- a/backend/notice.go
+++ b/backend/notice.go
@@ -105,9 +105,9 @@
 }
 
 // uncertainLeavingBackoff is how long a new incarnation gets no work if it may be the one that announced that
-// it leaves. It is a few times as long as backends continue to serve after that (2 to 3 s on the sites'
-// sheets). If it does leave, its next answer or its entry shows it; if clocks disagree, and the previous
-// incarnation had announced it, the new one is used again.
+// it leaves. It is a few times as long as backends continue to serve after that (2 to 3 s on the supported
+// deployments). If it does leave, its next answer or its entry shows it; if clocks disagree, and the
+// previous incarnation had announced it, the new one is used again.
 const uncertainLeavingBackoff = 10 * time.Second
 
 // inherit takes over the notices received from the previous incarnation, unless they came before this one
--- a/cmd/reelrun-router/main.go
+++ b/cmd/reelrun-router/main.go
@@ -1,4 +1,4 @@
-// Command reelrun-router routes requests on the users' platform. All entry machines run the
+// Command reelrun-router routes requests on the hosting platform. All entry machines run the
 // same program. The variable REELRUN_SETTINGS contains the path of the settings file that the
 // platform provides.
 //
--- a/cmd/reelrun-sim/compare.go
+++ b/cmd/reelrun-sim/compare.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// compareSite simulates policies with the engines of one of the users' sites.
+// compareSite simulates policies with the engines of one of the supported deployments.
 func compareSite(options model.Options, policy string, seeds int, format string) error {
 	policies := []string{policy}
 	if policy == "all" {
--- a/cmd/reelrund/main.go
+++ b/cmd/reelrund/main.go
@@ -1,6 +1,6 @@
 // Command reelrund is the daemon for the product's own interface (completions and operators'
 // API). All entry machines run the same program. It is configured by flags and environment
-// variables. On the users' platform, reelrun-router is used instead.
+// variables. On the hosting platform, reelrun-router is used instead.
 //
 // Exit codes: 0 after a planned stop, 1 for a failure, 2 for invalid settings.
 package main
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -17,7 +17,7 @@
 	maxPrefills = 3
 	// maxLeavingTime is for how long after a decode engine was reported leaving an answer still starts
 	// there, because its prompt was being prefilled. It is half of the shortest time for which engines
-	// continue to serve (2 s on the sites' sheets).
+	// continue to serve (2 s on the supported deployments).
 	maxLeavingTime = time.Second
 	// maxBackoffTime is the same after a decode engine has requested backoff: it has reserved memory for
 	// this answer. It is half of the time in which engines still accept requests under way (0.5 s).
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -20,7 +20,8 @@
 	// releaseTimeout bounds the calls that free reservations and prompts.
 	releaseTimeout = 2 * time.Second
 	// maxFreeDelay is how long such a call is delayed until its engine's backoff ends. What engines keep
-	// for a request expires by itself, reservations after 2 s on the sites' sheets and prompts soon after.
+	// for a request expires by itself, reservations after 2 s on the supported deployments and prompts soon
+	// after.
 	maxFreeDelay = 5 * time.Second
 	// reserveInterval is the pause between two rounds over all engines.
 	reserveInterval = 40 * time.Millisecond
--- a/gateway/waits.go
+++ b/gateway/waits.go
@@ -10,7 +10,7 @@
 const (
 	// minClientRetryAge is the age from which a request counts as a client retry: more than clock
 	// differences, links and the callers' own scheduling take from a deadline (3 ms to clients on the
-	// sites' sheets).
+	// supported deployments).
 	minClientRetryAge = 100 * time.Millisecond
 	// fullDeadlineMargin is by how much a full deadline may be shorter than the longest: callers count it
 	// in whole milliseconds, some from when they started to connect.
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -62,8 +62,8 @@
 }
 
 // fullBucketUse is the fraction of a limit up to which a tenant's recent usage implies that its bucket is full:
-// tenants use somewhat more than half of their limits (the sites' sheets set them at 1.8 times the usual rate),
-// with random variation between seconds.
+// tenants use somewhat more than half of their limits (the supported deployments set them at 1.8 times the
+// usual rate), with random variation between seconds.
 const fullBucketUse = 0.6
 
 // grantedElsewhere records what another coordinator granted recently.
--- a/quota/coordinator.go
+++ b/quota/coordinator.go
@@ -15,7 +15,7 @@
 	// tenant at its usual rate, 0.55 of its limit, has a full bucket but for a few requests.
 	aboveUsualLevel = 0.25
 	// fullShare is the fraction of the nodes that counts as all of them: the limits' own tolerance (a tenth on
-	// the sites' sheets) covers what the others may use.
+	// the supported deployments) covers what the others may use.
 	fullShare = 0.9
 	// maxRetryAfter bounds the retry delay that callers are given; they wait no longer.
 	maxRetryAfter = 5 * time.Second
--- a/quota/recent.go
+++ b/quota/recent.go
@@ -8,7 +8,7 @@
 
 const (
 	// recentTime is the time constant of recent usage: the time in which a limit's burst refills, a second on
-	// the sites' sheets.
+	// the supported deployments.
 	recentTime = time.Second
 	// minTrackedUnits is the sum below which a tenant is no longer tracked.
 	minTrackedUnits = 0.5
--- a/quota/replay_test.go
+++ b/quota/replay_test.go
@@ -13,7 +13,7 @@
 	"github.com/reelrun/reelrun/tenant"
 )
 
-// Parameters of the replays: those of the sites' sheets, if given there.
+// Parameters of the replays: those of the supported deployments, where these set them.
 const (
 	replayRate         = 60_000.0
 	replayWindow       = 8 * time.Second
@@ -24,8 +24,8 @@
 	toleratedOvershoot = 0.1
 )
 
-// sheetTolerance is the tolerance of the sites' sheets.
-var sheetTolerance = Tolerance{Window: replayWindow, Overshoot: toleratedOvershoot, Slack: 120_000}
+// deploymentTolerance is the tolerance on the supported deployments.
+var deploymentTolerance = Tolerance{Window: replayWindow, Overshoot: toleratedOvershoot, Slack: 120_000}
 
 // replay simulates tenants and nodes against the limiters, without I/O.
 type replay struct {
@@ -64,7 +64,7 @@
 	for range coordinators {
 		r.coordinators = append(r.coordinators, NewCoordinator(Options{
 			Tenant: func(name string) *tenant.Tenant { return byName[name] }, Nodes: func() int { return nodes },
-			Tolerance: sheetTolerance,
+			Tolerance: deploymentTolerance,
 		}))
 	}
 	for range nodes {
@@ -217,8 +217,8 @@
 
 // TestLimitHoldsInPartitions splits the fleet, loses coordinators and heals it again at random, while one
 // tenant is hot. Each split lasts at least as long as it takes to detect. What two coordinators and
-// uncoordinated nodes grant together stays within the limit and the slack of the sheets, and tenants below
-// their limit are served.
+// uncoordinated nodes grant together stays within the limit and the slack of the supported
+// deployments, and tenants below their limit are served.
 func TestLimitHoldsInPartitions(t *testing.T) {
 	const slack = 120_000 / (replayRate * 9)
 	// The limit does not hold in every partition: of 20,000 such replays, counted one by one, 171 were above
--- a/sim/model/workload.go
+++ b/sim/model/workload.go
@@ -35,7 +35,7 @@
 
 const second = time.Second
 
-// fisioXela and amrc are the request kinds of the users' sites that reach a model.
+// fisioXela and amrc are the request kinds of the supported deployments that reach a model.
 // The latency targets are those of the example configurations.
 var (
 	fisioXela = workload{name: "fisio-xela", tenants: 24, zipf: 0.8, kinds: []requestKind{
--- a/sim/sitemodel/run.go
+++ b/sim/sitemodel/run.go
@@ -25,7 +25,7 @@
 	scoreInTime, scoreLate = 1.0, 0.2
 	scoreRetried           = (scoreInTime + scoreLate) / 2
 	// wastedPrefillCost is subtracted from the score, times the share of prefilled tokens that
-	// were wasted: on the users' bench a share of 5.4 % cost 0.040 of the score.
+	// were wasted: in the reference benchmark a share of 5.4 % cost 0.040 of the score.
 	wastedPrefillCost = 0.75
 )
 
--- a/sim/sitemodel/run_test.go
+++ b/sim/sitemodel/run_test.go
@@ -20,7 +20,7 @@
 	return total / seeds
 }
 
-// TestRankingOfPolicies checks that the model ranks policies in the order of the users' bench.
+// TestRankingOfPolicies checks that the model ranks policies in the order of the reference benchmark.
 func TestRankingOfPolicies(t *testing.T) {
 	for _, site := range Sites() {
 		t.Run(site, func(t *testing.T) {
--- a/sim/sitemodel/site.go
+++ b/sim/sitemodel/site.go
@@ -55,8 +55,8 @@
 	return math.Exp(deviation*random.NormFloat64() - deviation*deviation/2)
 }
 
-// sites are the users' two sites as their data sheets describe them, with three of nine
-// engines in the prefill role.
+// sites are the two supported deployments as they are specified, with three of nine engines in
+// the prefill role.
 var sites = []Site{
 	{
 		Name: "fisio-xela-site", Prefill: 3, Decode: 6, Memory: 89_659, Slots: 64,
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,5 +1,5 @@
 // Package soak is a fault-injection soak test: it runs real daemons as separate
-// processes on loopback, with stand-ins for the users' platform, under randomized
+// processes on loopback, with stand-ins for the hosting platform, under randomized
 // external faults, and checks the guarantees of the platform's pages against what
 // callers and backends observe. All code is in test files.
 //
