--- a/roles/plan.go
+++ b/roles/plan.go
@@ -71,9 +71,8 @@
 	minDecodeUtilization = 0.5
 	// prefillHeadroom is the number of spare prefill engines as a multiple of the square root of
 	// the mean number of busy ones (square-root staffing, Halfin and Whitt 1981): any engine may
-	// take the next prompt, so larger pools need proportionally less of it for short waits. With it three
-	// engines may be 0.75 busy, which was measured for nine engines in all, 20 may be 0.89 and 200
-	// 0.96.
+	// take the next prompt, so larger pools need proportionally less of it for short waits. With
+	// it, three engines of nine may be 0.75 busy, 20 may be 0.89 and 200 0.96.
 	prefillHeadroom = 0.5
 	// maxChangeShare is the share of the engines of a role that may change at once. With a quarter,
 	// the prefill engines of a fleet of 600 go from a third to a fifth in 12 s; one by one that
