--- a/router/follow.go
+++ b/router/follow.go
@@ -109,7 +109,7 @@
 const watcherInterval = 500 * time.Millisecond
 
 // replicaTimeout is how long a node that does not watch the store waits for all backends from other nodes before it
-// lists them itself. A neighbour has them within a second or two, or a few seconds more after a power failure of the
+// lists them itself. Another node has them within a second or two, or a few seconds more after a power failure of the
 // whole fleet.
 const replicaTimeout = 6 * time.Second
 
