--- a/antientropy/push.go
+++ b/antientropy/push.go
@@ -15,9 +15,9 @@
 // maxPending bounds the objects that wait to be pushed to other nodes. Beyond it replicas are compared instead.
 const maxPending = 2048
 
-// pendingUpdates are the objects that changed since the last push round. They are pushed as they are: while
-// backends change by the hundred, replicas always differ, and each comparison would cost the digests of all of
-// them. The zero value is empty. It is safe for concurrent use.
+// pendingUpdates are the objects that changed since the last push round. They are pushed without a comparison:
+// while hundreds of backends change, replicas always differ, and each comparison would cost the digests of all
+// of them. The zero value is empty. It is safe for concurrent use.
 type pendingUpdates struct {
 	mu sync.Mutex
 	// fromStore is true for an object that this node has from the store, or created itself.
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -318,8 +318,8 @@
 }
 
 // compareOnNewConnection is compare on a connection that was opened after the given time. Established
-// connections may stop delivering for good, without a reset, while new ones work; yamux has no keep-alive here,
-// since comparisons serve that purpose.
+// connections may stop delivering permanently, without a reset, while new ones work; yamux has no keep-alive
+// here, since comparisons serve that purpose.
 func (s *Syncer) compareOnNewConnection(ctx context.Context, address string, openedAfter time.Time) (comparison, error) {
 	s.options.Client.ResetLane(peer.LaneControl, address, openedAfter)
 	// Whatever stalled this connection may have stalled the bulk connection too. A call in progress there may
--- a/antientropy/syncer_test.go
+++ b/antientropy/syncer_test.go
@@ -162,8 +162,8 @@
 }
 
 // TestReplicaBecomesCompleteFromCompleteOne joins an empty replica to one that has listed all kinds, and to one
-// that has not. A node must not serve with only a part of the backends, and two empty replicas must not take
-// each other for complete.
+// that has not. A node must not serve with only a part of the backends, and two empty replicas must not
+// consider each other complete.
 func TestReplicaBecomesCompleteFromCompleteOne(t *testing.T) {
 	g := NewWithT(t)
 	partial, joining := newTestNode(t), newTestNode(t)
--- a/antientropy/transfers.go
+++ b/antientropy/transfers.go
@@ -231,7 +231,7 @@
 	}
 	stuck := now.Sub(t.progressedAt) > stuckAfter
 	if stuck {
-		// The store gets the same time again.
+		// Reading from the store may take as long before it is repeated.
 		t.progressedAt = now
 	}
 	ts.mu.Unlock()
--- a/antientropy/wire.go
+++ b/antientropy/wire.go
@@ -251,7 +251,7 @@
 }
 
 // recordsOfObjects decodes the objects of another node. Those that cannot be decoded are left out; the error
-// tells why.
+// is the reason.
 func recordsOfObjects(objects []*peerpb.StoredObject) (records []replica.Record, chunkedObjects []chunkedObject, failed error) {
 	for _, object := range objects {
 		record := recordOf(object.GetVersion())
--- a/retrybudget/allocation.go
+++ b/retrybudget/allocation.go
@@ -62,7 +62,7 @@
 	Confirmed int64
 }
 
-// minRaise is the smallest increase of a share, as a fraction of it. A restarting node is away for a moment;
+// minRaise is the smallest increase of a share, as a fraction of it. A restarting node is absent briefly;
 // without this threshold, all others would get slightly more for that time, and each of them would have to
 // confirm that it has given it back.
 const minRaise = 0.25
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -1,5 +1,5 @@
 // Package retrybudget limits upstream retries to a share of the requests that callers send, so that retries
-// cannot multiply the load of a service that is in trouble.
+// cannot multiply the load of a service that is failing or overloaded.
 package retrybudget
 
 import (
