--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -226,8 +226,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.state(result.Service)
-	if result.Refusal != RefusalNone {
-		current.decode.Refused(c.options.Now(), result.ID, result.Refusal.pause())
+	if result.Rejection != RejectionNone {
+		current.decode.Refused(c.options.Now(), result.ID, result.Rejection.pause())
 	}
 	current.prefill.drop(result.ID)
 	current.localPrefill.drop(result.ID)
@@ -242,7 +242,7 @@
 // observeOutcome updates the health of a run's decode engine from the result of the run.
 func (c *Coordinator) observeOutcome(current *serviceState, engine string, result RunResult) {
 	switch {
-	case result.Refusal == RefusalFailed:
+	case result.Rejection == RejectionFailed:
 		current.health.failed(c.options.Now(), engine)
 	case result.Output > 0:
 		current.health.answered(engine)
--- a/coordinator/health_test.go
+++ b/coordinator/health_test.go
@@ -90,7 +90,7 @@
 	})
 	for range 2 {
 		g.Expect(shared.Assign(t.Context(), requestOf("run", 0)).Decode).To(Equal("a"))
-		shared.End(RunResult{Service: "s", ID: "run", Refusal: RefusalFailed})
+		shared.End(RunResult{Service: "s", ID: "run", Rejection: RejectionFailed})
 	}
 	g.Expect(shared.Assign(t.Context(), requestOf("run", 0)).Decode).To(Equal("b"))
 }
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -67,8 +67,8 @@
 	// of tokens after that event.
 	FirstEvent time.Duration
 	RestTokens int
-	// Refusal is set if the engine did not take the run or did not complete it.
-	Refusal Refusal
+	// Rejection is set if the engine did not take the run or did not complete it.
+	Rejection Rejection
 }
 
 // EngineFailure reports an engine that failed an operation.
@@ -81,28 +81,28 @@
 	TimedOut bool
 }
 
-// Refusal is how an engine refused or failed a run.
-type Refusal int32
+// Rejection is how an engine refused or failed a run.
+type Rejection int32
 
 // Kinds of refusals.
 const (
-	// RefusalNone means that the engine took the run.
-	RefusalNone Refusal = iota
-	// RefusalFull means that the engine had no capacity.
-	RefusalFull
-	// RefusalUnavailable means that the engine refused the run although it had capacity, for
+	// RejectionNone means that the engine took the run.
+	RejectionNone Rejection = iota
+	// RejectionFull means that the engine had no capacity.
+	RejectionFull
+	// RejectionUnavailable means that the engine refused the run although it had capacity, for
 	// example during a role change of which no live node has a record.
-	RefusalUnavailable
-	// RefusalFailed means that the engine gave no answer or broke it off.
-	RefusalFailed
+	RejectionUnavailable
+	// RejectionFailed means that the engine gave no answer or broke it off.
+	RejectionFailed
 )
 
 // pause returns how long an engine gets no run after a refusal.
-func (r Refusal) pause() time.Duration {
+func (r Rejection) pause() time.Duration {
 	switch r {
-	case RefusalFull:
+	case RejectionFull:
 		return pauseFull
-	case RefusalUnavailable:
+	case RejectionUnavailable:
 		return pauseUnavailable
 	default:
 		return 0
--- a/coordinator/wire.go
+++ b/coordinator/wire.go
@@ -70,7 +70,7 @@
 func encodeRunResult(result RunResult) *peerpb.EndRun {
 	return &peerpb.EndRun{
 		Service: result.Service, Id: result.ID, DurationMs: result.Duration.Milliseconds(),
-		Refusal: int32(result.Refusal), OutputTokens: int64(result.Output),
+		Refusal: int32(result.Rejection), OutputTokens: int64(result.Output),
 		FirstMs: result.FirstEvent.Milliseconds(), RestTokens: int64(result.RestTokens),
 	}
 }
@@ -78,7 +78,7 @@
 func decodeRunResult(encoded *peerpb.EndRun) RunResult {
 	return RunResult{
 		Service: encoded.GetService(), ID: encoded.GetId(), Duration: peer.Millis(encoded.GetDurationMs()),
-		Refusal: Refusal(encoded.GetRefusal()), Output: int(encoded.GetOutputTokens()),
+		Rejection: Rejection(encoded.GetRefusal()), Output: int(encoded.GetOutputTokens()),
 		FirstEvent: peer.Millis(encoded.GetFirstMs()), RestTokens: int(encoded.GetRestTokens()),
 	}
 }
--- a/coordinator/wire_test.go
+++ b/coordinator/wire_test.go
@@ -14,7 +14,7 @@
 // would never learn it from other nodes.
 func TestRunResultRoundTrip(t *testing.T) {
 	g := NewWithT(t)
-	result := RunResult{Service: "s", ID: "run", Duration: 3500 * time.Millisecond, Output: 640, FirstEvent: 210 * time.Millisecond, RestTokens: 631, Refusal: RefusalFull}
+	result := RunResult{Service: "s", ID: "run", Duration: 3500 * time.Millisecond, Output: 640, FirstEvent: 210 * time.Millisecond, RestTokens: 631, Rejection: RejectionFull}
 	g.Expect(decodeRunResult(encodeRunResult(result))).To(Equal(result))
 }
 
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -45,7 +45,7 @@
 		}
 		err = relayed.relay(ctx, answer, reserved)
 		if err != nil && contextFailure(ctx) == nil && !isReason(err, ReasonCallerLeft) {
-			reserved.refusal = coordinator.RefusalFailed
+			reserved.refusal = coordinator.RejectionFailed
 			x.handler.logWasted(x, reserved.entry.Backend().ID, wasteStreamBroken)
 			x.reportBreak(ctx, reserved.entry, time.Since(reserved.sent))
 		}
@@ -150,7 +150,7 @@
 	if answer.NotRun || answer.Misdirected {
 		_ = answer.Body.Close()
 		if reserved.entry.BackoffRemaining() == 0 {
-			reserved.refusal = coordinator.RefusalUnavailable
+			reserved.refusal = coordinator.RejectionUnavailable
 		}
 		x.keepPrompt(ctx, prompt, wasteDecodeRefused)
 		return nil, &attemptError{failure: notRun(ReasonBackendRefused, rejectedRetryAfter, nil), arrived: true}
@@ -169,7 +169,7 @@
 		return failure
 	}
 	reserved.entry.RecordFailure()
-	reserved.refusal = coordinator.RefusalFailed
+	reserved.refusal = coordinator.RejectionFailed
 	if errors.Is(err, ErrNotSent) {
 		return &attemptError{failure: notRun(ReasonBackendFailed, rejectedRetryAfter, err)}
 	}
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -63,7 +63,7 @@
 			g.Expect(assigning.runID).NotTo(BeEmpty())
 			g.Expect(assigning.ended).To(HaveLen(1))
 			g.Expect(assigning.ended[0].ID).To(Equal(assigning.runID))
-			g.Expect(assigning.ended[0].Refusal).To(Equal(coordinator.RefusalNone))
+			g.Expect(assigning.ended[0].Rejection).To(Equal(coordinator.RejectionNone))
 		})
 	}
 }
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -49,7 +49,7 @@
 	sent   time.Time
 	events int
 	// refusal is why the engine did not accept the run in spite of the reservation.
-	refusal coordinator.Refusal
+	refusal coordinator.Rejection
 	// silence ends the answer of a silent engine; nil if the answer cannot move to another engine.
 	silence *silenceWatch
 	end     func()
@@ -63,7 +63,7 @@
 	if s.run == "" {
 		return
 	}
-	result := coordinator.RunResult{Service: s.exchange.service, ID: s.run, Refusal: s.refusal}
+	result := coordinator.RunResult{Service: s.exchange.service, ID: s.run, Rejection: s.refusal}
 	if complete && events > 0 {
 		result.Duration, result.Output = time.Since(s.reservedAt), events*eventTokens
 		result.FirstEvent, result.RestTokens = s.first, (s.events-1)*eventTokens
@@ -134,7 +134,7 @@
 	assigned, err := x.handler.options.Coordinator.Assign(ctx, request)
 	if failure := contextFailure(ctx); failure != nil {
 		if assigned.Decode != "" {
-			x.endUnused(request.Run.ID, coordinator.RefusalNone)
+			x.endUnused(request.Run.ID, coordinator.RejectionNone)
 		}
 		return nil, failure
 	}
@@ -147,12 +147,12 @@
 	}
 	entry := x.handler.options.Backends.Lookup(assigned.Decode)
 	var reservation *Reservation
-	refusal := coordinator.RefusalFull
+	refusal := coordinator.RejectionFull
 	if entry != nil && entry.TakesWork() && entry.BackoffRemaining() == 0 {
 		reservation, refusal, err = x.reserveAt(ctx, entry, profile, reservationSize{assigned: true, expectedPrefill: assigned.PromptReady})
 	}
 	if err != nil {
-		x.endUnused(request.Run.ID, coordinator.RefusalNone)
+		x.endUnused(request.Run.ID, coordinator.RejectionNone)
 		return nil, err
 	}
 	if reservation == nil {
@@ -168,8 +168,8 @@
 }
 
 // endUnused notifies the coordinator that no run uses the assigned engine.
-func (x *exchange) endUnused(run string, refusal coordinator.Refusal) {
-	x.handler.options.Coordinator.End(coordinator.RunResult{Service: x.service, ID: run, Refusal: refusal})
+func (x *exchange) endUnused(run string, refusal coordinator.Rejection) {
+	x.handler.options.Coordinator.End(coordinator.RunResult{Service: x.service, ID: run, Rejection: refusal})
 }
 
 // noCapacity is the rejection of a request for lack of free capacity.
@@ -209,7 +209,7 @@
 
 // reserveAt requests a reservation from one engine. The result is nil if the engine is full or does not
 // answer; the refusal says which.
-func (x *exchange) reserveAt(ctx context.Context, entry *backend.Entry, profile *routing.EngineProfile, size reservationSize) (*Reservation, coordinator.Refusal, error) {
+func (x *exchange) reserveAt(ctx context.Context, entry *backend.Entry, profile *routing.EngineProfile, size reservationSize) (*Reservation, coordinator.Rejection, error) {
 	policy := &x.handler.options.Policy
 	tokens := min(policy.reservedTokens(x.request.Generation, size.assigned), profile.MemoryTokens)
 	lasting := min(max(policy.ReservationLifetime, prefillLimit(size.expectedPrefill)), profile.MaxReservationTime)
@@ -218,23 +218,23 @@
 	reservation, err := x.handler.options.Dialect.Reserve(callContext, entry.Backend(), tokens, lasting)
 	switch {
 	case ctx.Err() != nil:
-		return nil, coordinator.RefusalNone, contextFailure(ctx)
+		return nil, coordinator.RejectionNone, contextFailure(ctx)
 	case err != nil:
 		entry.RecordFailure()
 		x.handler.options.Metrics.Add("reservation_errors", 1)
-		return nil, coordinator.RefusalFailed, nil
+		return nil, coordinator.RejectionFailed, nil
 	case reservation == nil && entry.BackoffRemaining() > 0:
 		// It has requested backoff from this node only, and may have capacity for others. With a backoff
 		// for all nodes, where engines reject one call in twenty, 0.44 of the streams were in time instead
 		// of 0.59 (four nodes, six engines, 50 streams a second, means of six runs).
 		x.handler.options.Metrics.Add("reservation_refusals", 1)
-		return nil, coordinator.RefusalNone, nil
+		return nil, coordinator.RejectionNone, nil
 	case reservation == nil:
 		entry.MarkFull(fullDuration)
 		x.handler.options.Metrics.Add("reservation_refusals", 1)
-		return nil, coordinator.RefusalFull, nil
+		return nil, coordinator.RejectionFull, nil
 	}
-	return reservation, coordinator.RefusalNone, nil
+	return reservation, coordinator.RejectionNone, nil
 }
 
 // decodeCandidates returns the usable engines in random order.
