--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -311,7 +311,7 @@
 func (c *Client) keepLearned(service string, learned LearnedModel) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if learned.Rate.Answers >= min(minAdoptedAnswers, c.learned[service].Rate.Answers+1) {
+	if learned.Rate.Samples >= min(minAdoptedAnswers, c.learned[service].Rate.Samples+1) {
 		c.learned[service] = learned
 	}
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -227,11 +227,11 @@
 	defer c.mu.Unlock()
 	current := c.state(result.Service)
 	if result.Rejection != RejectionNone {
-		current.decode.Refused(c.options.Now(), result.ID, result.Rejection.pause())
+		current.decode.Rejected(c.options.Now(), result.ID, result.Rejection.pause())
 	}
 	current.prefill.drop(result.ID)
 	current.localPrefill.drop(result.ID)
-	if run, known := current.decode.End(result.ID, ledger.AnswerTiming{FirstEvent: result.FirstEvent, Duration: result.Duration, RestTokens: result.RestTokens}); known {
+	if run, known := current.decode.End(result.ID, ledger.OutputTiming{FirstEvent: result.FirstEvent, Duration: result.Duration, RestTokens: result.RestTokens}); known {
 		current.output.Observe(run.CallerEstimate, result.Output)
 		c.observeOutcome(current, run.Engine, result)
 	}
--- a/coordinator/learned.go
+++ b/coordinator/learned.go
@@ -42,7 +42,7 @@
 func encodeLearned(learned LearnedModel) *peerpb.LearnedModel {
 	return &peerpb.LearnedModel{
 		OutputSamples: int64(learned.Output.Samples), Output: encodeSums(learned.Output.Sums), OutputSquares: learned.Output.Squares,
-		Reading: encodeSums(learned.Prefill), Answers: int64(learned.Rate.Answers),
+		Reading: encodeSums(learned.Prefill), Answers: int64(learned.Rate.Samples),
 		Tokens: learned.Rate.Tokens, Seconds: learned.Rate.Seconds, StartUs: learned.Rate.FirstTokenDelay.Microseconds(),
 	}
 }
@@ -54,7 +54,7 @@
 		},
 		Prefill: decodeSums(encoded.GetReading()),
 		Rate: ledger.LearnedRate{
-			Answers: int(encoded.GetAnswers()), Tokens: encoded.GetTokens(), Seconds: encoded.GetSeconds(),
+			Samples: int(encoded.GetAnswers()), Tokens: encoded.GetTokens(), Seconds: encoded.GetSeconds(),
 			FirstTokenDelay: time.Duration(encoded.GetStartUs()) * time.Microsecond,
 		},
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -152,7 +152,7 @@
 }
 
 // End removes a run and returns it.
-func (l *Ledger) End(id string, answer AnswerTiming) (Run, bool) {
+func (l *Ledger) End(id string, answer OutputTiming) (Run, bool) {
 	run, known := l.runs[id]
 	if !known {
 		return Run{}, false
@@ -164,9 +164,9 @@
 	return run, true
 }
 
-// Refused records that the engine of a run refused it. The engine has information that the ledger
+// Rejected records that the engine of a run refused it. The engine has information that the ledger
 // lacks, so it gets no runs for the given time.
-func (l *Ledger) Refused(now time.Duration, id string, pause time.Duration) {
+func (l *Ledger) Rejected(now time.Duration, id string, pause time.Duration) {
 	if run, known := l.runs[id]; known {
 		l.refusedUntil[run.Engine] = max(l.refusedUntil[run.Engine], now+pause)
 	}
--- a/ledger/names_test.go
+++ b/ledger/names_test.go
@@ -19,7 +19,7 @@
 		_, fits := l.Assign(0, large, nil)
 		g.Expect(fits).To(BeTrue())
 	}
-	l.End("same", ledger.AnswerTiming{})
+	l.End("same", ledger.OutputTiming{})
 	g.Expect(l.Len()).To(BeZero())
 	for _, id := range []string{"first", "second"} {
 		_, fits := l.Assign(time.Second, ledger.Run{ID: id, Prompt: 80_000, Output: 1000}, nil)
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// AnswerTiming is the timing of a complete answer, from which the decode rate is learned. The zero
+// OutputTiming is the timing of a complete answer, from which the decode rate is learned. The zero
 // value is ignored.
-type AnswerTiming struct {
+type OutputTiming struct {
 	// FirstEvent is the time from the assignment to the first event, and Duration the time to the
 	// last one.
 	FirstEvent, Duration time.Duration
@@ -18,7 +18,7 @@
 // learn updates the decode rate and the first-token delay from an answer. The rate is the total of
 // all tokens divided by the total time, weighted towards newer answers: the rate of a single answer
 // is meaningless if its events were held up on the way and arrive at once.
-func (l *Ledger) learn(answer AnswerTiming) {
+func (l *Ledger) learn(answer OutputTiming) {
 	l.answers++
 	l.tokens = (1-rateWeight)*l.tokens + float64(answer.RestTokens)
 	l.seconds = (1-rateWeight)*l.seconds + (answer.Duration - answer.FirstEvent).Seconds()
@@ -30,9 +30,9 @@
 
 // LearnedRate is what a ledger has learned of the speed of answers.
 type LearnedRate struct {
-	// Answers is the number of answers it was learned from; Tokens and Seconds are the weighted
+	// Samples is the number of answers it was learned from; Tokens and Seconds are the weighted
 	// totals of these.
-	Answers         int
+	Samples         int
 	Tokens, Seconds float64
 	// FirstTokenDelay is the time from an assignment to the first token.
 	FirstTokenDelay time.Duration
@@ -40,16 +40,16 @@
 
 // Learned returns what the ledger has learned.
 func (l *Ledger) Learned() LearnedRate {
-	return LearnedRate{Answers: l.answers, Tokens: l.tokens, Seconds: l.seconds, FirstTokenDelay: l.firstTokenDelay}
+	return LearnedRate{Samples: l.answers, Tokens: l.tokens, Seconds: l.seconds, FirstTokenDelay: l.firstTokenDelay}
 }
 
 // Adopt takes over what another ledger has learned, unless this one has learned something itself.
 func (l *Ledger) Adopt(learned LearnedRate) {
 	rate := learned.Tokens / learned.Seconds
-	if l.answers > 0 || learned.Answers <= 0 || !(rate > 0) || math.IsInf(rate, 0) || learned.FirstTokenDelay < 0 {
+	if l.answers > 0 || learned.Samples <= 0 || !(rate > 0) || math.IsInf(rate, 0) || learned.FirstTokenDelay < 0 {
 		return
 	}
-	l.answers, l.tokens, l.seconds, l.firstTokenDelay = learned.Answers, learned.Tokens, learned.Seconds, learned.FirstTokenDelay
+	l.answers, l.tokens, l.seconds, l.firstTokenDelay = learned.Samples, learned.Tokens, learned.Seconds, learned.FirstTokenDelay
 	l.decodeRate = rate
 }
 
--- a/ledger/pace_test.go
+++ b/ledger/pace_test.go
@@ -25,7 +25,7 @@
 			}
 			rest := rapid.IntRange(50, 2000).Draw(t, "tokens")
 			duration := time.Duration(float64(rest) / rate * float64(time.Second))
-			l.End(id, ledger.AnswerTiming{FirstEvent: first, Duration: first + duration, RestTokens: rest})
+			l.End(id, ledger.OutputTiming{FirstEvent: first, Duration: first + duration, RestTokens: rest})
 		}
 		NewWithT(t).Expect(l.DecodeRate()).To(BeNumerically("~", rate, rate/10))
 	})
@@ -40,7 +40,7 @@
 	for i := range 40 {
 		id := strconv.Itoa(i)
 		l.Assign(0, ledger.Run{ID: id, Prompt: 100, Output: 100}, nil)
-		answer := ledger.AnswerTiming{FirstEvent: 100 * time.Millisecond, Duration: 2100 * time.Millisecond, RestTokens: 2 * rate}
+		answer := ledger.OutputTiming{FirstEvent: 100 * time.Millisecond, Duration: 2100 * time.Millisecond, RestTokens: 2 * rate}
 		if i%8 == 3 {
 			answer.Duration = answer.FirstEvent + time.Duration(i)*time.Millisecond
 		}
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -57,7 +57,7 @@
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			for id, run := range runs {
 				if run.ends() <= now {
-					l.End(id, ledger.AnswerTiming{})
+					l.End(id, ledger.OutputTiming{})
 					delete(runs, id)
 				}
 			}
@@ -105,7 +105,7 @@
 	g := NewWithT(t)
 	l := newLedger(2)
 	engine, _ := l.Assign(0, ledger.Run{ID: "a", Prompt: 1, Output: 1}, nil)
-	l.Refused(0, "a", time.Second)
+	l.Rejected(0, "a", time.Second)
 	other, ok := l.Assign(0, ledger.Run{ID: "b", Prompt: 1, Output: 1}, nil)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(other).NotTo(Equal(engine))
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -112,11 +112,11 @@
 
 func (p *coordinatorPolicy) ended(_ *simulation, _ *decodeEngine, finished *request, duration time.Duration, completed bool) {
 	if !completed {
-		p.ledger.End(p.names[finished], ledger.AnswerTiming{})
+		p.ledger.End(p.names[finished], ledger.OutputTiming{})
 		return
 	}
 	// The first event of the simulated runs is assumed to come at assumedFirstEvent.
-	answer := ledger.AnswerTiming{FirstEvent: assumedFirstEvent, Duration: duration, RestTokens: finished.output}
+	answer := ledger.OutputTiming{FirstEvent: assumedFirstEvent, Duration: duration, RestTokens: finished.output}
 	if run, known := p.ledger.End(p.names[finished], answer); known {
 		p.output.Observe(run.CallerEstimate, finished.output)
 	}
