--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -51,7 +51,7 @@
 
 // preferSameZone returns a prefill engine in the zone of the decode engine, if one meets the
 // objective and is ready no more than sameZoneAllowance after the chosen one. The KV cache of a
-// prompt of 5,000 tokens has 100 MB; a transfer between zones takes twice the time and twice the
+// prompt of 5,000 tokens takes 100 MB; a transfer between zones takes twice the time and twice the
 // link capacity.
 func (c *Coordinator) preferSameZone(
 	now time.Duration, current *serviceState, engines Engines, queued *waiter, run ledger.Run, avoid map[string]bool, chosen enginePair,
@@ -105,9 +105,9 @@
 }
 
 // meetsObjective reports whether a prompt that is prefilled after the given time still gives its
-// first token in time. Requests that are late in any case must not make others late. Where the
-// engine could not meet the objective even without a backlog, a late answer is better than none, as
-// long as no other prompt is queued.
+// first token in time. Requests that are late in any case must not make others late. If the engine
+// could not meet the objective even without a backlog, it still gets the prompt while it is idle,
+// because a late response is better than none.
 func (c *Coordinator) meetsObjective(now time.Duration, current *serviceState, queued *waiter, engine string, ready time.Duration) bool {
 	within := queued.request.Objective - c.options.FirstToken
 	idle := current.prefill.backlog(now, engine) == 0
--- a/coordinator/benchmark_test.go
+++ b/coordinator/benchmark_test.go
@@ -24,32 +24,32 @@
 		},
 		Nodes: func() int { return 1 }, Now: func() time.Duration { return now },
 	})
-	chance := rand.New(rand.NewPCG(5, 6))
+	random := rand.New(rand.NewPCG(5, 6))
 	current := busy.state("s")
 	current.decode.SetEngines(all.Decode)
 	for i := 0; ; i++ {
-		if _, given := current.decode.Assign(now, ledger.Run{ID: fmt.Sprint("run", i), Prompt: 3000, Output: 600, Holder: "n"}, nil); !given {
+		if _, assigned := current.decode.Assign(now, ledger.Run{ID: fmt.Sprint("run", i), Prompt: 3000, Output: 600, Holder: "n"}, nil); !assigned {
 			break
 		}
 	}
 	for i := range waiting {
 		request := requestOf(fmt.Sprint("waits", i), time.Second)
-		request.Run.Prompt, request.Run.Output = 2000+chance.IntN(4000), 100+chance.IntN(1000)
+		request.Run.Prompt, request.Run.Output = 2000+random.IntN(4000), 100+random.IntN(1000)
 		current.waiting = append(current.waiting, &waiter{request: request, since: now, assigned: make(chan Assignment, 1)})
 	}
 	return busy
 }
 
-// BenchmarkServe serves the waiting requests once, with the bounds of an ended run and of an
-// interval.
+// BenchmarkServe serves the waiting requests once, with the bound that applies when a run ends, the
+// bound that applies once per interval, and none.
 func BenchmarkServe(b *testing.B) {
 	for _, size := range []struct{ engines, waiting int }{{6, 20}, {60, 100}, {60, 300}} {
-		for name, tries := range map[string]int{"event": attemptsPerEvent, "interval": attemptsPerInterval, "unbounded": size.waiting} {
+		for name, attempts := range map[string]int{"event": attemptsPerEvent, "interval": attemptsPerInterval, "unbounded": size.waiting} {
 			b.Run(fmt.Sprintf("engines=%d/waiting=%d/%s", size.engines, size.waiting, name), func(b *testing.B) {
 				busy := newBusy(size.engines, size.waiting)
 				current := busy.state("s")
 				for b.Loop() {
-					busy.serve("s", current, tries)
+					busy.serve("s", current, attempts)
 				}
 			})
 		}
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// firstAnswerTimeout bounds the time to a coordinator's first answer.
-	firstAnswerTimeout = 60 * time.Millisecond
+	// firstResponseTimeout bounds the wait for a coordinator's first response to a request.
+	firstResponseTimeout = 60 * time.Millisecond
 	// coordinatorCheckInterval is how often a node checks whether the coordinator of a service has
 	// changed.
 	coordinatorCheckInterval = 100 * time.Millisecond
 	// syncInterval is how often a node sends all its runs to a coordinator.
 	syncInterval = time.Second
-	// endTimeout bounds the call that reports a run's end.
+	// endTimeout bounds the calls that report ends of runs, finished prefills and failures, and syncs.
 	endTimeout = 300 * time.Millisecond
 	// missLimit is how many consecutive calls a coordinator may leave unanswered.
 	missLimit = 3
-	// maxCoordinators bounds how many coordinators one request asks.
+	// maxCoordinators bounds how many coordinators are called for one request.
 	maxCoordinators = 2
 )
 
@@ -77,7 +77,7 @@
 	mu sync.Mutex
 	// runs are this node's runs by service and identifier.
 	runs map[string]map[string]ledger.Run
-	// misses counts the calls that a coordinator has left unanswered since its last answer.
+	// misses counts the consecutive unanswered calls to each coordinator.
 	misses map[string]int
 	// lastSync is the last sync with the coordinator of each service.
 	lastSync map[string]syncRecord
@@ -106,7 +106,7 @@
 			c.answered(node.Address)
 			return assignment, nil
 		}
-		// The coordinator may have assigned engines although its answer did not arrive.
+		// The coordinator may have assigned engines although its response did not arrive.
 		c.notifyEnd(node.Address, RunResult{Service: request.Service, ID: request.Run.ID})
 		if ctx.Err() != nil {
 			return Assignment{}, ctx.Err()
@@ -128,12 +128,13 @@
 // Own returns the address of this node.
 func (c *Client) Own() string { return c.fleet.Own() }
 
-// Answered records the answer of a coordinator to a call on which no request waits.
+// Answered records that a coordinator answered a call on which no request waits.
 func (c *Client) Answered(address string) { c.answered(address) }
 
-// Missed records that a coordinator did not answer such a call. Its timeout is so much longer than
-// that of a request's first answer that the node is verified at once: in a large fleet a node
-// requests engines only once in some seconds, so three missed calls would take too long.
+// Missed records that a coordinator did not answer such a call. The timeout of these calls is much
+// longer than firstResponseTimeout, so that one miss is enough to verify the node: in a large fleet
+// a node requests engines only once in several seconds, and missLimit missed calls would take too
+// long.
 func (c *Client) Missed(address string, err error) { c.fleet.Unresponsive(address, err) }
 
 // missed records an unanswered call and reports whether the coordinator may merely be slow. A new
@@ -180,12 +181,12 @@
 		return c.local.Assign(ctx, &request), nil
 	}
 	request.Probe = request.Wait > 0
-	assignment, err := c.call(ctx, node.Address, &request, firstAnswerTimeout)
+	assignment, err := c.call(ctx, node.Address, &request, firstResponseTimeout)
 	if err != nil || assignment.Decode != "" || assignment.RetryAfter > 0 || !request.Probe {
 		return assignment, err
 	}
 	request.Probe, request.AfterProbe = false, true
-	return c.call(ctx, node.Address, &request, request.Wait+firstAnswerTimeout)
+	return c.call(ctx, node.Address, &request, request.Wait+firstResponseTimeout)
 }
 
 func (c *Client) call(ctx context.Context, address string, request *Request, timeout time.Duration) (Assignment, error) {
@@ -197,12 +198,12 @@
 	if err != nil {
 		return Assignment{}, err
 	}
-	answer := response.GetAssignment()
+	assigned := response.GetAssignment()
 	return Assignment{
-		Decode: answer.GetDecodeEngine(), Prefill: answer.GetPrefillEngine(),
-		RetryAfter: peer.Millis(answer.GetRetryAfterMs()), ShortRole: answer.GetShort(),
-		Output: int(answer.GetOutputTokens()), PromptReady: peer.Millis(answer.GetPromptReadyMs()),
-		LocalPrefill: answer.GetReadsItself(),
+		Decode: assigned.GetDecodeEngine(), Prefill: assigned.GetPrefillEngine(),
+		RetryAfter: peer.Millis(assigned.GetRetryAfterMs()), ShortRole: assigned.GetShort(),
+		Output: int(assigned.GetOutputTokens()), PromptReady: peer.Millis(assigned.GetPromptReadyMs()),
+		LocalPrefill: assigned.GetReadsItself(),
 	}, nil
 }
 
@@ -220,9 +221,9 @@
 	c.runs[request.Service][run.ID] = run
 }
 
-// Run sends this node's runs to their coordinators, at once to a new coordinator and at intervals
-// otherwise, until the context ends. The sync repairs lost messages about assignments and ends of
-// runs.
+// Run sends this node's runs to their coordinators, at once to a new coordinator and otherwise at
+// intervals, until the context ends. The sync makes up for lost messages about assignments and ends
+// of runs.
 func (c *Client) Run(ctx context.Context) {
 	periodic.Run(ctx, coordinatorCheckInterval, func(ctx context.Context) {
 		for _, service := range c.fleet.Services() {
@@ -303,20 +304,20 @@
 	c.keepLearned(service, c.local.Learned(service))
 }
 
-// minAdoptedAnswers is how many answers a coordinator must have seen before its model replaces one
-// that a previous coordinator learned from more.
-const minAdoptedAnswers = 50
+// minAdoptedSamples is how many complete outputs a coordinator must have learned from before its
+// model replaces one that a previous coordinator learned from more.
+const minAdoptedSamples = 50
 
 // keepLearned stores what the coordinator of a service has learned, for the next coordinator.
 func (c *Client) keepLearned(service string, learned LearnedModel) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if learned.Rate.Samples >= min(minAdoptedAnswers, c.learned[service].Rate.Samples+1) {
+	if learned.Rate.Samples >= min(minAdoptedSamples, c.learned[service].Rate.Samples+1) {
 		c.learned[service] = learned
 	}
 }
 
-// End reports the end of a run to its coordinator without waiting for the answer.
+// End reports the end of a run to its coordinator without waiting for the response.
 func (c *Client) End(result RunResult) {
 	c.mu.Lock()
 	delete(c.runs[result.Service], result.ID)
@@ -336,7 +337,7 @@
 }
 
 // PrefillDone reports to the coordinator that an engine has prefilled a run's prompt, without
-// waiting for the answer.
+// waiting for the response.
 func (c *Client) PrefillDone(service, id, engine string) {
 	node, found := c.coordinator(service)
 	switch {
@@ -350,7 +351,7 @@
 	}
 }
 
-// EngineFailed reports an engine failure that did not end a run, without waiting for the answer.
+// EngineFailed reports an engine failure that did not end a run, without waiting for the response.
 func (c *Client) EngineFailed(failure EngineFailure) {
 	node, found := c.coordinator(failure.Service)
 	switch {
@@ -364,7 +365,7 @@
 	}
 }
 
-// notify calls a node without waiting for its answer.
+// notify calls a node without waiting for its response.
 func (c *Client) notify(address string, request *peerpb.Request) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -61,8 +61,8 @@
 	// and 100 waiting requests missed 231 calls in one burst.
 	attemptsPerEvent    = 6
 	attemptsPerInterval = 48
-	// recentPrefillWindow is the time after a finished prefill in which another prompt without an
-	// answer does not count as a failure of the engine: about the time that the longest prompts
+	// recentPrefillWindow is the time after a finished prefill in which the timeout of another
+	// prompt does not count as a failure of the engine: about the time that the longest prompts
 	// take.
 	recentPrefillWindow = 500 * time.Millisecond
 	// initialLocalPrefillFactor is the initial estimate of how much longer a prefill takes on a
@@ -93,7 +93,7 @@
 	// health tracks the engines that failed recently.
 	health  engineHealth
 	waiting []*waiter
-	// output estimates the lengths of answers.
+	// output estimates the output lengths of runs.
 	output estimate.OutputLength
 	// retries spreads client retries over time.
 	retries retrySchedule
@@ -132,8 +132,8 @@
 	return &Coordinator{options: options, services: map[string]*serviceState{}}
 }
 
-// Assign gives engines to a request, or returns when capacity is expected. It refuses a request at
-// once that cannot get engines in time.
+// Assign gives engines to a request, or returns when capacity is expected. A request that cannot
+// get engines in time is rejected at once.
 func (c *Coordinator) Assign(ctx context.Context, request *Request) Assignment {
 	queued := c.enqueue(request)
 	until := time.NewTimer(queued.maxWait)
@@ -211,7 +211,7 @@
 	return Assignment{RetryAfter: c.retryAfter(now, current, cancelled.request), ShortRole: string(current.shortRole)}
 }
 
-// retryAfter returns when a refused client should retry.
+// retryAfter returns the time until a rejected client should retry.
 func (c *Coordinator) retryAfter(now time.Duration, current *serviceState, request *Request) time.Duration {
 	load := current.load(now, &waiter{request: request, since: now})
 	wait := load.expectedWait(true)
@@ -245,7 +245,7 @@
 	case result.Rejection == RejectionFailed:
 		current.health.failed(c.options.Now(), engine)
 	case result.Output > 0:
-		current.health.answered(engine)
+		current.health.succeeded(engine)
 	}
 }
 
@@ -286,7 +286,7 @@
 	current := c.state(service)
 	current.prefill.complete(c.options.Now(), id, engine)
 	current.localPrefill.complete(c.options.Now(), id, engine)
-	current.health.answered(engine)
+	current.health.succeeded(engine)
 	if current.shortRole == backend.RolePrefill {
 		c.serve(service, current, attemptsPerEvent)
 	}
--- a/coordinator/demand.go
+++ b/coordinator/demand.go
@@ -71,8 +71,8 @@
 	return Demand{Prefill: m.smoothed.Prefill * kept, Decode: m.smoothed.Decode * kept}
 }
 
-// countDemand counts a request that was given engines or finally refused. A request that was
-// refused before is not counted again.
+// countDemand counts a request that was given engines or finally rejected. A client retry is not
+// counted again.
 func (c *Coordinator) countDemand(now time.Duration, current *serviceState, request *Request) {
 	if request.Late {
 		return
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -4,7 +4,7 @@
 // twice, and keeps one queue of requests for which no capacity is free.
 //
 // It learns from the reports of all nodes: the duration of prefills, the decode
-// rate, the lengths of answers, and which engines fail. It learns the
+// rate, the lengths of outputs, and which engines fail. It learns the
 // properties of a deployment within seconds; the constants with initial
 // estimates stand beside the models that replace them.
 //
@@ -14,8 +14,9 @@
 // demand, and retries.go schedules client retries.
 //
 // Nothing is persisted. A node sends all its runs to a coordinator that is new
-// to it. Two coordinators at the same time may assign more than there is; the
-// engines then refuse the excess. A node does not wait for a coordinator that
-// does not answer at once: it chooses engines for the request itself, and asks
-// the next candidate once the coordinator counts as unresponsive.
+// to it. Two coordinators at the same time may assign more capacity than there
+// is; the engines then reject the excess. A node does not wait for a
+// coordinator that does not answer at once: it chooses engines for the request
+// itself, and calls the next candidate once the coordinator counts as
+// unresponsive.
 package coordinator
--- a/coordinator/fill_test.go
+++ b/coordinator/fill_test.go
@@ -22,16 +22,16 @@
 		Nodes: func() int { return 1 }, Now: func() time.Duration { return now },
 	})
 	demand, _ := coordinator.Demand("s")
-	g.Expect(demand.DecodeUtilization).To(BeZero(), "not seen yet")
-	given := 0
+	g.Expect(demand.DecodeUtilization).To(BeZero(), "not observed yet")
+	assigned := 0
 	for i := range 40 {
 		run := ledger.Run{ID: fmt.Sprint("run", i), Prompt: 3000, Output: 1, MaxOutput: 1, Holder: "node"}
 		if coordinator.Assign(t.Context(), &Request{Service: "s", Objective: 10 * time.Second, Run: run}).Decode != "" {
-			given++
+			assigned++
 		}
 		now += 10 * time.Millisecond
 	}
-	g.Expect(given).To(Equal(3))
+	g.Expect(assigned).To(Equal(3))
 	demand, _ = coordinator.Demand("s")
 	g.Expect(demand.DecodeUtilization).To(BeNumerically("~", 0.9, 0.01))
 }
--- a/coordinator/health.go
+++ b/coordinator/health.go
@@ -42,7 +42,7 @@
 	return h.share(now, engine) <= maxFailureShare
 }
 
-// failed records that an engine gave no answer or broke one off.
+// failed records that an engine gave no response or broke off its output.
 func (h *engineHealth) failed(now time.Duration, engine string) {
 	if h.engines == nil {
 		h.engines = map[string]failureRecord{}
@@ -51,8 +51,8 @@
 	h.engines[engine] = failureRecord{share: share + outcomeWeight*(1-share), at: now}
 }
 
-// answered records a success of an engine.
-func (h *engineHealth) answered(engine string) {
+// succeeded records a success of an engine.
+func (h *engineHealth) succeeded(engine string) {
 	known, seen := h.engines[engine]
 	if !seen {
 		return
--- a/coordinator/health_test.go
+++ b/coordinator/health_test.go
@@ -9,7 +9,7 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// TestOccasionalFailuresKeepEngineInUse lets a fifth of an engine's answers fail.
+// TestOccasionalFailuresKeepEngineInUse lets a fifth of an engine's runs fail.
 func TestOccasionalFailuresKeepEngineInUse(t *testing.T) {
 	g := NewWithT(t)
 	var health engineHealth
@@ -18,13 +18,13 @@
 		if i%5 == 0 {
 			health.failed(now, "e")
 		} else {
-			health.answered("e")
+			health.succeeded("e")
 		}
 		g.Expect(health.healthy(now, "e")).To(BeTrue(), "outcome %d", i)
 	}
 }
 
-// TestFailingEngineIsRetried lets every answer of an engine fail.
+// TestFailingEngineIsRetried lets every run of an engine fail.
 func TestFailingEngineIsRetried(t *testing.T) {
 	g := NewWithT(t)
 	var health engineHealth
@@ -37,8 +37,8 @@
 	}
 	g.Expect(attempts).To(BeNumerically(">=", 5))
 	g.Expect(attempts).To(BeNumerically("<=", 30))
-	health.answered("e")
-	health.answered("e")
+	health.succeeded("e")
+	health.succeeded("e")
 	g.Expect(health.healthy(10*time.Second, "e")).To(BeTrue())
 }
 
@@ -62,12 +62,12 @@
 	}
 	first, second := assign("one"), assign("two")
 	g.Expect(first.Prefill).NotTo(Equal(second.Prefill))
-	readByBusy := "one"
+	prefilledByBusy := "one"
 	if first.Prefill == "dark" {
-		readByBusy = "two"
+		prefilledByBusy = "two"
 	}
 	now += 200 * time.Millisecond
-	shared.PrefillDone("s", readByBusy, "busy")
+	shared.PrefillDone("s", prefilledByBusy, "busy")
 	for range 5 {
 		shared.EngineFailed(EngineFailure{Service: "s", Engine: "busy", TimedOut: true})
 		shared.EngineFailed(EngineFailure{Service: "s", Engine: "dark", TimedOut: true})
--- a/coordinator/learned.go
+++ b/coordinator/learned.go
@@ -10,7 +10,7 @@
 
 // LearnedModel is what a coordinator has learned of a service. All nodes store it, and the first
 // that syncs with a new coordinator passes it on. Otherwise the new coordinator would use initial
-// estimates until dozens of answers have ended, and would overfill or underfill the engines' memory
+// estimates until dozens of runs have ended, and would overfill or underfill the engines' memory
 // for several seconds.
 type LearnedModel struct {
 	Output  estimate.LearnedOutput
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -9,7 +9,8 @@
 const (
 	// pauseFull is how long an engine without capacity gets no run.
 	pauseFull = 120 * time.Millisecond
-	// pauseUnavailable is how long an engine gets no run after it had capacity and refused one.
+	// pauseUnavailable is how long an engine gets no run after it rejected one although it had
+	// capacity.
 	pauseUnavailable = 2 * time.Second
 )
 
@@ -17,7 +18,7 @@
 type Request struct {
 	Service string
 	Run     ledger.Run
-	// Wait is how long the request may wait for engines. A first attempt waits no longer than it
+	// Wait is how long the request may wait for engines. A first attempt waits only as long as it
 	// can still meet the objective.
 	Wait time.Duration
 	// Objective is the time in which the first token is due. A prompt that would be queued too long
@@ -27,7 +28,7 @@
 	// wait, and Wait is how long it will wait when repeated. AfterProbe is set in that repetition.
 	Probe, AfterProbe bool
 	// Late is set for a request that misses its objective in any case: a client retry after a
-	// refusal, or the rest of an interrupted stream.
+	// rejection, or the rest of an interrupted stream.
 	Late bool
 	// TenantPriority is the priority of the tenant, and Priority that of the route, which orders
 	// requests of equal tenant priority; 0 is the highest.
@@ -38,7 +39,7 @@
 	Avoid []string
 }
 
-// Assignment answers a Request.
+// Assignment is the response to a Request.
 type Assignment struct {
 	// Decode and Prefill name the engines; they are empty if no capacity is free.
 	Decode  string
@@ -59,11 +60,11 @@
 type RunResult struct {
 	Service string
 	ID      string
-	// Duration is the duration of a complete answer, otherwise zero.
+	// Duration is the duration of a run with complete output, otherwise zero.
 	Duration time.Duration
-	// Output is the number of tokens of a complete answer.
+	// Output is the number of tokens of a complete output.
 	Output int
-	// FirstEvent is the time to the first event of a complete answer, and RestTokens is the number
+	// FirstEvent is the time to the first event of a complete output, and RestTokens is the number
 	// of tokens after that event.
 	FirstEvent time.Duration
 	RestTokens int
@@ -75,29 +76,29 @@
 type EngineFailure struct {
 	Service string
 	Engine  string
-	// ID names the run whose prompt the engine did not prefill.
+	// ID identifies the run whose prompt the engine did not prefill.
 	ID string
 	// TimedOut is set if the engine did not answer in time; it may only be busy.
 	TimedOut bool
 }
 
-// Rejection is how an engine refused or failed a run.
+// Rejection is how an engine rejected or failed a run.
 type Rejection int32
 
-// Kinds of refusals.
+// Kinds of rejections.
 const (
-	// RejectionNone means that the engine took the run.
+	// RejectionNone means that the engine accepted the run.
 	RejectionNone Rejection = iota
 	// RejectionFull means that the engine had no capacity.
 	RejectionFull
-	// RejectionUnavailable means that the engine refused the run although it had capacity, for
+	// RejectionUnavailable means that the engine rejected the run although it had capacity, for
 	// example during a role change of which no live node has a record.
 	RejectionUnavailable
-	// RejectionFailed means that the engine gave no answer or broke it off.
+	// RejectionFailed means that the engine gave no response or broke off its output.
 	RejectionFailed
 )
 
-// pause returns how long an engine gets no run after a refusal.
+// pause returns how long an engine gets no run after a rejection.
 func (r Rejection) pause() time.Duration {
 	switch r {
 	case RejectionFull:
--- a/coordinator/overflow_test.go
+++ b/coordinator/overflow_test.go
@@ -49,20 +49,20 @@
 	localPrefills := 0
 	for i := range 40 {
 		id := strconv.Itoa(i)
-		given := behind.Assign(t.Context(), requestOf(id, 0))
-		if !given.LocalPrefill {
+		assigned := behind.Assign(t.Context(), requestOf(id, 0))
+		if !assigned.LocalPrefill {
 			continue
 		}
 		localPrefills++
 		g.Expect(behind.state("s").decode.MemoryShare(now)).To(BeNumerically("<", localPrefillMemoryShare+0.1))
-		behind.PrefillDone("s", id, given.Decode)
+		behind.PrefillDone("s", id, assigned.Decode)
 	}
 	g.Expect(localPrefills).To(BeNumerically(">", 0))
 	g.Expect(behind.state("s").decode.MemoryShare(now)).To(BeNumerically("<", localPrefillMemoryShare+0.1))
 }
 
 // TestDemandFollowsTheRequests sends requests at a steady rate, and expects the demand that follows
-// from prefill times and memory. A request that was refused before is not counted again.
+// from prefill times and memory. Client retries are not counted.
 func TestDemandFollowsTheRequests(t *testing.T) {
 	g := NewWithT(t)
 	const (
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -17,7 +17,7 @@
 )
 
 // overloadReplay requests about twice as many runs as end from a coordinator of 60 decode engines.
-// A refused client retries once.
+// A rejected client retries once.
 type overloadReplay struct {
 	coordinator *Coordinator
 	listings    int
@@ -35,11 +35,11 @@
 }
 
 type overloadCounts struct {
-	asked, assigned, late int
-	// othersAsked and othersAssigned count the requests of all tenants but the hot one.
-	othersAsked, othersAssigned int
-	// refused is how long each refused request was held.
-	refused []time.Duration
+	sent, assigned, late int
+	// othersSent and othersAssigned count the requests of all tenants but the hot one.
+	othersSent, othersAssigned int
+	// rejected is how long each rejected request was held.
+	rejected []time.Duration
 	// maxWaiting is the maximum number of waiting requests.
 	maxWaiting int
 }
@@ -94,13 +94,13 @@
 
 // sampleOf returns a sample of the engines, as the registry of a much larger fleet would.
 func sampleOf(all Engines, random *rand.Rand) Engines {
-	const drawn = 8
-	var few Engines
-	for range drawn {
-		few.Decode = append(few.Decode, all.Decode[random.IntN(len(all.Decode))])
-		few.Prefill = append(few.Prefill, all.Prefill[random.IntN(len(all.Prefill))])
+	const sampleSize = 8
+	var sample Engines
+	for range sampleSize {
+		sample.Decode = append(sample.Decode, all.Decode[random.IntN(len(all.Decode))])
+		sample.Prefill = append(sample.Prefill, all.Prefill[random.IntN(len(all.Prefill))])
 	}
-	return few
+	return sample
 }
 
 // play sends requests until the end, and waits until all are answered.
@@ -133,36 +133,36 @@
 		request.Wait = replayRetryWait
 	}
 	began := time.Now()
-	given := r.coordinator.Assign(ctx.Context(), request)
-	r.record(late, hot, given, time.Since(began))
-	if given.Decode != "" {
-		r.serve(run, given)
+	assignment := r.coordinator.Assign(ctx.Context(), request)
+	r.record(late, hot, assignment, time.Since(began))
+	if assignment.Decode != "" {
+		r.serve(run, assignment)
 		return
 	}
 	if !late {
-		time.Sleep(min(given.RetryAfter, 4500*time.Millisecond))
+		time.Sleep(min(assignment.RetryAfter, 4500*time.Millisecond))
 		run.ID += "again"
 		r.ask(ctx, run, true, hot)
 	}
 }
 
-func (r *overloadReplay) record(late, hot bool, given Assignment, held time.Duration) {
+func (r *overloadReplay) record(late, hot bool, assignment Assignment, held time.Duration) {
 	waiting := r.coordinator.State("s").Waiting
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.maxWaiting = max(r.counts.maxWaiting, waiting)
 	if !late {
-		r.counts.asked++
+		r.counts.sent++
 	}
 	if !late && !hot {
-		r.counts.othersAsked++
-		if given.Decode != "" {
+		r.counts.othersSent++
+		if assignment.Decode != "" {
 			r.counts.othersAssigned++
 		}
 	}
 	switch {
-	case given.Decode == "":
-		r.counts.refused = append(r.counts.refused, held)
+	case assignment.Decode == "":
+		r.counts.rejected = append(r.counts.rejected, held)
 	case late:
 		r.counts.late++
 	default:
@@ -170,13 +170,13 @@
 	}
 }
 
-// serve simulates the prefill and the answer.
-func (r *overloadReplay) serve(run ledger.Run, given Assignment) {
+// serve simulates the prefill and the decoding.
+func (r *overloadReplay) serve(run ledger.Run, assignment Assignment) {
 	began := time.Now()
-	time.Sleep(given.PromptReady)
-	r.coordinator.PrefillDone("s", run.ID, given.Prefill)
+	time.Sleep(assignment.PromptReady)
+	r.coordinator.PrefillDone("s", run.ID, assignment.Prefill)
 	time.Sleep(time.Duration(run.Output) * 5 * time.Millisecond)
-	first := given.PromptReady + 50*time.Millisecond
+	first := assignment.PromptReady + 50*time.Millisecond
 	r.coordinator.End(RunResult{
 		Service: "s", ID: run.ID, Duration: time.Since(began), Output: run.Output, FirstEvent: first, RestTokens: run.Output - 1,
 	})
@@ -190,25 +190,25 @@
 	return sorted[int(share*float64(len(sorted)-1))]
 }
 
-// TestOverloadIsRefusedAtOnce replays a burst of 12 s at about twice the rate at which runs end.
-// Requests that cannot be served in time must be refused at once. Without predicted waits, half of
-// the refused requests had been held for 754 ms and a tenth for 2.7 s, and up to 643 waited at a
+// TestOverloadIsRejectedAtOnce replays a burst of 12 s at about twice the rate at which runs end.
+// Requests that cannot be served in time must be rejected at once. Without predicted waits, half of
+// the rejected requests had been held for 754 ms and a tenth for 2.7 s, and up to 643 waited at a
 // time.
-func TestOverloadIsRefusedAtOnce(t *testing.T) {
+func TestOverloadIsRejectedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		replayed := newOverloadReplay(false)
 		counts := replayed.play(t)
-		t.Logf("asked %d, assigned %d, late %d, refused %d", counts.asked, counts.assigned, counts.late, len(counts.refused))
-		t.Logf("held p50 %v p90 %v, at most %d waiting, %d listings", quantileOf(counts.refused, 0.5), quantileOf(counts.refused, 0.9), counts.maxWaiting, replayed.listings)
-		g.Expect(quantileOf(counts.refused, 0.9)).To(BeNumerically("<", 100*time.Millisecond))
+		t.Logf("sent %d, assigned %d, late %d, rejected %d", counts.sent, counts.assigned, counts.late, len(counts.rejected))
+		t.Logf("held p50 %v p90 %v, at most %d waiting, %d listings", quantileOf(counts.rejected, 0.5), quantileOf(counts.rejected, 0.9), counts.maxWaiting, replayed.listings)
+		g.Expect(quantileOf(counts.rejected, 0.9)).To(BeNumerically("<", 100*time.Millisecond))
 		g.Expect(counts.maxWaiting).To(BeNumerically("<", 250))
 		g.Expect(counts.assigned).To(BeNumerically(">", 2900), "without a prediction 3,023")
 	})
 }
 
 // TestOverloadWithShortlist replays the first seconds of the burst with a shortlist, and with a
-// seventh of all engines lost at once. Requests must wait, be refused and be assigned as without a
+// seventh of all engines lost at once. Requests must wait, be rejected and be assigned as without a
 // shortlist.
 func TestOverloadWithShortlist(t *testing.T) {
 	const end = 11 * time.Second
@@ -219,15 +219,15 @@
 			replayed.losesEngines, replayed.end = true, end
 			return replayed.play(t), replayed.listings
 		}
-		byAll, listingsByAll := play(false)
-		byFew, listingsByFew := play(true)
+		withoutShortlist, listingsWithout := play(false)
+		withShortlist, listingsWith := play(true)
 		t.Logf("assigned %d without shortlist, %d with it; late %d, %d; listings %d, %d",
-			byAll.assigned, byFew.assigned, byAll.late, byFew.late, listingsByAll, listingsByFew)
-		g.Expect(byFew.assigned).To(BeNumerically(">", byAll.assigned*97/100))
-		g.Expect(byFew.late).To(BeNumerically(">", byAll.late*90/100))
-		g.Expect(quantileOf(byFew.refused, 0.9)).To(BeNumerically("<", 100*time.Millisecond), "refused at once")
-		g.Expect(byFew.maxWaiting).To(BeNumerically("<", 250))
-		g.Expect(listingsByFew).To(BeNumerically("<=", listingsByAll))
+			withoutShortlist.assigned, withShortlist.assigned, withoutShortlist.late, withShortlist.late, listingsWithout, listingsWith)
+		g.Expect(withShortlist.assigned).To(BeNumerically(">", withoutShortlist.assigned*97/100))
+		g.Expect(withShortlist.late).To(BeNumerically(">", withoutShortlist.late*90/100))
+		g.Expect(quantileOf(withShortlist.rejected, 0.9)).To(BeNumerically("<", 100*time.Millisecond), "rejected at once")
+		g.Expect(withShortlist.maxWaiting).To(BeNumerically("<", 250))
+		g.Expect(listingsWith).To(BeNumerically("<=", listingsWithout))
 	})
 }
 
@@ -239,7 +239,7 @@
 			replayed := newOverloadReplay(false)
 			replayed.hotAboveRate, replayed.marked = replayBaseRate, marked
 			counts := replayed.play(t)
-			share = float64(counts.othersAssigned) / float64(counts.othersAsked)
+			share = float64(counts.othersAssigned) / float64(counts.othersSent)
 		})
 		return share
 	}
--- a/coordinator/queue.go
+++ b/coordinator/queue.go
@@ -10,13 +10,13 @@
 	// minRetryShare is the minimum share of the capacity that retries are expected to get, even
 	// while first attempts alone exceed the completions: most bursts end within the 2 to 4 s for
 	// which a retry may wait. With 0.02, 0.019 of the streams of five simulated days with faults
-	// were refused in the end; with 0.3, 0.011 were (nine engines, three seeds).
+	// were rejected in the end; with 0.3, 0.011 were (nine engines, three seeds).
 	minRetryShare = 0.3
 )
 
-// queueLoad is the load that a request finds that does not fit: the number of requests before it,
-// and the rates at which capacity is freed and requested. It guards against a load far above the
-// engines' capacity: without a bound, requests wait until their time is over and are refused
+// queueLoad is the load ahead of a request that does not fit: the number of requests before it, and
+// the rates at which capacity is freed and requested. It guards against a load far above the
+// engines' capacity: without a bound, requests wait until their time is over and are rejected
 // anyway, while the coordinator is busy with the queue.
 type queueLoad struct {
 	// firstAttempts and retries are the numbers of waiting requests.
@@ -27,8 +27,8 @@
 	known bool
 }
 
-// expectedWait returns the expected wait for engines. First attempts go first, so that retries get
-// only the capacity that these leave.
+// expectedWait returns the expected wait for engines. First attempts are served first, so retries
+// get only the remaining capacity.
 func (l queueLoad) expectedWait(late bool) time.Duration {
 	rate, before := l.completions, l.firstAttempts
 	if late {
@@ -43,8 +43,8 @@
 	return l.known && l.expectedWait(late) > maxWait
 }
 
-// load returns the load that a request finds; the lock is held. Requests that are served after it
-// do not count.
+// load returns the load ahead of a request; the lock is held. Requests that are served after it do
+// not count.
 func (s *serviceState) load(now time.Duration, arrived *waiter) queueLoad {
 	found := queueLoad{completions: s.completions.perSecond(now), arrivals: s.arrivals.perSecond(now)}
 	found.known = s.completions.events >= minCompletions && found.completions >= minCompletionRate
--- a/coordinator/retries.go
+++ b/coordinator/retries.go
@@ -12,7 +12,7 @@
 	maxRetryAfter = 5 * time.Second
 )
 
-// retrySchedule gives each refused client a time to retry, so that retries do not arrive faster
+// retrySchedule gives each rejected client a time to retry, so that retries do not arrive faster
 // than runs end.
 type retrySchedule struct {
 	// scheduledUntil is the time up to which retries are scheduled.
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -33,7 +33,7 @@
 
 // serve gives engines to waiting requests, first attempts first, then by priority and in the order
 // of arrival; the lock is held. First attempts can still meet their objective, while a retry after
-// a refusal is late in any case. A request that does not fit lets smaller ones pass. After the
+// a rejection is late in any case. A request that does not fit lets smaller ones pass. After the
 // given number of failed attempts, the others are left for the next interval: each attempt checks
 // all engines, and a coordinator that is busy with that misses calls.
 func (c *Coordinator) serve(service string, current *serviceState, attempts int) {
@@ -119,7 +119,7 @@
 	)
 }
 
-// trueLast compares two booleans; false comes first.
+// trueLast compares two booleans; false is less than true.
 func trueLast(a, b bool) int {
 	switch {
 	case a == b:
--- a/coordinator/shortlist_test.go
+++ b/coordinator/shortlist_test.go
@@ -40,13 +40,13 @@
 
 // shortlist draws some engines, possibly with duplicates, as a registry does.
 func (m *manyEngines) shortlist(string, string) Engines {
-	const drawn = 48
-	var few Engines
-	for range drawn {
-		few.Decode = append(few.Decode, m.all.Decode[m.random.IntN(len(m.all.Decode))])
-		few.Prefill = append(few.Prefill, m.all.Prefill[m.random.IntN(len(m.all.Prefill))])
+	const sampleSize = 48
+	var sample Engines
+	for range sampleSize {
+		sample.Decode = append(sample.Decode, m.all.Decode[m.random.IntN(len(m.all.Decode))])
+		sample.Prefill = append(sample.Prefill, m.all.Prefill[m.random.IntN(len(m.all.Prefill))])
 	}
-	return few
+	return sample
 }
 
 // newCoordinator returns a coordinator that tries a shortlist first, or always all engines.
@@ -85,9 +85,10 @@
 
 const fillingRequests = 2000
 
-// fillService assigns runs to a large service and ends as many once the given number is under way.
-// It returns the number of refused runs, and the load of the fullest engine relative to the mean.
-func fillService(t *testing.T, shortlist bool, underWay int) (refused int, fullest float64) {
+// fillService assigns runs to a large service and ends random ones so that at most maxRunning
+// remain. It returns the number of rejected runs, and the load of the fullest engine relative to the
+// mean.
+func fillService(t *testing.T, shortlist bool, maxRunning int) (rejected int, fullest float64) {
 	t.Helper()
 	const requests = fillingRequests
 	many := newManyEngines(150, 60)
@@ -101,12 +102,12 @@
 		request := requestOf(id, 0)
 		request.Run.Prompt, request.Run.Output = 2000+random.IntN(6000), 50+random.IntN(100)
 		if filling.Assign(t.Context(), request).Decode == "" {
-			refused++
+			rejected++
 		} else {
 			running = append(running, id)
 			filling.PrefillDone("s", id, "")
 		}
-		for len(running) > underWay {
+		for len(running) > maxRunning {
 			at := random.IntN(len(running))
 			filling.End(RunResult{Service: "s", ID: running[at]})
 			running = slices.Delete(running, at, at+1)
@@ -116,20 +117,20 @@
 	for _, count := range counts {
 		most = max(most, count)
 	}
-	return refused, float64(most) / (float64(len(running)) / float64(len(many.all.Decode)))
+	return rejected, float64(most) / (float64(len(running)) / float64(len(many.all.Decode)))
 }
 
 // TestShortlistMatchesFullChoice fills a large service to a half and completely, with and without a
 // shortlist. Both must use the whole capacity, because all engines are tried if none of the
 // shortlist has capacity.
 func TestShortlistMatchesFullChoice(t *testing.T) {
-	for _, underWay := range []int{600, 1800} {
+	for _, maxRunning := range []int{600, 1800} {
 		g := NewWithT(t)
-		refusedByAll, fullestByAll := fillService(t, false, underWay)
-		refused, fullest := fillService(t, true, underWay)
-		t.Logf("%d under way: refused %d without shortlist, %d with it; fullest %.2f and %.2f of the mean",
-			underWay, refusedByAll, refused, fullestByAll, fullest)
-		g.Expect(refused).To(BeNumerically("<=", refusedByAll+fillingRequests/100))
-		g.Expect(fullest).To(BeNumerically("<", fullestByAll+0.5))
+		rejectedWithout, fullestWithout := fillService(t, false, maxRunning)
+		rejected, fullest := fillService(t, true, maxRunning)
+		t.Logf("%d running: rejected %d without shortlist, %d with it; fullest %.2f and %.2f of the mean",
+			maxRunning, rejectedWithout, rejected, fullestWithout, fullest)
+		g.Expect(rejected).To(BeNumerically("<=", rejectedWithout+fillingRequests/100))
+		g.Expect(fullest).To(BeNumerically("<", fullestWithout+0.5))
 	}
 }
--- a/coordinator/waiting_test.go
+++ b/coordinator/waiting_test.go
@@ -68,21 +68,21 @@
 		listings := 0
 		full := newFull(&listings)
 		full.Assign(t.Context(), requestOf("first", 0))
-		given := make(chan string, 3)
+		assigned := make(chan string, 3)
 		for _, id := range []string{"early", "middle", "late"} {
 			go func() {
 				if full.Assign(t.Context(), requestOf(id, time.Second)).Decode != "" {
-					given <- id
+					assigned <- id
 				}
 			}()
 			time.Sleep(15 * time.Millisecond)
 		}
 		full.End(RunResult{Service: "s", ID: "first"})
 		synctest.Wait()
-		g.Expect(given).To(Receive(Equal("early")))
+		g.Expect(assigned).To(Receive(Equal("early")))
 		full.End(RunResult{Service: "s", ID: "early"})
 		synctest.Wait()
-		g.Expect(given).To(Receive(Equal("middle")))
+		g.Expect(assigned).To(Receive(Equal("middle")))
 		time.Sleep(2 * time.Second)
 	})
 }
@@ -95,30 +95,30 @@
 		listings := 0
 		full := newFull(&listings)
 		full.Assign(t.Context(), requestOf("first", 0))
-		given := make(chan string, 2)
+		assigned := make(chan string, 2)
 		for _, id := range []string{"refused before", "new"} {
 			request := requestOf(id, 3*time.Second)
 			request.Late = id == "refused before"
 			go func() {
 				if full.Assign(t.Context(), request).Decode != "" {
-					given <- id
+					assigned <- id
 				}
 			}()
 			time.Sleep(15 * time.Millisecond)
 		}
 		full.End(RunResult{Service: "s", ID: "first"})
 		synctest.Wait()
-		g.Expect(given).To(Receive(Equal("new")))
-		g.Expect(given).NotTo(Receive())
+		g.Expect(assigned).To(Receive(Equal("new")))
+		g.Expect(assigned).NotTo(Receive())
 		time.Sleep(1500 * time.Millisecond)
 		full.End(RunResult{Service: "s", ID: "new"})
 		synctest.Wait()
-		g.Expect(given).To(Receive(Equal("refused before")))
+		g.Expect(assigned).To(Receive(Equal("refused before")))
 	})
 }
 
 // TestFirstAttemptWaitsUntilObjectiveIsUnreachable lets a request wait for capacity that does not
-// come. It is refused once its prefill would end too late for the objective, and not before.
+// come. It is rejected once its prefill would end too late for the objective, and not before.
 func TestFirstAttemptWaitsUntilObjectiveIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -126,9 +126,9 @@
 		full := newFull(&listings)
 		full.Assign(t.Context(), requestOf("first", 0))
 		began := time.Now()
-		refused := full.Assign(t.Context(), requestOf("waits", time.Second))
-		g.Expect(refused.Decode).To(BeEmpty())
-		g.Expect(refused.RetryAfter).To(BeNumerically(">", 0))
+		rejected := full.Assign(t.Context(), requestOf("waits", time.Second))
+		g.Expect(rejected.Decode).To(BeEmpty())
+		g.Expect(rejected.RetryAfter).To(BeNumerically(">", 0))
 		// Of the second, the prefill of 8,000 tokens at 50,000 a second and the first token take a
 		// part.
 		g.Expect(time.Since(began)).To(Equal(time.Second - 160*time.Millisecond - defaultFirstToken))
@@ -142,21 +142,21 @@
 		listings := 0
 		full := newFull(&listings)
 		full.Assign(t.Context(), requestOf("first", 0))
-		given := make(chan string, 2)
+		assigned := make(chan string, 2)
 		for priority, id := range map[int]string{2: "can wait", 1: "urgent"} {
 			request := requestOf(id, time.Second)
 			request.Priority = priority
 			go func() {
 				time.Sleep(time.Duration(3-priority) * 10 * time.Millisecond)
 				if full.Assign(t.Context(), request).Decode != "" {
-					given <- id
+					assigned <- id
 				}
 			}()
 		}
 		time.Sleep(50 * time.Millisecond)
 		full.End(RunResult{Service: "s", ID: "first"})
 		synctest.Wait()
-		g.Expect(given).To(Receive(Equal("urgent")))
-		g.Expect(given).NotTo(Receive())
+		g.Expect(assigned).To(Receive(Equal("urgent")))
+		g.Expect(assigned).NotTo(Receive())
 	})
 }
