--- a/ledger/allocations_test.go
+++ b/ledger/allocations_test.go
@@ -24,7 +24,7 @@
 	l.SetEngines(all)
 	run := func(id string) ledger.Run { return ledger.Run{ID: id, Prompt: 3000, Output: 600, Holder: "n"} }
 	for i := 0; ; i++ {
-		if _, given := l.Assign(now, run(strconv.Itoa(i)), nil); !given {
+		if _, assigned := l.Assign(now, run(strconv.Itoa(i)), nil); !assigned {
 			break
 		}
 	}
--- a/ledger/doc.go
+++ b/ledger/doc.go
@@ -1,7 +1,7 @@
 // Package ledger tracks which runs are assigned to which decode engine of one
 // service, and decides whether another run fits.
 //
-// An engine admits a request if there is capacity at that moment, but each run
+// An engine admits a request if it has capacity at that moment, but each run
 // grows by the tokens that it generates. The ledger therefore predicts memory
 // use: runs grow at the learned decode rate and end at the output length that
 // their callers expect, and a run fits if the memory suffices at every moment
--- a/ledger/names_test.go
+++ b/ledger/duplicate_test.go
@@ -9,8 +9,8 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// TestDuplicateRunIDIsReplaced assigns two runs with the same identifier. Once it has ended, both
-// engines must be as empty as before.
+// TestDuplicateRunIDIsReplaced assigns two runs with the same identifier. Once that run has ended,
+// both engines must be empty.
 func TestDuplicateRunIDIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	l := newLedger(2)
--- a/ledger/foreign.go
+++ b/ledger/external.go
@@ -18,8 +18,8 @@
 	externalUseLifetime = 2500 * time.Millisecond
 )
 
-// ReportMemoryUse records the memory in use that an engine reports. Runs of failed nodes continue
-// there until the engine detects it.
+// ReportMemoryUse records the memory in use that an engine reports. The runs of a failed node
+// continue on an engine until it detects the failure.
 func (l *Ledger) ReportMemoryUse(now time.Duration, id string, used int) {
 	known := 0.0
 	for _, run := range l.byEngine[id] {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -58,12 +58,12 @@
 	defaultFirstTokenDelay = 150 * time.Millisecond
 	// rateWeight is the weight of one run in the learned decode rate.
 	rateWeight = 0.05
-	// minAnswerTime is the time below which an answer is not used to learn the decode rate, because
-	// its events were delivered together.
-	minAnswerTime = 10 * time.Millisecond
-	// holderTimeout is how long the runs of a node are kept that reports nothing.
+	// minDecodeTime is the minimum time from the first to the last event for an output to be used
+	// to learn the decode rate: in less time, the events were delivered together.
+	minDecodeTime = 10 * time.Millisecond
+	// holderTimeout is how long the runs of a node without contact are kept.
 	holderTimeout = 4 * time.Second
-	// expireInterval is the minimum time between two searches for such nodes.
+	// expireInterval is the minimum time between two checks for such nodes.
 	expireInterval = 500 * time.Millisecond
 	// syncGracePeriod is the age from which a run that its holder does not report counts as ended:
 	// the assignment of a younger one may still be on its way to the holder.
@@ -76,9 +76,9 @@
 	// decodeRate and firstTokenDelay are learned; options holds the initial estimates.
 	decodeRate      float64
 	firstTokenDelay time.Duration
-	// answers counts the answers they were learned from; tokens and seconds are the weighted totals
+	// samples counts the outputs they were learned from; tokens and seconds are the weighted totals
 	// of these.
-	answers         int
+	samples         int
 	tokens, seconds float64
 	engines         []Engine
 	runs            map[string]Run
@@ -89,10 +89,10 @@
 	// projected and active are buffers, reused for each engine that is checked.
 	projected []projected
 	active    []Run
-	// refusedUntil is the time until which an engine that refused a run that should have fitted
-	// gets no runs.
-	refusedUntil map[string]time.Duration
-	expiredAt    time.Duration
+	// rejectedUntil is the time until which an engine gets no runs after it rejected one that
+	// should have fitted.
+	rejectedUntil map[string]time.Duration
+	expiredAt     time.Duration
 	// external is the memory that engines use for runs that the ledger does not track.
 	external map[string]externalUse
 	// outputDeviation is the standard deviation of a run's output, as a share of the expected
@@ -123,7 +123,7 @@
 	}
 	return &Ledger{
 		options: options, decodeRate: options.DecodeRate, firstTokenDelay: options.FirstTokenDelay, runs: map[string]Run{},
-		byEngine: map[string]map[string]Run{}, byHolder: map[string]map[string]bool{}, refusedUntil: map[string]time.Duration{}, lastContact: map[string]time.Duration{}, external: map[string]externalUse{}, coverage: 1,
+		byEngine: map[string]map[string]Run{}, byHolder: map[string]map[string]bool{}, rejectedUntil: map[string]time.Duration{}, lastContact: map[string]time.Duration{}, external: map[string]externalUse{}, coverage: 1,
 	}
 }
 
@@ -135,16 +135,16 @@
 // removes its other runs, which have ended.
 func (l *Ledger) Sync(now time.Duration, holder string, runs []Run) {
 	l.lastContact[holder] = now
-	named := make(map[string]bool, len(runs))
+	reported := make(map[string]bool, len(runs))
 	for _, run := range runs {
-		named[run.ID] = true
+		reported[run.ID] = true
 		if _, known := l.runs[run.ID]; !known {
 			run.Holder = holder
 			l.add(run)
 		}
 	}
 	for id := range l.byHolder[holder] {
-		if !named[id] && now-l.runs[id].Started > syncGracePeriod {
+		if !reported[id] && now-l.runs[id].Started > syncGracePeriod {
 			l.remove(id)
 		}
 	}
@@ -152,23 +152,23 @@
 }
 
 // End removes a run and returns it.
-func (l *Ledger) End(id string, answer OutputTiming) (Run, bool) {
+func (l *Ledger) End(id string, output OutputTiming) (Run, bool) {
 	run, known := l.runs[id]
 	if !known {
 		return Run{}, false
 	}
 	l.remove(id)
-	if answer.Duration-answer.FirstEvent >= minAnswerTime && answer.RestTokens > 0 {
-		l.learn(answer)
+	if output.Duration-output.FirstEvent >= minDecodeTime && output.RestTokens > 0 {
+		l.learn(output)
 	}
 	return run, true
 }
 
-// Rejected records that the engine of a run refused it. The engine has information that the ledger
+// Rejected records that the engine of a run rejected it. The engine has information that the ledger
 // lacks, so it gets no runs for the given time.
 func (l *Ledger) Rejected(now time.Duration, id string, pause time.Duration) {
 	if run, known := l.runs[id]; known {
-		l.refusedUntil[run.Engine] = max(l.refusedUntil[run.Engine], now+pause)
+		l.rejectedUntil[run.Engine] = max(l.rejectedUntil[run.Engine], now+pause)
 	}
 }
 
@@ -180,7 +180,7 @@
 
 // preferenceAllowance is how much fuller, as a share of its memory, a preferred engine may be than
 // the least full one. The coordinator prefers engines in the zone of the run's node, because
-// otherwise the whole answer is sent between zones.
+// otherwise the whole output is sent between zones.
 const preferenceAllowance = 0.1
 
 // AssignPreferring is Assign, but prefers engines for which isPreferred holds unless they are much
@@ -190,7 +190,7 @@
 	l.expire(now)
 	var best, preferred choice
 	for _, engine := range l.engines {
-		if avoid[engine.ID] || now < l.refusedUntil[engine.ID] {
+		if avoid[engine.ID] || now < l.rejectedUntil[engine.ID] {
 			continue
 		}
 		peak, fits := l.peakWith(now, engine, run)
@@ -271,14 +271,14 @@
 
 // capacityAt returns the time until a run fits on one engine.
 func (l *Ledger) capacityAt(now time.Duration, engine Engine, run Run, active map[string]Run) (time.Duration, bool) {
-	left := make([]Run, 0, len(active))
+	byEnd := make([]Run, 0, len(active))
 	for _, current := range active {
-		left = append(left, current)
+		byEnd = append(byEnd, current)
 	}
-	slices.SortFunc(left, func(a, b Run) int { return cmp.Compare(l.remaining(now, a), l.remaining(now, b)) })
-	for i, ending := range left {
+	slices.SortFunc(byEnd, func(a, b Run) int { return cmp.Compare(l.remaining(now, a), l.remaining(now, b)) })
+	for i, ending := range byEnd {
 		after := l.remaining(now, ending)
-		if _, fits := l.peakOf(now+after, engine, run, left[i+1:]); fits {
+		if _, fits := l.peakOf(now+after, engine, run, byEnd[i+1:]); fits {
 			return after, true
 		}
 	}
--- a/ledger/margin_test.go
+++ b/ledger/margin_test.go
@@ -18,26 +18,26 @@
 	l := newLedger(1)
 	l.SetOutputDeviation(deviation)
 	for i := 0; ; i++ {
-		if _, given := l.Assign(0, ledger.Run{ID: strconv.Itoa(i), Prompt: prompt, Output: output}, nil); !given {
+		if _, assigned := l.Assign(0, ledger.Run{ID: strconv.Itoa(i), Prompt: prompt, Output: output}, nil); !assigned {
 			return i
 		}
 	}
 }
 
 // TestMarginFollowsOutputDeviation compares outputs of known length with outputs of varying length.
-// Long answers to short prompts need a larger margin than short answers to long prompts, and many
-// runs need a smaller one in proportion than few.
+// Long outputs of short prompts need a larger margin than short outputs of long prompts, and the
+// margin per run falls with the number of runs.
 func TestMarginFollowsOutputDeviation(t *testing.T) {
 	g := NewWithT(t)
 	for _, size := range []struct{ prompt, output int }{{2990, 600}, {1790, 1800}, {500, 400}} {
 		for _, deviation := range []float64{0, 0.5, 1} {
-			// All runs begin at once, so that they need most right before they end together. The
-			// ledger lets them grow before their first token as well.
+			// All runs begin at once, so memory use is highest right before they end together. The
+			// ledger assumes that they also grow before the first token.
 			whole, want := float64(size.prompt+size.output)+start.Seconds()*1000, 0
 			for n := 1.0; n*whole+deviation*float64(size.output)*math.Sqrt(n) <= memory && n <= slots; n++ {
 				want = int(n)
 			}
-			g.Expect(fittingRuns(deviation, size.prompt, size.output)).To(Equal(want), "%+v, spread %v", size, deviation)
+			g.Expect(fittingRuns(deviation, size.prompt, size.output)).To(Equal(want), "%+v, deviation %v", size, deviation)
 		}
 	}
 }
--- a/ledger/near_test.go
+++ b/ledger/preference_test.go
@@ -13,18 +13,18 @@
 	l := New(Options{})
 	l.SetEngines([]Engine{{ID: "far", Memory: 10_000, Slots: 32}, {ID: "near", Memory: 10_000, Slots: 32}})
 	sameZone := func(id string) bool { return id == "near" }
-	given := func(id string) string {
+	assigned := func(id string) string {
 		engine, ok := l.AssignPreferring(time.Second, Run{ID: id, Prompt: 500, Output: 1, Holder: "n"}, nil, sameZone)
 		g.Expect(ok).To(BeTrue())
 		return engine
 	}
 	for _, id := range []string{"a", "b"} {
-		g.Expect(given(id)).To(Equal("near"))
+		g.Expect(assigned(id)).To(Equal("near"))
 	}
 	counts := map[string]int{}
 	for _, id := range []string{"c", "d", "e", "f", "g", "h", "i", "j"} {
-		counts[given(id)]++
+		counts[assigned(id)]++
 	}
-	g.Expect(counts["far"]).To(BeNumerically(">=", 3), "the far one is taken as well")
+	g.Expect(counts["far"]).To(BeNumerically(">=", 3), "the engine of the other zone is used as well")
 	g.Expect(l.Counts()["near"]-l.Counts()["far"]).To(BeNumerically("<=", 2), "near is at most a tenth fuller")
 }
--- a/ledger/projection.go
+++ b/ledger/projection.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// projected is the predicted course of a run: its size now, and the time until it ends.
+// projected is the predicted course of a run: its size now in tokens, and the seconds until it
+// ends.
 type projected struct {
-	size float64
-	left float64
+	size      float64
+	remaining float64
 }
 
 // peakWith returns the highest memory use predicted for an engine with one more run, as a share of
@@ -43,8 +44,8 @@
 	return peak, peak <= 1 || len(runs) == 1 && external == 0
 }
 
-// margin returns the memory that is kept free because runs may become longer than expected. The
-// lengths are independent, so that their variances add up.
+// margin returns the memory that is kept free because outputs may be longer than expected. Their
+// lengths are independent, so the variances add up.
 func (l *Ledger) margin(run Run, active []Run) float64 {
 	squares := float64(run.Output) * float64(run.Output)
 	for _, current := range active {
@@ -55,15 +56,15 @@
 
 // project predicts the course of a run.
 func (l *Ledger) project(now time.Duration, run Run) projected {
-	left := l.remaining(now, run).Seconds()
+	remaining := l.remaining(now, run).Seconds()
 	generated := l.generated(now, run)
-	return projected{size: float64(run.Prompt) + generated, left: left}
+	return projected{size: float64(run.Prompt) + generated, remaining: remaining}
 }
 
 // generated returns the estimated number of tokens that a run has generated.
 func (l *Ledger) generated(now time.Duration, run Run) float64 {
-	since := (now - run.Started - l.firstTokenDelay).Seconds()
-	return min(max(0, since*l.decodeRate), float64(run.Output)*(1+l.options.Overrun))
+	decoding := (now - run.Started - l.firstTokenDelay).Seconds()
+	return min(max(0, decoding*l.decodeRate), float64(run.Output)*(1+l.options.Overrun))
 }
 
 // remaining returns the expected time until a run ends.
@@ -79,7 +80,7 @@
 // peak returns the highest total size of runs that all grow at the learned decode rate until they
 // end.
 func (l *Ledger) peak(runs []projected) float64 {
-	slices.SortFunc(runs, func(a, b projected) int { return cmp.Compare(a.left, b.left) })
+	slices.SortFunc(runs, func(a, b projected) int { return cmp.Compare(a.remaining, b.remaining) })
 	total := 0.0
 	for _, run := range runs {
 		total += run.size
@@ -88,7 +89,7 @@
 	for i, run := range runs {
 		// Right before this run ends, it and all later ones have grown for the same time.
 		active := float64(len(runs) - i)
-		highest = max(highest, total+active*run.left*l.decodeRate)
+		highest = max(highest, total+active*run.remaining*l.decodeRate)
 		total -= run.size
 	}
 	return highest
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -101,7 +101,7 @@
 	g.Expect(seen).To(HaveLen(3))
 }
 
-func TestRefusedAndAvoidedEnginesGetNothing(t *testing.T) {
+func TestRejectingAndAvoidedEnginesGetNoRuns(t *testing.T) {
 	g := NewWithT(t)
 	l := newLedger(2)
 	engine, _ := l.Assign(0, ledger.Run{ID: "a", Prompt: 1, Output: 1}, nil)
--- a/ledger/pace.go
+++ b/ledger/rate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// OutputTiming is the timing of a complete answer, from which the decode rate is learned. The zero
+// OutputTiming is the timing of a complete output, from which the decode rate is learned. The zero
 // value is ignored.
 type OutputTiming struct {
 	// FirstEvent is the time from the assignment to the first event, and Duration the time to the
@@ -15,22 +15,22 @@
 	RestTokens int
 }
 
-// learn updates the decode rate and the first-token delay from an answer. The rate is the total of
-// all tokens divided by the total time, weighted towards newer answers: the rate of a single answer
-// is meaningless if its events were held up on the way and arrive at once.
-func (l *Ledger) learn(answer OutputTiming) {
-	l.answers++
-	l.tokens = (1-rateWeight)*l.tokens + float64(answer.RestTokens)
-	l.seconds = (1-rateWeight)*l.seconds + (answer.Duration - answer.FirstEvent).Seconds()
+// learn updates the decode rate and the first-token delay from an output. The rate is the total of
+// all tokens divided by the total time, weighted towards newer outputs: the rate of a single output
+// is meaningless if its events were buffered on the way and arrive at once.
+func (l *Ledger) learn(output OutputTiming) {
+	l.samples++
+	l.tokens = (1-rateWeight)*l.tokens + float64(output.RestTokens)
+	l.seconds = (1-rateWeight)*l.seconds + (output.Duration - output.FirstEvent).Seconds()
 	l.decodeRate = l.tokens / l.seconds
-	// The first answers have equal weight, so that the initial estimate is soon replaced.
-	weight := max(rateWeight, 1/float64(l.answers))
-	l.firstTokenDelay += time.Duration(weight * float64(answer.FirstEvent-l.firstTokenDelay))
+	// The first outputs have equal weight, so that the initial estimate is soon replaced.
+	weight := max(rateWeight, 1/float64(l.samples))
+	l.firstTokenDelay += time.Duration(weight * float64(output.FirstEvent-l.firstTokenDelay))
 }
 
-// LearnedRate is what a ledger has learned of the speed of answers.
+// LearnedRate is what a ledger has learned about the speed of runs.
 type LearnedRate struct {
-	// Samples is the number of answers it was learned from; Tokens and Seconds are the weighted
+	// Samples is the number of outputs it was learned from; Tokens and Seconds are the weighted
 	// totals of these.
 	Samples         int
 	Tokens, Seconds float64
@@ -40,16 +40,16 @@
 
 // Learned returns what the ledger has learned.
 func (l *Ledger) Learned() LearnedRate {
-	return LearnedRate{Samples: l.answers, Tokens: l.tokens, Seconds: l.seconds, FirstTokenDelay: l.firstTokenDelay}
+	return LearnedRate{Samples: l.samples, Tokens: l.tokens, Seconds: l.seconds, FirstTokenDelay: l.firstTokenDelay}
 }
 
 // Adopt takes over what another ledger has learned, unless this one has learned something itself.
 func (l *Ledger) Adopt(learned LearnedRate) {
 	rate := learned.Tokens / learned.Seconds
-	if l.answers > 0 || learned.Samples <= 0 || !(rate > 0) || math.IsInf(rate, 0) || learned.FirstTokenDelay < 0 {
+	if l.samples > 0 || learned.Samples <= 0 || !(rate > 0) || math.IsInf(rate, 0) || learned.FirstTokenDelay < 0 {
 		return
 	}
-	l.answers, l.tokens, l.seconds, l.firstTokenDelay = learned.Samples, learned.Tokens, learned.Seconds, learned.FirstTokenDelay
+	l.samples, l.tokens, l.seconds, l.firstTokenDelay = learned.Samples, learned.Tokens, learned.Seconds, learned.FirstTokenDelay
 	l.decodeRate = rate
 }
 
