--- a/estimate/learned.go
+++ b/estimate/learned.go
@@ -48,13 +48,13 @@
 	o.fit()
 }
 
-// Learned returns what has been learned of all engines together.
-func (r *PrefillTime) Learned() Sums { return r.pool.sums() }
-
-// Adopt takes over what another estimator has learned of all engines, unless this one has learned
-// something itself.
-func (r *PrefillTime) Adopt(learned Sums) {
-	if r.pool.weight == 0 && learned.valid() {
-		r.pool = lineOf(learned)
+// Learned returns what has been learned about all engines together.
+func (p *PrefillTime) Learned() Sums { return p.pool.sums() }
+
+// Adopt takes over what another estimator has learned about all engines, unless this one has
+// learned something itself.
+func (p *PrefillTime) Adopt(learned Sums) {
+	if p.pool.weight == 0 && learned.valid() {
+		p.pool = lineOf(learned)
 	}
 }
--- a/estimate/output.go
+++ b/estimate/output.go
@@ -1,16 +1,16 @@
-// Package estimate learns the lengths of answers from the lengths that callers expect, and the
-// times of prefills. It does no I/O and reads no clock.
+// Package estimate learns output lengths, given the lengths that callers expect, and the durations
+// of prefills. It does no I/O and reads no clock.
 package estimate
 
 import "math"
 
 const (
-	// minSamples is how many answers must have been observed before the estimate departs from what
+	// minSamples is how many outputs must have been observed before the estimate departs from what
 	// callers expect.
 	minSamples = 30
-	// decay is the factor applied to the weight of an answer with each later one.
+	// decay is the factor applied to the weight of an output with each later one.
 	decay = 0.995
-	// Bounds of the exponent that relates the length of an answer to the expected length.
+	// Bounds of the exponent that relates the actual output length to the expected one.
 	minSlope = 0.0
 	maxSlope = 1.2
 )
@@ -24,7 +24,7 @@
 	intercept, slope, variance float64
 }
 
-// Observe adds a complete answer; both lengths are in tokens.
+// Observe adds a complete output; both lengths are in tokens.
 func (o *OutputLength) Observe(expected, actual int) {
 	if expected <= 0 || actual <= 0 {
 		return
@@ -56,8 +56,8 @@
 // off.
 const initialDeviation = 0.5
 
-// RelativeDeviation returns the standard deviation of the length of an answer, as a share of the
-// expected length.
+// RelativeDeviation returns the standard deviation of an output length, as a share of the expected
+// length.
 func (o *OutputLength) RelativeDeviation() float64 {
 	if o.samples < minSamples {
 		return initialDeviation
@@ -66,8 +66,8 @@
 	return math.Sqrt(math.Expm1(o.variance))
 }
 
-// Mean returns the expected length of an answer, given the length that the caller expects and the
-// maximum length, zero for none.
+// Mean returns the expected output length, given the length that the caller expects and the maximum
+// length, zero for none.
 func (o *OutputLength) Mean(expected, maxOutput int) int {
 	if o.samples < minSamples || expected <= 0 {
 		return expected
--- a/estimate/output_test.go
+++ b/estimate/output_test.go
@@ -10,8 +10,8 @@
 	"github.com/reelrun/reelrun/estimate"
 )
 
-// TestEstimateBeatsCallerEstimates draws answers and caller estimates that are off by a factor, and
-// compares the errors.
+// TestEstimateBeatsCallerEstimates draws output lengths and caller estimates that are off by a
+// factor, and compares the errors.
 func TestEstimateBeatsCallerEstimates(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -33,7 +33,7 @@
 	g.Expect(math.Abs(bias) / (draws / 2)).To(BeNumerically("<", 0.1*4000))
 }
 
-func TestFewAnswersKeepCallerEstimate(t *testing.T) {
+func TestFewOutputsKeepCallerEstimate(t *testing.T) {
 	g := NewWithT(t)
 	var output estimate.OutputLength
 	for range 10 {
@@ -55,7 +55,7 @@
 	g := NewWithT(t)
 	var exact, varying estimate.OutputLength
 	random := rand.New(rand.NewPCG(3, 4))
-	g.Expect(exact.RelativeDeviation()).To(Equal(0.5), "the first guess")
+	g.Expect(exact.RelativeDeviation()).To(Equal(0.5), "initial estimate")
 	for range 400 {
 		expected := 100 + random.IntN(900)
 		exact.Observe(expected, expected)
--- a/estimate/reading.go
+++ b/estimate/prefill.go
@@ -22,7 +22,7 @@
 	timeoutFactor = 2
 )
 
-// PrefillTime estimates the times of prefills as a fixed part per prompt and a part per token. An
+// PrefillTime estimates the duration of prefills as a fixed part per prompt and a part per token. An
 // engine's estimate comes from its own prefills, and for an engine without any from those of all
 // engines. The zero value uses an initial estimate. Sizes are in tokens and above zero. It is not
 // safe for concurrent use.
@@ -32,38 +32,38 @@
 }
 
 // Observe adds one prefill of an engine and the time that it took without queueing.
-func (r *PrefillTime) Observe(engine string, tokens int, took time.Duration) {
-	if r.engines == nil {
-		r.engines = map[string]*line{}
+func (p *PrefillTime) Observe(engine string, tokens int, took time.Duration) {
+	if p.engines == nil {
+		p.engines = map[string]*line{}
 	}
-	own := r.engines[engine]
+	own := p.engines[engine]
 	if own == nil {
-		own = r.prior()
-		r.engines[engine] = own
+		own = p.prior()
+		p.engines[engine] = own
 	}
 	own.observe(float64(tokens), took.Seconds(), engineDecay)
-	r.pool.observe(float64(tokens), took.Seconds(), poolDecay)
+	p.pool.observe(float64(tokens), took.Seconds(), poolDecay)
 }
 
 // HasSamples reports whether a prefill has been observed.
-func (r *PrefillTime) HasSamples() bool { return r.pool.weight > 0 }
+func (p *PrefillTime) HasSamples() bool { return p.pool.weight > 0 }
 
-// ObserveAtLeast adds a prefill that was given up after some time. The engine takes longer than
-// that; how much longer is learned from later prefills.
-func (r *PrefillTime) ObserveAtLeast(engine string, tokens int, waited time.Duration) {
+// ObserveAtLeast adds a prefill that was abandoned after the given time. The engine takes longer
+// than that; how much longer is learned from later prefills.
+func (p *PrefillTime) ObserveAtLeast(engine string, tokens int, waited time.Duration) {
 	guess := timeoutFactor * waited
-	if tokens <= 0 || waited <= 0 || r.Duration(engine, tokens) >= guess {
+	if tokens <= 0 || waited <= 0 || p.Duration(engine, tokens) >= guess {
 		return
 	}
 	// This does not affect the estimate for other engines.
-	r.engine(engine).observe(float64(tokens), guess.Seconds(), engineDecay)
+	p.engine(engine).observe(float64(tokens), guess.Seconds(), engineDecay)
 }
 
 // Duration returns the expected time of a prefill on an engine.
-func (r *PrefillTime) Duration(engine string, tokens int) time.Duration {
-	known := r.engines[engine]
+func (p *PrefillTime) Duration(engine string, tokens int) time.Duration {
+	known := p.engines[engine]
 	if known == nil {
-		known = &r.pool
+		known = &p.pool
 	}
 	if known.weight == 0 {
 		return seconds(float64(tokens) / initialPrefillRate)
@@ -73,29 +73,29 @@
 }
 
 // engine returns the line of one engine, creating it if needed.
-func (r *PrefillTime) engine(id string) *line {
-	known := r.engines[id]
+func (p *PrefillTime) engine(id string) *line {
+	known := p.engines[id]
 	if known != nil {
 		return known
 	}
-	if r.engines == nil {
-		r.engines = map[string]*line{}
+	if p.engines == nil {
+		p.engines = map[string]*line{}
 	}
-	r.engines[id] = r.prior()
-	return r.engines[id]
+	p.engines[id] = p.prior()
+	return p.engines[id]
 }
 
-// prior returns the initial line of an engine: the pooled line, sampled around the usual size of a
-// prompt. Its weight decays as the engine's own prefills are observed.
-func (r *PrefillTime) prior() *line {
+// prior returns the initial line of an engine: the pooled line, sampled at half and at twice the
+// mean prompt size. Its weight decays as the engine's own prefills are observed.
+func (p *PrefillTime) prior() *line {
 	known := &line{}
-	if r.pool.weight == 0 {
+	if p.pool.weight == 0 {
 		return known
 	}
-	weight := priorWeight * r.pool.weight / (r.pool.weight + 1)
-	usual := r.pool.sumX / r.pool.weight
-	fixed, slope := r.pool.fit()
-	for _, tokens := range []float64{usual / 2, 2 * usual} {
+	weight := priorWeight * p.pool.weight / (p.pool.weight + 1)
+	mean := p.pool.sumX / p.pool.weight
+	fixed, slope := p.pool.fit()
+	for _, tokens := range []float64{mean / 2, 2 * mean} {
 		known.add(tokens, fixed+slope*tokens, weight/2)
 	}
 	return known
--- a/estimate/reading_test.go
+++ b/estimate/prefill_test.go
@@ -28,10 +28,10 @@
 			engine := []string{"a", "a", "b"}[i%3]
 			prefill.Observe(engine, tokens, truth(tokens))
 		}
-		usual := slices.Sorted(slices.Values(sizes))[len(sizes)/2]
-		want := truth(usual).Seconds()
+		median := slices.Sorted(slices.Values(sizes))[len(sizes)/2]
+		want := truth(median).Seconds()
 		for _, engine := range []string{"a", "new"} {
-			g.Expect(prefill.Duration(engine, usual).Seconds()).To(BeNumerically("~", want, want/10), engine)
+			g.Expect(prefill.Duration(engine, median).Seconds()).To(BeNumerically("~", want, want/10), engine)
 		}
 	})
 }
