--- a/roles/controller.go
+++ b/roles/controller.go
@@ -27,15 +27,15 @@
 
 // Order is an order to an engine to take a role.
 type Order struct {
-	Role   backend.Role
-	Holder string
-	Fence  uint64
+	Role         backend.Role
+	Holder       string
+	FencingToken uint64
 	// Expected is the sequence that the engine must have; it refuses an order that arrives late.
 	Expected int64
 }
 
-// ErrOrderRefused means that the engine will not carry out an order.
-var ErrOrderRefused = errors.New("roles: order refused")
+// ErrOrderRejected means that the engine will not carry out an order.
+var ErrOrderRejected = errors.New("roles: order rejected")
 
 // EngineClient makes the calls to engines that the controller needs.
 type EngineClient interface {
--- a/roles/order.go
+++ b/roles/order.go
@@ -106,13 +106,13 @@
 	failures := make([]error, len(ready))
 	forEach(ready, func(i int, one prepared) {
 		failures[i] = c.options.EngineClient.ChangeRole(ctx, one.target, Order{
-			Role: one.change.Role, Holder: c.options.Holder, Fence: fence, Expected: one.sequence,
+			Role: one.change.Role, Holder: c.options.Holder, FencingToken: fence, Expected: one.sequence,
 		})
 		c.options.Logger.Info("role ordered", "engine", one.change.Engine, "role", string(one.change.Role),
 			"fence", fence, "expected", one.sequence, "error", logging.ErrorText(failures[i]))
 	})
 	for _, failure := range failures {
-		if failure != nil && !errors.Is(failure, ErrOrderRefused) {
+		if failure != nil && !errors.Is(failure, ErrOrderRejected) {
 			return false, failure
 		}
 	}
