--- a/roles/controller.go
+++ b/roles/controller.go
@@ -21,7 +21,7 @@
 	Sequence int64
 	// Changing is set while the engine carries out an order.
 	Changing bool
-	// UsedTokens is the memory in use that cannot be evicted, some hundred milliseconds ago.
+	// UsedTokens is the memory in use that cannot be evicted, as of a few hundred milliseconds ago.
 	UsedTokens int
 }
 
@@ -30,7 +30,7 @@
 	Role         backend.Role
 	Holder       string
 	FencingToken uint64
-	// Expected is the sequence that the engine must have; it refuses an order that arrives late.
+	// Expected is the sequence that the engine must have; it rejects an order that arrives late.
 	Expected int64
 }
 
@@ -64,7 +64,7 @@
 	Logger *slog.Logger
 	// Interval is the time between two reconciliations. Default 1s.
 	Interval time.Duration
-	// FirstStabilization is how long a change must be due before the first order of this node.
+	// FirstStabilization is how long a change must be needed before the first order of this node.
 	// Default 2s.
 	FirstStabilization time.Duration
 	// Stabilization is the same for later orders. It is longer than the restart of an engine.
@@ -73,13 +73,13 @@
 	// UrgentStabilization is the same if one role has far too few engines. Default 1s.
 	UrgentStabilization time.Duration
 	// Announce notifies all nodes of an order that is about to be sent.
-	Announce func(change Change, fence uint64)
+	Announce func(change Change, fencingToken uint64)
 	// Withdraw notifies them that the announced order is not sent.
-	Withdraw func(change Change, fence uint64)
-	// NoticePeriod is the time between the announcement and the order, in which answers whose
-	// prefill is under way reach the engine. Default 700ms.
+	Withdraw func(change Change, fencingToken uint64)
+	// NoticePeriod is the time between the announcement and the order, in which runs whose prefill
+	// is in progress still reach the engine. Default 700ms.
 	NoticePeriod time.Duration
-	// MaxOrderDelay is how late an order that got no answer may still be carried out. A new lease
+	// MaxOrderDelay is how late an order without a response may still be carried out. A new lease
 	// holder waits for this time. Default 13s.
 	MaxOrderDelay time.Duration
 	// ChangeTimeout bounds the duration of a role change. Default 20s.
@@ -157,12 +157,12 @@
 func (c *Controller) Changing(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ordered, under := c.changing[id]
-	if !under {
+	pending, ordered := c.changing[id]
+	if !ordered {
 		return false
 	}
 	entry := c.options.Backends.Lookup(id)
-	if c.options.Now().After(ordered.until) || entry == nil || entry.Backend().Role == ordered.role {
+	if c.options.Now().After(pending.until) || entry == nil || entry.Backend().Role == pending.role {
 		delete(c.changing, id)
 		return false
 	}
@@ -184,7 +184,7 @@
 	if !c.due(service, planned) {
 		return
 	}
-	// Changes that are still needed after these must be due for the whole time again.
+	// Changes that are still needed after these must be needed for the whole time again.
 	c.desired[service] = desiredChange{planned[0].Role, c.options.Now()}
 	if err := c.order(ctx, planned); err != nil {
 		c.options.Logger.Warn("role change failed", "service", service, "engines", len(planned),
@@ -219,19 +219,19 @@
 	return ids
 }
 
-// pendingRoles returns the engines that are changing, with their new roles.
+// pendingRoles returns the new roles of the engines that are changing.
 func (c *Controller) pendingRoles(service string) map[string]backend.Role {
 	c.mu.Lock()
-	ordered := maps.Clone(c.changing)
+	changing := maps.Clone(c.changing)
 	c.mu.Unlock()
-	pending := map[string]backend.Role{}
-	for id, under := range ordered {
+	newRoles := map[string]backend.Role{}
+	for id, change := range changing {
 		entry := c.options.Backends.Lookup(id)
 		if entry != nil && entry.Backend().Service == service && c.Changing(id) {
-			pending[id] = under.role
+			newRoles[id] = change.role
 		}
 	}
-	return pending
+	return newRoles
 }
 
 // due reports whether changes have been needed for long enough.
--- a/roles/controller_test.go
+++ b/roles/controller_test.go
@@ -27,22 +27,22 @@
 
 	mu       sync.Mutex
 	changing map[string]bool
-	// orders counts the orders, maxChanging is the highest number of engines changing at a time.
+	// orders counts the orders, and maxChanging is the highest number of engines changing at a time.
 	orders, maxChanging int
 }
 
 // newFleet returns engines of which a third are prefill engines.
 func newFleet(engines int) *fleet {
-	made := &fleet{backends: backend.NewRegistry(time.Now), changing: map[string]bool{}}
+	created := &fleet{backends: backend.NewRegistry(time.Now), changing: map[string]bool{}}
 	for i := range engines {
 		role := backend.RoleDecode
 		if i < engines/3 {
 			role = backend.RolePrefill
 		}
-		made.backends.Update(described(fmt.Sprintf("e%03d", i), role))
+		created.backends.Update(described(fmt.Sprintf("e%03d", i), role))
 	}
-	made.backends.SetSynced()
-	return made
+	created.backends.SetSynced()
+	return created
 }
 
 func described(id string, role backend.Role) backend.Backend {
@@ -79,10 +79,11 @@
 	return f.orders, f.maxChanging
 }
 
-// TestAllocationConvergesAtAnySize has a third of the engines in the prefill role where a fifth
-// would do. The allocation must come as close to the best as the hysteresis allows, which is two
-// engines or a fifteenth of all, within 30 s at any size: with one engine at a time 64 took 48 s,
-// 90 took 57 s and 600 took 363 s; with a quarter of a role at a time all take 12 s.
+// TestAllocationConvergesAtAnySize has a third of the engines in the prefill role where a fifth is
+// enough. The allocation must come as close to the best as the hysteresis allows, which is two
+// engines or a fifteenth of all, within 30 s at any size. When one engine changed at a time, 64
+// engines took 48 s, 90 took 57 s and 600 took 363 s; with a quarter of a role at a time all sizes
+// take 12 s.
 func TestAllocationConvergesAtAnySize(t *testing.T) {
 	for _, engines := range []int{12, 64, 90, 600} {
 		t.Run(fmt.Sprint(engines, " engines"), func(t *testing.T) {
--- a/roles/order.go
+++ b/roles/order.go
@@ -24,7 +24,7 @@
 func (c *Controller) order(ctx context.Context, planned []Change) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+c.options.NoticePeriod)
 	defer cancel()
-	fence, err := c.options.Lease.Acquire(ctx)
+	fencingToken, err := c.options.Lease.Acquire(ctx)
 	if err != nil {
 		return err
 	}
@@ -39,23 +39,23 @@
 		c.options.Logger.Warn("engine did not report before its role change", "holder", c.options.Holder, "error", err.Error())
 	}
 	for _, change := range ready {
-		c.options.Announce(change.change, fence)
+		c.options.Announce(change.change, fencingToken)
 	}
 	notice := time.NewTimer(c.options.NoticePeriod)
 	defer notice.Stop()
 	select {
 	case <-ctx.Done():
-		c.withdraw(ready, fence)
+		c.withdraw(ready, fencingToken)
 		return errors.CombineErrors(ctx.Err(), c.releaseLease(ctx))
 	case <-notice.C:
 	}
 	// The lease is checked right before the orders are sent.
 	if err := c.options.Lease.Check(callTimeout); err != nil {
-		c.withdraw(ready, fence)
+		c.withdraw(ready, fencingToken)
 		return err
 	}
 	c.ordered = true
-	definite, err := c.send(ctx, ready, fence)
+	definite, err := c.send(ctx, ready, fencingToken)
 	if definite {
 		// No order of this holder is pending.
 		return errors.CombineErrors(err, c.releaseLease(ctx))
@@ -63,21 +63,21 @@
 	return err
 }
 
-// prepare requests the reports of the engines of all changes at once, and returns the changes that
-// can be ordered. The error is that of any engine that did not answer.
+// prepare requests the reports of all engines that are to change at once, and returns the changes
+// that can be ordered. The error is that of any engine that did not answer.
 func (c *Controller) prepare(ctx context.Context, planned []Change) ([]prepared, error) {
 	ready := make([]*prepared, len(planned))
 	failures := make([]error, len(planned))
 	forEach(planned, func(i int, change Change) {
 		ready[i], failures[i] = c.prepareOne(ctx, change)
 	})
-	var able []prepared
+	var orderable []prepared
 	for _, one := range ready {
 		if one != nil {
-			able = append(able, *one)
+			orderable = append(orderable, *one)
 		}
 	}
-	return able, firstError(failures)
+	return orderable, firstError(failures)
 }
 
 // prepareOne is prepare for one engine; the result is nil for an engine that was removed, is
@@ -92,24 +92,24 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "get report of engine %s", change.Engine)
 	}
-	// An order without an answer may be carried out nevertheless: the engine counts as changing
-	// from before it is sent.
+	// An order may be carried out although its response is lost, so the engine counts as changing
+	// before the order is sent.
 	c.MarkChanging(change)
 	if report.Changing || report.Role == change.Role {
-		return nil, nil //nolint:nilnil // nothing is to be ordered
+		return nil, nil //nolint:nilnil // no order is needed
 	}
 	return &prepared{change: change, target: target, sequence: report.Sequence}, nil
 }
 
-// send sends the orders, all at once. It reports whether each got a definite answer.
-func (c *Controller) send(ctx context.Context, ready []prepared, fence uint64) (definite bool, err error) {
+// send sends all orders concurrently. It reports whether each got a definite response.
+func (c *Controller) send(ctx context.Context, ready []prepared, fencingToken uint64) (definite bool, err error) {
 	failures := make([]error, len(ready))
 	forEach(ready, func(i int, one prepared) {
 		failures[i] = c.options.EngineClient.ChangeRole(ctx, one.target, Order{
-			Role: one.change.Role, Holder: c.options.Holder, FencingToken: fence, Expected: one.sequence,
+			Role: one.change.Role, Holder: c.options.Holder, FencingToken: fencingToken, Expected: one.sequence,
 		})
 		c.options.Logger.Info("role ordered", "engine", one.change.Engine, "role", string(one.change.Role),
-			"fence", fence, "expected", one.sequence, "error", logging.ErrorText(failures[i]))
+			"fence", fencingToken, "expected", one.sequence, "error", logging.ErrorText(failures[i]))
 	})
 	for _, failure := range failures {
 		if failure != nil && !errors.Is(failure, ErrOrderRejected) {
@@ -147,9 +147,9 @@
 }
 
 // withdraw withdraws announced changes whose orders were not sent.
-func (c *Controller) withdraw(ready []prepared, fence uint64) {
+func (c *Controller) withdraw(ready []prepared, fencingToken uint64) {
 	for _, one := range ready {
 		c.ClearChanging(one.change.Engine)
-		c.options.Withdraw(one.change, fence)
+		c.options.Withdraw(one.change, fencingToken)
 	}
 }
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -22,8 +22,8 @@
 }
 
 // total returns the number of all engines.
-func (d Allocation) total() int {
-	return len(d.Prefill) + len(d.Decode) + d.PendingPrefill + d.PendingDecode
+func (a Allocation) total() int {
+	return len(a.Prefill) + len(a.Decode) + a.PendingPrefill + a.PendingDecode
 }
 
 // Demand is the number of busy engines of each role.
@@ -67,12 +67,14 @@
 	// number. The attainable utilization is observed when no run fits: 0.75 to 0.8 where an engine
 	// holds seven runs.
 	maxDecodeUtilization = 0.85
-	// minDecodeUtilization is the lower bound of the observed utilization that is used.
+	// minDecodeUtilization is the lower bound of the target that follows from the observed
+	// utilization.
 	minDecodeUtilization = 0.5
 	// prefillHeadroom is the number of spare prefill engines as a multiple of the square root of
 	// the mean number of busy ones (square-root staffing, Halfin and Whitt 1981): any engine may
-	// take the next prompt, so larger pools need proportionally less of it for short waits. With
-	// it, three engines of nine may be 0.75 busy, 20 may be 0.89 and 200 0.96.
+	// take the next prompt, so larger pools need proportionally less headroom for short waits. With
+	// this value, three prefill engines of nine engines may be 0.75 busy, 20 prefill engines 0.89
+	// and 200 prefill engines 0.96.
 	prefillHeadroom = 0.5
 	// maxChangeShare is the share of the engines of a role that may change at once. With a quarter,
 	// the prefill engines of a fleet of 600 go from a third to a fifth in 12 s; one by one that
@@ -85,13 +87,13 @@
 	// shareTolerance is how far the share of prefill engines may be off while the demand is
 	// unknown, if that is lightLoadEngines or more: the initial share is not more accurate than
 	// that, and in a fleet of thousands the tolerance saves hundreds of orders, each of which makes
-	// an engine unavailable for seconds. In smaller fleets every engine in the wrong role is missed
-	// in the first burst, and would change in the middle of it.
+	// an engine unavailable for seconds. In smaller fleets every engine in the wrong role is needed
+	// in the first burst, and would change roles in the middle of it.
 	shareTolerance = 0.03
 	// A role is lightly loaded if at most lightLoad of it is busy and at least lightLoadEngines are
 	// free: another allocation would serve none of its requests sooner. The best allocation has
-	// both roles equally busy, however low the load, and the more engines there are, the smaller is
-	// the deviation from it that exceeds the hysteresis.
+	// both roles equally busy, however low the load, and the more engines there are, the smaller
+	// the deviation that exceeds the hysteresis.
 	lightLoad        = 0.5
 	lightLoadEngines = 64
 )
@@ -99,9 +101,9 @@
 // Plan returns the changes that bring an allocation closer to the policy, or none if it is close
 // enough. Each role keeps at least one engine.
 //
-// All surplus engines of a role may go as soon as the demand is certain, because the best
-// allocation has fewer of them anyway. The demand is an estimate, so that only a part of a role
-// changes at once, and the next changes follow the demand measured then.
+// If the demand were certain, all surplus engines of a role could change at once, because the best
+// allocation has fewer of them anyway. It is an estimate, so only a part of a role changes at once,
+// and the next changes follow the demand measured then.
 func (p Policy) Plan(allocation Allocation) []Change {
 	total := allocation.total()
 	if total < minEngines {
@@ -194,7 +196,7 @@
 
 // prefillCapacity returns how many of the given prefill engines may be busy on average.
 func prefillCapacity(engines int) float64 {
-	root := (math.Sqrt(prefillHeadroom*prefillHeadroom+4*float64(engines)) - prefillHeadroom) / 2 //nolint:mnd // of busy + spare * sqrt(busy) = engines
+	root := (math.Sqrt(prefillHeadroom*prefillHeadroom+4*float64(engines)) - prefillHeadroom) / 2 //nolint:mnd // solves busy + prefillHeadroom*sqrt(busy) = engines
 	return root * root
 }
 
@@ -205,8 +207,8 @@
 	return demand / capacity
 }
 
-// byIdleness sorts engines by the number of their runs, ties by descending identifier: they are
-// free for a new role in that order.
+// byIdleness sorts engines by the number of their runs, ties by descending identifier. Engines with
+// fewer runs are free for a new role sooner.
 func byIdleness(ids []string, runs map[string]int) []string {
 	return slices.SortedFunc(slices.Values(ids), func(a, b string) int {
 		return cmp.Or(cmp.Compare(runs[a], runs[b]), cmp.Compare(b, a))
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -20,7 +20,7 @@
 		for i := range rapid.IntRange(0, 40).Draw(t, "engines") {
 			role[strconv.Itoa(i)] = rapid.SampledFrom([]backend.Role{backend.RolePrefill, backend.RoleDecode}).Draw(t, "role")
 		}
-		moved := map[string]bool{}
+		changed := map[string]bool{}
 		for {
 			var allocation roles.Allocation
 			for id, current := range role {
@@ -35,15 +35,15 @@
 				return
 			}
 			for _, change := range planned {
-				if moved[change.Engine] {
-					t.Fatalf("%s moves twice", change.Engine)
+				if changed[change.Engine] {
+					t.Fatalf("%s changes twice", change.Engine)
 				}
-				moved[change.Engine] = true
+				changed[change.Engine] = true
 				role[change.Engine] = change.Role
 			}
 			to := planned[0].Role
 			if len(allocation.Prefill) <= len(planned) && to == backend.RoleDecode || len(allocation.Decode) <= len(planned) && to == backend.RolePrefill {
-				t.Fatal("a role is lost")
+				t.Fatal("a role has no engines left")
 			}
 		}
 	})
@@ -65,12 +65,12 @@
 		demand *roles.Demand
 		want   []roles.Change
 	}{
-		"balanced":                {&roles.Demand{Prefill: 1.6, Decode: 3.8}, nil},
-		"a burst of both":         {&roles.Demand{Prefill: 3.4, Decode: 8}, nil},
-		"slow reading":            {&roles.Demand{Prefill: 2.9, Decode: 2.7}, []roles.Change{{Engine: "i", Role: backend.RolePrefill}}},
-		"far too few readers":     {&roles.Demand{Prefill: 4, Decode: 1}, []roles.Change{{Engine: "i", Role: backend.RolePrefill, Urgent: true}}},
-		"too little to gain":      {&roles.Demand{Prefill: 0.3, Decode: 6}, nil},
-		"nothing asked of decode": {&roles.Demand{Prefill: 2}, []roles.Change{{Engine: "i", Role: backend.RolePrefill, Urgent: true}}},
+		"balanced":                    {&roles.Demand{Prefill: 1.6, Decode: 3.8}, nil},
+		"a burst of both":             {&roles.Demand{Prefill: 3.4, Decode: 8}, nil},
+		"slow prefill":                {&roles.Demand{Prefill: 2.9, Decode: 2.7}, []roles.Change{{Engine: "i", Role: backend.RolePrefill}}},
+		"far too few prefill engines": {&roles.Demand{Prefill: 4, Decode: 1}, []roles.Change{{Engine: "i", Role: backend.RolePrefill, Urgent: true}}},
+		"too little to gain":          {&roles.Demand{Prefill: 0.3, Decode: 6}, nil},
+		"no demand on decode":         {&roles.Demand{Prefill: 2}, []roles.Change{{Engine: "i", Role: backend.RolePrefill, Urgent: true}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			allocation := roles.Allocation{Prefill: three, Decode: six, Demand: test.demand}
@@ -115,10 +115,10 @@
 				prefill -= len(planned)
 			}
 			if steps > 40 {
-				t.Fatalf("does not end, began with %d of %d", first, engines)
+				t.Fatalf("does not end, started with %d of %d", first, engines)
 			}
 			if prefill <= 0 || prefill >= engines {
-				t.Fatal("a role is lost")
+				t.Fatal("a role has no engines left")
 			}
 		}
 	})
