--- a/owner/owner.go
+++ b/owner/owner.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if decision.Kind == scheduler.KindRefuse {
+	if decision.Kind == scheduler.KindReject {
 		return nil, refusal(decision)
 	}
 	return &peerpb.Granted{PrefillEngine: decision.Prefill, Epoch: o.options.Epoch}, nil
--- a/owner/pool.go
+++ b/owner/pool.go
@@ -120,7 +120,7 @@
 		p.metrics.Add("grants", 1)
 	case scheduler.KindDecode:
 		booked.decode = decision.Decode
-	case scheduler.KindRefuse:
+	case scheduler.KindReject:
 		delete(p.bookings, decision.RequestID)
 		p.metrics.Add("refusals", 1)
 	}
@@ -260,7 +260,7 @@
 			delete(p.bookings, id)
 		}
 		select {
-		case booked.decisions <- scheduler.Decision{Kind: scheduler.KindRefuse, Reason: reasonOwnerChanged}:
+		case booked.decisions <- scheduler.Decision{Kind: scheduler.KindReject, Reason: reasonOwnerChanged}:
 		default:
 		}
 	}
--- a/scheduler/decide.go
+++ b/scheduler/decide.go
@@ -79,7 +79,7 @@
 func refuseDecode(snapshot *Snapshot, request *Request) Decision {
 	for i := range snapshot.Decode {
 		if snapshot.Decode[i].Ready && !request.excludes(snapshot.Decode[i].Name) {
-			return Decision{Kind: KindRefuse, RequestID: request.ID, Reason: ReasonTooLarge}
+			return Decision{Kind: KindReject, RequestID: request.ID, Reason: ReasonTooLarge}
 		}
 	}
 	return refuse(snapshot, request, ReasonNoEngine)
@@ -92,7 +92,7 @@
 		after = time.Second
 	}
 	after = max(after, drainTime(snapshot))
-	return Decision{Kind: KindRefuse, RequestID: request.ID, Reason: reason, RetryAfter: min(after, maxRetryAfter)}
+	return Decision{Kind: KindReject, RequestID: request.ID, Reason: reason, RetryAfter: min(after, maxRetryAfter)}
 }
 
 // drainTime predicts how long the granted and waiting prefills take.
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -155,7 +155,7 @@
 	snapshot.Ahead = p.ahead(request)
 	decision := Decide(snapshot, request, p.options)
 	p.countDemand(request, decision.CachedTokens)
-	if decision.Kind == KindRefuse {
+	if decision.Kind == KindReject {
 		return &decision
 	}
 	expected := decision.FirstToken + drainTime(&Snapshot{Now: now, Prefill: p.idlePrefill(), Ahead: snapshot.Ahead})
@@ -233,7 +233,7 @@
 			p.queueOf(request).remove(request)
 			p.startPrefill(now, request, decision)
 			return decision, true
-		case KindRefuse:
+		case KindReject:
 			p.queueOf(request).remove(request)
 			return decision, true
 		}
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -113,7 +113,7 @@
 func TestEmptySnapshotIsARefusal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		decision := Decide(&Snapshot{}, drawRequest(t, 1, 0), drawOptions(t))
-		if decision.Kind != KindRefuse || decision.RetryAfter <= 0 {
+		if decision.Kind != KindReject || decision.RetryAfter <= 0 {
 			t.Fatalf("got %+v", decision)
 		}
 		if name := DecideDecode(&Snapshot{}, drawRequest(t, 2, 0), drawOptions(t)); name != "" {
@@ -164,7 +164,7 @@
 	pool.SetEngines(testEngines(1, 1))
 	late := &Request{ID: "late", Tenant: "a", Weight: 1, PromptTokens: 40000, MaxTokens: 10, FirstToken: time.Second, TokenInterval: 50 * time.Millisecond}
 	refused := pool.Submit(0, late)
-	if refused == nil || refused.Kind != KindRefuse || refused.Reason != ReasonDeadline || refused.RetryAfter <= 0 {
+	if refused == nil || refused.Kind != KindReject || refused.Reason != ReasonDeadline || refused.RetryAfter <= 0 {
 		t.Fatalf("got %+v", refused)
 	}
 	late.LateAllowed = true
--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -113,8 +113,8 @@
 	KindPrefill
 	// KindDecode grants a decode engine to a request whose prefill has ended.
 	KindDecode
-	// KindRefuse refuses the request.
-	KindRefuse
+	// KindReject refuses the request.
+	KindReject
 )
 
 // Reason is why a request was refused.
--- a/sim/model/policies.go
+++ b/sim/model/policies.go
@@ -216,7 +216,7 @@
 			p.simulation.enqueuePrefill(j, engineIndex(decision.Prefill))
 		case scheduler.KindDecode:
 			p.simulation.enqueueDecode(j, engineIndex(decision.Decode))
-		case scheduler.KindRefuse:
+		case scheduler.KindReject:
 			p.refuse(j)
 		default:
 		}
