--- a/ledger/names_test.go
+++ b/ledger/duplicate_test.go
@@ -9,8 +9,8 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// TestDuplicateRunIDIsReplaced assigns two runs with the same identifier. Once it has ended, both
-// engines must be as empty as before.
+// TestDuplicateRunIDIsReplaced assigns two runs with the same identifier. Once that run has ended,
+// both engines must be empty.
 func TestDuplicateRunIDIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	l := newLedger(2)
@@ -19,7 +19,7 @@
 		_, fits := l.Assign(0, large, nil)
 		g.Expect(fits).To(BeTrue())
 	}
-	l.End("same", ledger.AnswerTiming{})
+	l.End("same", ledger.OutputTiming{})
 	g.Expect(l.Len()).To(BeZero())
 	for _, id := range []string{"first", "second"} {
 		_, fits := l.Assign(time.Second, ledger.Run{ID: id, Prompt: 80_000, Output: 1000}, nil)
