--- a/admission/controller.go
+++ b/admission/controller.go
@@ -26,7 +26,7 @@
 	// busyUtilization is the utilization of a backend from which nodes report at the interval for load.
 	busyUtilization = 0.8
 	// overloadUtilization is the mean utilization from which requests may be rejected. At 0.8 of what backends
-	// can do, chosen by weight alone, it is about 1; rejecting below that has no benefit.
+	// can do, chosen by weight alone, it is about 1; rejecting requests below this threshold has no benefit.
 	overloadUtilization = 1.5
 	// notableUtilization is the utilization from which a plan lists a backend.
 	notableUtilization = 0.5
@@ -140,7 +140,7 @@
 	s.plannedAt, s.planned = now, true
 	shares := make(map[string]float64, len(slots))
 	utilization := make(map[string]float64, len(slots))
-	capacity, share := 0.0, 0.0
+	capacity, shareSum := 0.0, 0.0
 	for _, id := range slices.Sorted(maps.Keys(slots)) {
 		slotCount := float64(max(1, slots[id]))
 		seen := sum.backends[id]
@@ -154,9 +154,9 @@
 			rate := model.rate(*seen, slotCount, sum.objective)
 			capacity += rate
 			// Squared because a request that fails at one backend may be answered by another.
-			successRate := (1 - model.failing) * (1 - model.failing)
-			shares[id] = rate * max(minCapacityShare, successRate)
-			share += shares[id]
+			successFactor := (1 - model.failing) * (1 - model.failing)
+			shares[id] = rate * max(minCapacityShare, successFactor)
+			shareSum += shares[id]
 		}
 	}
 	for id := range s.backends {
@@ -173,7 +173,7 @@
 	s.capacity = capacity / known * float64(len(slots)) / s.upstreamRetries.perRequest()
 	s.offered, s.utilization = sum.firstAttempts+sum.retries, meanOf(utilization)
 	s.admit(now, sum)
-	s.weigh(shares, utilization, share/known, nodes)
+	s.weigh(shares, utilization, shareSum/known, nodes)
 }
 
 // meanOf returns the mean of the values.
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -7,8 +7,8 @@
 // load, and receives a Plan: the share of the requests to admit, and the weights of the backends. Nodes decide
 // by the plan alone, without a call per request, and ignore a plan that is too old.
 //
-// Meter counts what a node sees, Controller computes plans from all reports, and Gate applies a plan. All three
-// do no I/O; Client carries reports and plans between nodes.
+// Meter counts what a node sees, Controller computes plans from all reports, and Gate applies a plan. None of
+// them does I/O; Client carries reports and plans between nodes.
 //
 // The admitted share is one number for all nodes, as in the adaptive sampling of overload control by
 // collaborating services (Zhou et al., Overload Control for Scaling WeChat Microservices, SoCC 2018): it does
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -16,7 +16,7 @@
 	// retryAfterJitter is the jitter of the retry delay, as a fraction, so that callers rejected together retry
 	// at different times.
 	retryAfterJitter = 0.5
-	// rejectedFactor reduces the weight of a backend that has just rejected a request.
+	// rejectedFactor multiplies the weight of a backend that has just rejected a request.
 	rejectedFactor = 0.05
 )
 
@@ -28,7 +28,8 @@
 	Admitted bool
 	// RetryAfter is when a caller that is not admitted should retry.
 	RetryAfter time.Duration
-	// Share is the admitted share of such requests, by a plan of age PlanAge.
+	// Share is the admitted share of the requests of this kind (first attempts or client retries), by a plan of
+	// age PlanAge.
 	Share   float64
 	PlanAge time.Duration
 }
@@ -60,7 +61,7 @@
 	g.plans[service] = held
 }
 
-// plan returns the plan in force, or one that admits everything.
+// plan returns the active plan, or one that admits everything.
 func (g *Gate) plan(now time.Duration, service string) receivedPlan {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -170,7 +171,7 @@
 	return min(1, max(0, stay)) * min(1, weight)
 }
 
-// draw returns a random index, weighted.
+// draw returns a random index, with probabilities proportional to the weights.
 func draw(weights []float64, random Random) int {
 	sum := 0.0
 	for _, weight := range weights {
--- a/admission/meter.go
+++ b/admission/meter.go
@@ -23,7 +23,7 @@
 	backends               map[string]*BackendCounts
 	// urgent is set if a report should be sent early.
 	urgent bool
-	// reported is set if the last report was not empty: the coordinator must learn of the change.
+	// reported is set if the last report was not empty: the next one is then sent even if it is empty.
 	reported bool
 }
 
--- a/admission/meter_test.go
+++ b/admission/meter_test.go
@@ -32,13 +32,13 @@
 	g.Expect(due[0].Backends).To(Equal([]admission.BackendCounts{{ID: "b", Rejected: 1}}))
 
 	due = meter.Due(2500*time.Millisecond, everySecond)
-	g.Expect(due).To(HaveLen(1), "that nothing is under way any more is reported once")
+	g.Expect(due).To(HaveLen(1), "a report without requests is sent once")
 	g.Expect(due[0].Backends).To(BeEmpty())
 	g.Expect(meter.Due(4*time.Second, everySecond)).To(BeEmpty())
 }
 
-// TestGateIgnoresExpiredPlan checks that the gate rejects by the plan in force, and nothing once the plan is
-// too old.
+// TestGateIgnoresExpiredPlan checks that the gate rejects by the active plan, and nothing once the plan has
+// expired.
 func TestGateIgnoresExpiredPlan(t *testing.T) {
 	g := NewWithT(t)
 	gate := admission.NewGate()
@@ -46,8 +46,8 @@
 	g.Expect(gate.Admit(0, "s", false, half).Admitted).To(BeTrue())
 	gate.Put(0, "s", admission.Plan{FirstAttempts: 0.6, Retries: 0.1, RetryAfter: time.Second, Interval: 250 * time.Millisecond})
 	g.Expect(gate.Admit(time.Second, "s", false, half).Admitted).To(BeTrue())
-	refused := gate.Admit(time.Second, "s", true, half)
-	g.Expect(refused).To(Equal(admission.Decision{RetryAfter: time.Second, Share: 0.1, PlanAge: time.Second}))
+	rejected := gate.Admit(time.Second, "s", true, half)
+	g.Expect(rejected).To(Equal(admission.Decision{RetryAfter: time.Second, Share: 0.1, PlanAge: time.Second}))
 	g.Expect(gate.Interval(time.Second, "s")).To(Equal(250 * time.Millisecond))
 	g.Expect(gate.Admit(3*time.Second, "s", true, half).Admitted).To(BeTrue())
 }
--- a/admission/model.go
+++ b/admission/model.go
@@ -28,7 +28,7 @@
 // backendModel is the learned model of one backend.
 type backendModel struct {
 	// perRequest is the estimated time in seconds for which a request occupies a slot now; zero if unknown.
-	// answered is the same from requests that ended, also if none has recently.
+	// answered is the last estimate from requests that ended, without the increase for a stalled backend.
 	perRequest, answered float64
 	// failing is the share of the requests that fail, or are rejected while slots are free.
 	failing float64
--- a/admission/report.go
+++ b/admission/report.go
@@ -9,9 +9,9 @@
 const (
 	// OutcomeAbandoned is a request whose caller disconnected: it carries no information about the backend.
 	OutcomeAbandoned Outcome = iota
-	// OutcomeAnswered is a successful answer.
+	// OutcomeAnswered is a request with a successful response.
 	OutcomeAnswered
-	// OutcomeFailed is a request that may have run and has no successful answer.
+	// OutcomeFailed is a request that may have run and has no successful response.
 	OutcomeFailed
 	// OutcomeRejected is a request that the backend did not accept.
 	OutcomeRejected
@@ -20,7 +20,7 @@
 // BackendCounts holds a node's counts of one backend over a report's interval.
 type BackendCounts struct {
 	ID string
-	// Answered counts successful answers, Failed requests that may have run and have none, and Busy is the
+	// Answered counts successful responses, Failed requests that may have run and have none, and Busy is the
 	// total duration of both.
 	Answered, Failed int
 	Busy             time.Duration
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// retrySmoothing is the time constant of the upstream retry rate: longer than queues take to fill or to
-	// empty, which looks like retries.
+	// retrySmoothing is the time constant of the upstream retry rate. It is longer than queues take to fill or
+	// to empty, because a change of their length looks like retries.
 	retrySmoothing = 3 * time.Second
 	// maxRunsPerRequest bounds how much less is admitted because of upstream retries.
 	maxRunsPerRequest = 2.0
