--- a/quota/client.go
+++ b/quota/client.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// answerTimeout is how long the coordinator may take to answer. A request waits for it before anything else
-	// is done, and its node decides locally afterwards.
-	answerTimeout = 60 * time.Millisecond
-	// noticeTimeout bounds a call that no request waits for.
-	noticeTimeout = 300 * time.Millisecond
+	// chargeTimeout is how long the coordinator may take to respond to a charge. The request waits for the
+	// response before anything else is done, and its node decides locally after the timeout.
+	chargeTimeout = 60 * time.Millisecond
+	// reportTimeout bounds a call that no request waits for.
+	reportTimeout = 300 * time.Millisecond
 	// checkInterval is how often a node checks for another coordinator.
 	checkInterval = 100 * time.Millisecond
 	// presenceInterval is the longest time between two calls of a node to its coordinator.
 	presenceInterval = 500 * time.Millisecond
 )
 
-// Scope is the scope for which the quota coordinator is chosen.
+// Scope selects the coordinator of quotas in calls of coordinator.Locator.
 const Scope = "quotas"
 
 // ClientOptions configures a Client.
@@ -50,7 +50,7 @@
 	coordinator atomic.Pointer[string]
 	// answeredAt is when a coordinator last answered, by the clock of the options.
 	answeredAt atomic.Int64
-	// recent is what that coordinator, or one before it, granted recently.
+	// recent is what the coordinator, or an earlier one, granted recently.
 	recent recentUsage
 }
 
@@ -81,7 +81,7 @@
 	address := *c.coordinator.Load()
 	if address != "" {
 		usages := c.options.LocalLimiter.TakeUnreported(charged.Name)
-		grant, err := c.send(ctx, address, Charge{Tenant: charged.Name, Units: units, Usages: usages}, answerTimeout)
+		grant, err := c.send(ctx, address, Charge{Tenant: charged.Name, Units: units, Usages: usages}, chargeTimeout)
 		if err == nil && grant.TenantKnown {
 			if grant.Granted {
 				c.recent.add(c.options.Now(), charged.Name, units)
@@ -98,8 +98,8 @@
 	return Decision{Grant: grant, Source: SourceLocal}
 }
 
-// Refund returns the units of a request that did not run. It does not wait for the answer; what is not
-// delivered is reported with a later charge.
+// Refund returns the units of a request that did not run. It does not wait for the response; a refund that is
+// not delivered is reported with a later charge.
 func (c *Client) Refund(charged *tenant.Tenant, units float64) {
 	c.options.LocalLimiter.AddUnreported(charged.Name, -units)
 	c.recent.add(c.options.Now(), charged.Name, -units)
@@ -108,9 +108,9 @@
 	}
 }
 
-// report registers this node with a coordinator, and sends usage that it has no record of.
+// report registers this node with a coordinator, and sends usage that the coordinator has no record of.
 func (c *Client) report(ctx context.Context, address string, usages []Usage) {
-	if _, err := c.send(ctx, address, Charge{Usages: usages}, noticeTimeout); err != nil {
+	if _, err := c.send(ctx, address, Charge{Usages: usages}, reportTimeout); err != nil {
 		c.options.LocalLimiter.RestoreUnreported(usages)
 		c.options.Coordinators.Missed(address, err)
 	}
--- a/quota/coordinator.go
+++ b/quota/coordinator.go
@@ -44,7 +44,7 @@
 	Recent float64
 }
 
-// Grant is the answer to a Charge.
+// Grant is the response to a Charge.
 type Grant struct {
 	Granted bool
 	// TenantKnown is set if the coordinator knows the tenant. One with an older configuration may not; the node
@@ -61,7 +61,7 @@
 
 // Options configures a Coordinator.
 type Options struct {
-	// Tenant returns a tenant by name, nil if the configuration in force has none.
+	// Tenant returns a tenant by name, nil if the active configuration has none.
 	Tenant func(name string) *tenant.Tenant
 	// Nodes returns the number of nodes in the fleet, including those that do not answer.
 	Nodes func() int
@@ -96,8 +96,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calledAt[charge.Holder] = now
-	for _, use := range charge.Usages {
-		c.addUsage(now, use)
+	for _, usage := range charge.Usages {
+		c.addUsage(now, usage)
 	}
 	found := c.options.Tenant(charge.Tenant)
 	if found == nil {
@@ -114,14 +114,14 @@
 }
 
 // addUsage records usage without this coordinator's grant; the lock is held.
-func (c *Coordinator) addUsage(now time.Duration, use Usage) {
-	found := c.options.Tenant(use.Tenant)
+func (c *Coordinator) addUsage(now time.Duration, usage Usage) {
+	found := c.options.Tenant(usage.Tenant)
 	if found == nil || !found.Quota.Limited() {
 		return
 	}
 	held := c.current(now, found)
-	held.level = min(held.level-use.Unreported, held.limit.Burst*c.currentShare(now))
-	held.grantedElsewhere(now, use.Recent)
+	held.level = min(held.level-usage.Unreported, held.limit.Burst*c.currentShare(now))
+	held.grantedElsewhere(now, usage.Recent)
 }
 
 // current returns the bucket of a tenant, refilled; the lock is held.
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -11,6 +11,6 @@
 // coordinator uses a single node's equal share, and reports that to the next coordinator it reaches. If both
 // sides of a partition choose a coordinator, the two together grant one limit.
 //
-// Coordinator decides on charges, and LocalLimiter on those that reach no coordinator. Both do no I/O. Client
+// Coordinator decides on charges, and LocalLimiter on those that reach no coordinator. Neither does I/O. Client
 // carries charges between nodes.
 package quota
--- a/quota/local.go
+++ b/quota/local.go
@@ -9,10 +9,10 @@
 
 const (
 	// localAdvance is how much of its share of the rate a node may use at once, in addition to its share of the
-	// burst. Without it, random partitions exceeded limits no less often (replays); with 8 s, the window over
-	// which limits are judged, they were exceeded after 75 of the partitions.
+	// burst. Without it, limits were exceeded no less often in replays of random partitions; with 8 s, the
+	// window over which limits are evaluated, they were exceeded after 75 of the partitions.
 	localAdvance = time.Second
-	// failoverTime is how long after its coordinator's last answer a node grants every request. The next
+	// failoverTime is how long after its coordinator's last response a node grants every request. The next
 	// coordinator is found within about a second, and receives the usage as a debt: a tenant that sends four
 	// times its limit uses no more than the limit in the window around it.
 	failoverTime = 800 * time.Millisecond
@@ -44,8 +44,8 @@
 	return &LocalLimiter{nodes: nodes, random: random, buckets: map[string]*bucket{}, unreported: map[string]float64{}}
 }
 
-// Decide decides on a charge of a tenant, given the time since the coordinator's last answer.
-func (l *LocalLimiter) Decide(now time.Duration, charged *tenant.Tenant, units float64, sinceAnswer time.Duration) Grant {
+// Decide decides on a charge of a tenant, given the time since the coordinator's last response.
+func (l *LocalLimiter) Decide(now time.Duration, charged *tenant.Tenant, units float64, sinceResponse time.Duration) Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	share := 1 / float64(max(1, l.nodes()))
@@ -57,7 +57,7 @@
 		l.buckets[charged.Name] = current
 	}
 	current.refill(now, limit, share)
-	if sinceAnswer > failoverTime && !l.draw(current, units) {
+	if sinceResponse > failoverTime && !l.draw(current, units) {
 		return Grant{TenantKnown: true, Level: current.level, RetryAfter: max(minRetryAfter, current.wait(0, share))}
 	}
 	current.level -= units
@@ -118,7 +118,7 @@
 
 // RestoreUnreported adds usage whose report was not answered.
 func (l *LocalLimiter) RestoreUnreported(usages []Usage) {
-	for _, use := range usages {
-		l.AddUnreported(use.Tenant, use.Unreported)
+	for _, usage := range usages {
+		l.AddUnreported(usage.Tenant, usage.Unreported)
 	}
 }
--- a/quota/replay_test.go
+++ b/quota/replay_test.go
@@ -41,7 +41,7 @@
 	// grantedBy is the coordinator whose grants recent holds.
 	grantedBy []int
 	recent    []*recentUsage
-	// answeredAt is when each node last had an answer of a coordinator.
+	// answeredAt is when each node last had a response of a coordinator.
 	answeredAt []time.Duration
 	presentAt  []time.Duration
 	now        time.Duration
@@ -147,8 +147,8 @@
 	return count
 }
 
-func (r *replay) play(lasting time.Duration, load func(tenant int) float64) {
-	for until := r.now + lasting; r.now < until; {
+func (r *replay) play(duration time.Duration, load func(tenant int) float64) {
+	for until := r.now + duration; r.now < until; {
 		r.step(load)
 	}
 }
@@ -204,11 +204,11 @@
 			played.play(10*time.Second, usual)
 			played.play(7*time.Second, hotFirst)
 			played.play(10*time.Second, usual)
-			over, rejected := played.worstOvershoot(0), played.rejectedShare()
+			overshoot, rejected := played.worstOvershoot(0), played.rejectedShare()
 			t.Logf("nodes %d, coordinated %v: worst window %+.3f, rejected below the limit %.4f, calls a node and second %.2f",
-				nodes, coordinated, over, rejected, float64(played.calls)/float64(nodes)/played.now.Seconds())
+				nodes, coordinated, overshoot, rejected, float64(played.calls)/float64(nodes)/played.now.Seconds())
 			if coordinated {
-				g.Expect(over).To(BeNumerically("<", toleratedOvershoot))
+				g.Expect(overshoot).To(BeNumerically("<", toleratedOvershoot))
 				g.Expect(rejected).To(BeNumerically("<", 0.005))
 			}
 		}
@@ -216,15 +216,15 @@
 }
 
 // TestLimitHoldsInPartitions splits the fleet, loses coordinators and heals it again at random, while one
-// tenant is hot. Each split lasts at least as long as it takes to detect. What two coordinators and
-// uncoordinated nodes grant together stays within the limit and the slack of the supported
-// deployments, and tenants below their limit are served.
+// tenant is hot. Each split lasts at least as long as it takes to detect. What two coordinators and nodes
+// without one grant together stays within the limit and the slack of the supported deployments, and tenants
+// below their limit are served.
 func TestLimitHoldsInPartitions(t *testing.T) {
 	const slack = 120_000 / (replayRate * 9)
 	// The limit does not hold in every partition: of 20,000 such replays, counted one by one, 171 were above
-	// the limit, its tolerance and the slack, 40 by more than this, the worst by 0.156. So other seeds than
-	// that of CI fail here, about one draw in 500.
-	const chance = 0.05
+	// the limit, its tolerance and the slack, 40 by more than this margin, the worst by 0.156. So other seeds
+	// than that of CI fail here, about one draw in 500.
+	const margin = 0.05
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		nodes := rapid.SampledFrom([]int{8, 30, 60}).Draw(t, "nodes")
@@ -246,7 +246,7 @@
 			}
 			played.play(time.Duration(rapid.IntRange(2000, 6000).Draw(t, "lasting"))*time.Millisecond, hotFirst)
 		}
-		g.Expect(played.worstOvershoot(0)).To(BeNumerically("<", toleratedOvershoot+slack+chance))
+		g.Expect(played.worstOvershoot(0)).To(BeNumerically("<", toleratedOvershoot+slack+margin))
 		// Up to half of the nodes reach no coordinator, and serve by a single node's share.
 		g.Expect(played.rejectedShare()).To(BeNumerically("<", 0.5))
 	})
@@ -271,7 +271,7 @@
 	}
 	g.Expect(granted).To(BeNumerically("<=", 6))
 	limited = &tenant.Tenant{Name: "a", Quota: tenant.Quota{Rate: 1000, Burst: 1000}}
-	g.Expect(take(10*time.Second)).To(BeTrue(), "a higher limit is in force at once")
+	g.Expect(take(10*time.Second)).To(BeTrue(), "a higher limit applies immediately")
 }
 
 // TestRefund charges, refunds, and charges again.
@@ -288,7 +288,7 @@
 	g.Expect(coordinator.Decide(0, Charge{Tenant: "a", Holder: "h", Units: 400}).Granted).To(BeTrue())
 }
 
-// TestRequestAboveBurstIsServed has a single request cost more than the whole burst.
+// TestRequestAboveBurstIsServed charges single requests that cost more than the whole burst.
 func TestRequestAboveBurstIsServed(t *testing.T) {
 	g := NewWithT(t)
 	limited := &tenant.Tenant{Name: "a", Quota: tenant.Quota{Rate: 100, Burst: 100}}
--- a/quota/wire.go
+++ b/quota/wire.go
@@ -7,16 +7,16 @@
 
 func encodeCharge(charge Charge) *peerpb.ChargeQuota {
 	encoded := &peerpb.ChargeQuota{Tenant: charge.Tenant, Holder: charge.Holder, Units: charge.Units}
-	for _, use := range charge.Usages {
-		encoded.Uses = append(encoded.Uses, &peerpb.QuotaUse{Tenant: use.Tenant, Unreported: use.Unreported, Recent: use.Recent})
+	for _, usage := range charge.Usages {
+		encoded.Uses = append(encoded.Uses, &peerpb.QuotaUse{Tenant: usage.Tenant, Unreported: usage.Unreported, Recent: usage.Recent})
 	}
 	return encoded
 }
 
 func decodeCharge(encoded *peerpb.ChargeQuota) Charge {
 	charge := Charge{Tenant: encoded.GetTenant(), Holder: encoded.GetHolder(), Units: max(0, encoded.GetUnits())}
-	for _, use := range encoded.GetUses() {
-		charge.Usages = append(charge.Usages, Usage{Tenant: use.GetTenant(), Unreported: use.GetUnreported(), Recent: max(0, use.GetRecent())})
+	for _, usage := range encoded.GetUses() {
+		charge.Usages = append(charge.Usages, Usage{Tenant: usage.GetTenant(), Unreported: usage.GetUnreported(), Recent: max(0, usage.GetRecent())})
 	}
 	return charge
 }
