--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -125,7 +125,7 @@
 	for _, report := range h.options.Budget.Report() {
 		counts := sent[report.Service]
 		h.options.Logger.Info("repeats", "service", report.Service, "requests", counts.requests, "beyond_first", counts.upstreamRetries,
-			"granted", report.Granted, "refused", report.Refused, "window_requests", report.Requests, "window_repeats", report.Retries,
+			"granted", report.Granted, "refused", report.Rejected, "window_requests", report.Requests, "window_repeats", report.Retries,
 			"left", report.Remaining, "burst", report.Burst)
 	}
 }
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -79,8 +79,8 @@
 // Report is the state of one service's budget.
 type Report struct {
 	Service string
-	// Granted and Refused count retries since the last report.
-	Granted, Refused int
+	// Granted and Rejected count retries since the last report.
+	Granted, Rejected int
 	// Requests and Retries are those of the last window.
 	Requests, Retries int
 	// Remaining is how many retries may be sent now, and Burst how many a window may hold beyond the ratio.
@@ -99,7 +99,7 @@
 			continue
 		}
 		reports = append(reports, Report{
-			Service: service, Granted: current.granted, Refused: current.refused,
+			Service: service, Granted: current.granted, Rejected: current.refused,
 			Requests: current.sumOfWindow(&current.requests), Retries: current.sumOfWindow(&current.retries),
 			Remaining: b.remaining(current), Burst: b.burst(),
 		})
