--- a/retrybudget/account.go
+++ b/retrybudget/account.go
@@ -17,8 +17,8 @@
 	retries  [bucketsKept]int
 	// reserved counts the retries that were granted and have not arrived at a backend.
 	reserved int
-	// granted and refused count retries since the last report.
-	granted, refused int
+	// granted and rejected count retries since the last report.
+	granted, rejected int
 }
 
 // advance begins the bucket with a number, and clears those that are too old.
@@ -39,8 +39,8 @@
 //
 // A window's retries may count against its own requests or those of the window before it, whichever are more,
 // and thus against half of both together. All nodes use this mean: if each node chose for itself, callers that
-// move from one node to another would count at both. Requests that the window will still receive only add to
-// it. A window that begins within a bucket includes a part of that bucket and of the one a window earlier: the
+// move from one node to another would count at both. Requests that the window will still receive only raise the
+// mean. A window that begins within a bucket includes a part of that bucket and of the one a window earlier: the
 // retries of the first count whole, and the requests of the second not at all.
 func (a *account) remaining(burst, ratio float64) float64 {
 	remaining := math.Inf(1)
--- a/retrybudget/allocation.go
+++ b/retrybudget/allocation.go
@@ -81,8 +81,8 @@
 	return next, next.changes(a)
 }
 
-// changes reports whether the share of a current node differs. Shares of removed nodes need no write until
-// another node is to have them.
+// changes reports whether the share of a current node differs from the earlier one. Shares of removed nodes need
+// no write until another node is to have them.
 func (a Allocation) changes(earlier Allocation) bool {
 	for name, share := range a.Shares {
 		if share != earlier.Shares[name] {
--- a/retrybudget/allocation_test.go
+++ b/retrybudget/allocation_test.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// TestBriefAbsenceChangesNoOtherShare: with eight nodes, the others would get a seventh more.
+// TestBriefAbsenceChangesNoOtherShare checks that an absent node's share is kept for it: with eight nodes, the
+// others would get only a seventh more.
 func TestBriefAbsenceChangesNoOtherShare(t *testing.T) {
 	g := NewWithT(t)
 	all := members("a", "b", "c", "d", "e", "f", "g", "h")
@@ -84,7 +85,8 @@
 	}
 }
 
-// TestNextIncarnationInheritsShare: no other node has had the share meanwhile.
+// TestNextIncarnationInheritsShare checks that a restarted node gets the share of its previous start, which no
+// other node has had meanwhile.
 func TestNextIncarnationInheritsShare(t *testing.T) {
 	g := NewWithT(t)
 	first, _ := retrybudget.Allocation{}.Next(members("a"), 4)
@@ -115,7 +117,7 @@
 	g.Expect(holder.Usable()).To(Equal(8))
 }
 
-// TestDecodeRejectsInvalidAllocations: another writer must not raise what nodes spend.
+// TestDecodeRejectsInvalidAllocations checks that another writer of the object cannot raise what nodes spend.
 func TestDecodeRejectsInvalidAllocations(t *testing.T) {
 	g := NewWithT(t)
 	const total = 8
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -95,15 +95,15 @@
 	var reports []Report
 	for service := range b.services {
 		current := b.account(service)
-		if current.granted+current.refused == 0 {
+		if current.granted+current.rejected == 0 {
 			continue
 		}
 		reports = append(reports, Report{
-			Service: service, Granted: current.granted, Rejected: current.refused,
+			Service: service, Granted: current.granted, Rejected: current.rejected,
 			Requests: current.sumOfWindow(&current.requests), Retries: current.sumOfWindow(&current.retries),
 			Remaining: b.remaining(current), Burst: b.burst(),
 		})
-		current.granted, current.refused = 0, 0
+		current.granted, current.rejected = 0, 0
 	}
 	slices.SortFunc(reports, func(a, b Report) int { return strings.Compare(a.Service, b.Service) })
 	return reports
--- a/retrybudget/grant.go
+++ b/retrybudget/grant.go
@@ -24,7 +24,7 @@
 	defer g.budget.mu.Unlock()
 	current := g.budget.account(g.service)
 	if float64(missing) > g.budget.remaining(current) {
-		current.refused += missing
+		current.rejected += missing
 		return false
 	}
 	current.granted += missing
@@ -33,7 +33,7 @@
 	return true
 }
 
-// MaySend reports whether retries may be sent up to total. It is false if they are not reserved, or if the
+// MaySend reports whether retries may be sent up to total. It returns false if they are not reserved, or if the
 // current windows allow fewer than those at the time of the reservation.
 func (g *Grant) MaySend(total int) bool {
 	more := total - g.arrived
@@ -44,7 +44,7 @@
 	defer g.budget.mu.Unlock()
 	current := g.budget.account(g.service)
 	if more > g.reserved || g.budget.remaining(current) < 0 {
-		current.refused += more
+		current.rejected += more
 		return false
 	}
 	return true
--- a/retrybudget/property_test.go
+++ b/retrybudget/property_test.go
@@ -61,7 +61,8 @@
 	return count
 }
 
-// TestStartHasNoBurst: a previous start may have spent all of it just before.
+// TestStartHasNoBurst checks that a node has no burst in the first window after its start: a previous start may
+// have spent all of it just before.
 func TestStartHasNoBurst(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
@@ -78,8 +79,8 @@
 	g.Expect(sendRetries(budget, 1)).To(BeFalse())
 }
 
-// allowedInWindow is how the platform counts: the retries of a window against the requests of that window, of
-// the one before it or of the one half a window before it, whichever has the most.
+// allowedInWindow returns the limit as the platform computes it: the retries of a window count against the
+// requests of that window, of the one before it or of the one half a window before it, whichever has the most.
 func allowedInWindow(requests []time.Time, from time.Time, slack float64) float64 {
 	most := 0
 	for _, earlier := range []time.Duration{0, window, window / 2} {
