--- a/quarantine/archive.go
+++ b/quarantine/archive.go
@@ -101,7 +101,7 @@
 	for _, object := range objects {
 		earlier, err := DecodeRecord(a.wall(), object.Name, object.Spec)
 		if err != nil {
-			a.logger.Error("quarantine refused", "name", object.Name, "error", err.Error())
+			a.logger.Error("quarantine object rejected", "name", object.Name, "error", err.Error())
 			continue
 		}
 		a.versions[object.Name] = object.Version
@@ -139,7 +139,7 @@
 	defer cancel()
 	written, err := a.store.Put(ctx, objectapi.Object{Kind: Kind, Name: name, Spec: spec})
 	if errors.Is(err, objectapi.ErrConflict) {
-		// An earlier coordinator has written it, or this one without receiving the answer.
+		// An earlier coordinator has written it, or this one without receiving the response.
 		a.loaded = false
 		return nil
 	}
--- a/quarantine/archive_test.go
+++ b/quarantine/archive_test.go
@@ -139,11 +139,11 @@
 	announcement := first.announced[request]
 	g.Expect(announcement.Status()).To(Equal(Status{Crashes: 2, Quarantined: suspectDuration}))
 	first.archive.Reconcile(t.Context())
-	g.Expect(store.objects).To(BeEmpty(), "over too soon")
+	g.Expect(store.objects).To(BeEmpty(), "it ends too soon to be stored")
 
 	second := newTestCoordinator(store, time.Hour)
 	second.Adopt(announcement)
-	g.Expect(second.announced).To(BeEmpty(), "all know it")
+	g.Expect(second.announced).To(BeEmpty(), "it is announced already")
 	second.crash(request, "a")
 	g.Expect(second.announced).To(BeEmpty())
 	second.crash(request, "c")
@@ -166,7 +166,7 @@
 	clear(store.objects)
 	coordinator.now += reloadInterval - time.Second
 	coordinator.archive.Reconcile(t.Context())
-	g.Expect(coordinator.announced[request].Quarantined).To(BeNumerically(">", 0), "not looked yet")
+	g.Expect(coordinator.announced[request].Quarantined).To(BeNumerically(">", 0), "not read yet")
 	coordinator.now += time.Second
 	coordinator.archive.Reconcile(t.Context())
 	g.Expect(coordinator.announced[request].Status()).To(Equal(Status{}))
--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// answerTimeout is how long the coordinator may take to answer. A request whose backend failed waits for it
-	// before it is sent anywhere else.
-	answerTimeout = 60 * time.Millisecond
+	// crashTimeout is how long the coordinator may take to respond to a crash. The request whose backend failed
+	// waits for the response before it is sent anywhere else.
+	crashTimeout = 60 * time.Millisecond
 	// checkInterval is how often a node checks for another coordinator, and sends it what it does not know.
 	checkInterval = 250 * time.Millisecond
-	// noticeTimeout bounds a call that no request waits for.
-	noticeTimeout = 300 * time.Millisecond
+	// reportTimeout bounds a call that no request waits for.
+	reportTimeout = 300 * time.Millisecond
 )
 
-// Scope is the scope for which the quarantine coordinator is chosen.
+// Scope selects the coordinator of quarantines in calls of coordinator.Locator.
 const Scope = "quarantines"
 
 // ClientOptions configures a Client.
@@ -40,8 +40,8 @@
 	Now func() time.Duration
 }
 
-// Client is one node's part: the crashes that it saw, and the quarantine status of requests. It is safe for
-// concurrent use.
+// Client holds the crashes that one node saw, and the quarantine status of requests that it received. It is safe
+// for concurrent use.
 type Client struct {
 	options ClientOptions
 	// hasRecords is set while any request has a record.
@@ -53,9 +53,9 @@
 	// evidence holds the crashes that this node saw, by request; a coordinator chosen later is sent all of
 	// them.
 	evidence map[Fingerprint][]*localEvidence
-	// answered are the requests whose answer the coordinator has not been sent.
+	// answered holds the answered requests that have not been reported to the coordinator.
 	answered []Fingerprint
-	// received is the coordinator's status of requests.
+	// received holds the status of requests as the coordinator sent or announced it.
 	received map[Fingerprint]receivedStatus
 	// coordinator is the address of the coordinator at the last check.
 	coordinator string
@@ -117,7 +117,7 @@
 	c.evidence[request] = append(c.evidence[request], added)
 	c.hasRecords.Store(true)
 	c.mu.Unlock()
-	c.deliver(ctx, notice{evidence: []*localEvidence{added}}, answerTimeout)
+	c.deliver(ctx, pendingReport{evidence: []*localEvidence{added}}, crashTimeout)
 	return c.Status(request)
 }
 
@@ -134,8 +134,8 @@
 	c.queueAnswered(request)
 }
 
-// queueAnswered queues answered requests for the coordinator and keeps the latest of them; the lock is held. A
-// coordinator that misses an answer counts the request's crashes until they expire.
+// queueAnswered queues answered requests for the coordinator and keeps the latest of them; the lock is held. If
+// one is not reported, the coordinator counts the request's crashes until they expire.
 func (c *Client) queueAnswered(requests ...Fingerprint) {
 	c.answered = append(c.answered, requests...)
 	if excess := len(c.answered) - maxRequests; excess > 0 {
@@ -179,7 +179,7 @@
 			c.options.Local.Expire()
 		}
 		if unreported, due := c.unreported(); due {
-			c.deliver(ctx, unreported, noticeTimeout)
+			c.deliver(ctx, unreported, reportTimeout)
 		}
 	})
 }
@@ -207,24 +207,24 @@
 	return c.coordinator != "" && c.coordinator == c.options.Coordinators.Own()
 }
 
-// notice is what a node is about to send to the coordinator.
-type notice struct {
+// pendingReport is what a node is about to report to the coordinator.
+type pendingReport struct {
 	evidence []*localEvidence
 	answered []Fingerprint
 	all      bool
 }
 
-// report returns the notice in the form sent.
-func (n notice) report() report {
-	reported := report{answered: n.answered, all: n.all}
-	for _, one := range n.evidence {
+// report returns the report in the form that is sent.
+func (p pendingReport) report() report {
+	reported := report{answered: p.answered, all: p.all}
+	for _, one := range p.evidence {
 		reported.evidence = append(reported.evidence, one.Evidence)
 	}
 	return reported
 }
 
 // unreported returns what the coordinator has not been sent, and whether there is anything to send.
-func (c *Client) unreported() (unreported notice, due bool) {
+func (c *Client) unreported() (unreported pendingReport, due bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, seen := range c.evidence {
@@ -254,15 +254,15 @@
 	c.hasRecords.Store(!c.local.Empty() || len(c.received) > 0)
 }
 
-// deliver sends a notice to the coordinator, possibly this node, and applies its answer. What was not delivered
+// deliver sends a report to the coordinator, possibly this node, and applies the response. What was not delivered
 // is sent again.
-func (c *Client) deliver(ctx context.Context, unreported notice, timeout time.Duration) {
+func (c *Client) deliver(ctx context.Context, unreported pendingReport, timeout time.Duration) {
 	address, found := c.options.Coordinators.Coordinator(Scope)
 	if !found {
 		c.requeueAnswered(unreported.answered)
 		return
 	}
-	answer, err := c.send(ctx, address, unreported.report(), timeout)
+	response, err := c.send(ctx, address, unreported.report(), timeout)
 	if err != nil {
 		c.requeueAnswered(unreported.answered)
 		if ctx.Err() == nil {
@@ -277,11 +277,11 @@
 	}
 	for i, one := range unreported.evidence {
 		one.reported = true
-		if i < len(answer.statuses) && answer.statuses[i].Suspect() {
-			c.receive(one.Request, answer.statuses[i])
+		if i < len(response.statuses) && response.statuses[i].Suspect() {
+			c.receive(one.Request, response.statuses[i])
 		}
 	}
-	for _, announcement := range answer.announced {
+	for _, announcement := range response.announced {
 		c.receive(announcement.Request, announcement.Status())
 	}
 }
@@ -316,8 +316,8 @@
 func (c *Client) Handle(request *peerpb.Request) (*peerpb.Response, error) {
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_ReportCrashes:
-		answer := c.options.Local.handle(decodeReport(c.options.Now(), body.ReportCrashes))
-		return &peerpb.Response{Body: &peerpb.Response_CrashStandings{CrashStandings: encodeReply(answer)}}, nil
+		response := c.options.Local.handle(decodeReport(c.options.Now(), body.ReportCrashes))
+		return &peerpb.Response{Body: &peerpb.Response_CrashStandings{CrashStandings: encodeReply(response)}}, nil
 	case *peerpb.Request_AnnounceCrashes:
 		announcement, valid := decodeAnnouncement(body.AnnounceCrashes)
 		if !valid {
--- a/quarantine/client_test.go
+++ b/quarantine/client_test.go
@@ -17,7 +17,7 @@
 func (noCoordinator) Missed(string, error)              {}
 
 // TestClientEvidenceIsBounded has backends crash under more requests than the table holds, without a
-// coordinator. The evidence of requests that the table had evicted was never removed.
+// coordinator. It guards against evidence that is never removed after the table has evicted its request.
 func TestClientEvidenceIsBounded(t *testing.T) {
 	const beyond = 2000
 	g := NewWithT(t)
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -45,7 +45,7 @@
 	return &Coordinator{options: options, table: NewTable(), announced: map[Fingerprint]receivedStatus{}}
 }
 
-// handle applies a node's report, and answers it.
+// handle applies a node's report and returns the reply.
 func (c *Coordinator) handle(reported report) reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,20 +54,20 @@
 		c.table.Answered(request)
 		c.announce(now, request)
 	}
-	answer := reply{statuses: make([]Status, len(reported.evidence))}
+	response := reply{statuses: make([]Status, len(reported.evidence))}
 	for i, evidence := range reported.evidence {
 		if now-evidence.At < evidenceLifetime {
 			c.table.Add(evidence.At, evidence.Request, evidence.Backend)
 		}
 		c.announce(now, evidence.Request)
-		answer.statuses[i] = c.table.Status(now, evidence.Request)
+		response.statuses[i] = c.table.Status(now, evidence.Request)
 	}
 	if reported.all {
 		for request := range c.announced {
-			answer.announced = append(answer.announced, c.announcement(now, request))
+			response.announced = append(response.announced, c.announcement(now, request))
 		}
 	}
-	return answer
+	return response
 }
 
 // Adopt applies an earlier coordinator's announcement without sending it again. The nodes whose evidence it
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,8 +8,8 @@
 
 const (
 	// suspectCrashes is the number of crashes in a row from which a request is quarantined for a short time. On
-	// 81 days of ordinary crashes 359 requests were at one, and none at two; beside requests that crash their
-	// engines, a few in a hundred are.
+	// 81 days of ordinary crashes 359 requests were at one, and none at two; of the requests that run beside
+	// ones that crash their engines, a few in a hundred are at two.
 	suspectCrashes = 2
 	// quarantineCrashes is the number of backends that may end under a request before it is quarantined for
 	// long.
@@ -45,7 +45,7 @@
 // is suspended.
 type Table struct {
 	requests map[Fingerprint]*history
-	// onForget is called with each request that is removed without an answer; may be nil.
+	// onForget is called with each request that is removed without having been answered; may be nil.
 	onForget func(request Fingerprint)
 }
 
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -18,16 +18,16 @@
 	g := NewWithT(t)
 	table, request := NewTable(), testRequest(1)
 	g.Expect(table.Add(0, request, "1")).To(Equal(Status{Crashes: 1}))
-	g.Expect(table.Add(time.Second, request, "1")).To(Equal(Status{Crashes: 1}), "the same crash, told again")
+	g.Expect(table.Add(time.Second, request, "1")).To(Equal(Status{Crashes: 1}), "the same crash, reported again")
 	g.Expect(table.Add(time.Second, request, "2")).To(Equal(Status{Crashes: 2, Quarantined: suspectDuration}))
 	ended := time.Second + suspectDuration
 	g.Expect(table.Status(ended, request)).To(Equal(Status{Crashes: 2}))
 	g.Expect(table.Add(ended, request, "3")).To(Equal(Status{Crashes: 3, Quarantined: quarantineDuration}))
 }
 
-// TestAnswerClearsCrashes: a request that many callers send is in flight at each ordinary crash, and is
-// answered in between. An answer also ends a quarantine.
-func TestAnswerClearsCrashes(t *testing.T) {
+// TestResponseClearsCrashes checks a request that many callers send: it is in flight at each ordinary crash, and
+// is answered in between. A response also ends a quarantine.
+func TestResponseClearsCrashes(t *testing.T) {
 	g := NewWithT(t)
 	table, request := NewTable(), testRequest(1)
 	for crash := range 20 {
@@ -42,8 +42,8 @@
 	g.Expect(table.Status(0, request)).To(Equal(Status{}))
 }
 
-// TestNextCrashRenewsQuarantine: a request that crashed three backends and was quarantined for an hour crashes
-// at most one more.
+// TestNextCrashRenewsQuarantine checks that a request that crashed three backends and was quarantined for an
+// hour crashes at most one more.
 func TestNextCrashRenewsQuarantine(t *testing.T) {
 	g := NewWithT(t)
 	table, request := NewTable(), testRequest(1)
@@ -57,7 +57,7 @@
 	g.Expect(table.Expire(ended + quarantineDuration + evidenceLifetime)).To(Equal([]Fingerprint{request}))
 }
 
-// TestTableMatchesModel draws crashes, answers and times, and compares the table with a simple model.
+// TestTableMatchesModel draws crashes, responses and times, and compares the table with a simple model.
 func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, request := NewTable(), testRequest(1)
@@ -92,8 +92,8 @@
 	})
 }
 
-// TestTableIsBounded: callers that crash backends with ever new requests use no more memory, and quarantined
-// requests are evicted last.
+// TestTableIsBounded checks that the table does not grow beyond its bound when callers crash backends with ever
+// new requests, and that quarantined requests are evicted last.
 func TestTableIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable()
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -24,7 +24,7 @@
 	all bool
 }
 
-// reply is the coordinator's answer.
+// reply is the coordinator's response to a report.
 type reply struct {
 	// statuses are those of the requests of the evidence, in its order.
 	statuses []Status
@@ -64,32 +64,32 @@
 	return reported
 }
 
-func encodeReply(answer reply) *peerpb.CrashStandings {
+func encodeReply(response reply) *peerpb.CrashStandings {
 	encoded := &peerpb.CrashStandings{}
-	for _, status := range answer.statuses {
+	for _, status := range response.statuses {
 		encoded.Standings = append(encoded.Standings, &peerpb.CrashStanding{
 			Crashes: int32(status.Crashes), QuarantinedMs: status.Quarantined.Milliseconds(),
 		})
 	}
-	for _, announcement := range answer.announced {
+	for _, announcement := range response.announced {
 		encoded.Announced = append(encoded.Announced, EncodeAnnouncement(announcement))
 	}
 	return encoded
 }
 
 func decodeReply(encoded *peerpb.CrashStandings) reply {
-	var answer reply
+	var response reply
 	for _, status := range encoded.GetStandings() {
-		answer.statuses = append(answer.statuses, Status{
+		response.statuses = append(response.statuses, Status{
 			Crashes: int(status.GetCrashes()), Quarantined: peer.Millis(status.GetQuarantinedMs()),
 		})
 	}
 	for _, announcement := range encoded.GetAnnounced() {
 		if decoded, valid := decodeAnnouncement(announcement); valid {
-			answer.announced = append(answer.announced, decoded)
+			response.announced = append(response.announced, decoded)
 		}
 	}
-	return answer
+	return response
 }
 
 // EncodeAnnouncement returns an announcement as a message between nodes.
