--- a/backend/backend.go
+++ b/backend/backend.go
@@ -26,7 +26,7 @@
 	ID string
 	// RegisteredAs is the identifier that the backend keeps over its incarnations; empty if that is the ID.
 	RegisteredAs string
-	// StartedAt is when this incarnation started, as a Unix millisecond; zero if unknown.
+	// StartedAt is when this incarnation started, in Unix milliseconds; zero if unknown.
 	StartedAt int64
 	Service   string
 	// Address is an IP address and port.
--- a/backend/entry.go
+++ b/backend/entry.go
@@ -10,7 +10,7 @@
 const (
 	// failureHalfLife is the half-life of a failure's weight.
 	failureHalfLife = 2 * time.Second
-	// outcomeWeight is the weight of one answer in the failure rate.
+	// outcomeWeight is the weight of one response or failure in the failure rate.
 	outcomeWeight = 0.2
 	// unhealthyFailures is the number of recent failures above which a backend gets no work that can go
 	// elsewhere.
@@ -30,8 +30,8 @@
 	requestedBackoff atomic.Bool
 
 	mu sync.Mutex
-	// seen holds this node's observations; nil for most of thousands of backends, to which it has never sent
-	// anything.
+	// seen holds this node's observations; nil for a backend to which it has never sent anything, as are most of
+	// thousands of backends.
 	seen *observations
 }
 
@@ -41,14 +41,14 @@
 	leavingAt time.Time
 	// failures counts recent failures, weighted by age.
 	failures float64
-	// failureRate is the share of answers that failed, weighted towards newer ones. It also decays over time,
+	// failureRate is the share of requests that failed, weighted towards newer ones. It also decays over time,
 	// so that the backend is tried again.
 	failureRate float64
 	failureAt   time.Time
 	// fullUntil is when a backend that rejected a request for lack of capacity may be used again.
 	fullUntil time.Time
 	backoff   backoffPeriod
-	// noticeAt is when the backend last sent a notice, as a Unix millisecond by this node's clock.
+	// noticeAt is when the backend last sent a notice, in Unix milliseconds by this node's clock.
 	noticeAt int64
 }
 
@@ -144,7 +144,7 @@
 	seen.failureAt = now
 }
 
-// RecordSuccess records an answer.
+// RecordSuccess records a response.
 func (e *Entry) RecordSuccess() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/backend/notice.go
+++ b/backend/notice.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Notice is what a backend announces about itself beside an answer.
+// Notice is what a backend announces about itself beside a response.
 type Notice struct {
 	// Leaving is set if it is about to end and wants no new requests.
 	Leaving bool
@@ -13,11 +13,11 @@
 // IsEmpty reports whether the notice announces nothing.
 func (n Notice) IsEmpty() bool { return n == Notice{} }
 
-// Observer is called with a backend's notice before the answer is used.
+// Observer is called with a backend's notice before the response is used.
 type Observer func(target Backend, notice Notice)
 
-// recordNotice records a notice received at a Unix millisecond. It returns the part of it that changed the
-// entry.
+// recordNotice records a notice received at a time in Unix milliseconds. It returns the part of it that changed
+// the entry.
 func (e *Entry) recordNotice(notice Notice, at int64) Notice {
 	if notice.IsEmpty() {
 		return Notice{}
@@ -106,7 +106,7 @@
 
 // uncertainLeavingBackoff is how long a new incarnation gets no work if it may be the one that announced that
 // it leaves. It is a few times as long as backends continue to serve after that (2 to 3 s on the supported
-// deployments). If it does leave, its next answer or its entry shows it; if clocks disagree, and the
+// deployments). If it does leave, its next response or its entry shows it by then. If clocks disagree, and the
 // previous incarnation had announced it, the new one is used again.
 const uncertainLeavingBackoff = 10 * time.Second
 
--- a/backend/notice_test.go
+++ b/backend/notice_test.go
@@ -32,7 +32,7 @@
 	registry := backend.NewRegistry(clock.read)
 	registry.Update(incarnation(1, backend.StateReady))
 	g.Expect(registry.RecordNotice(incarnation(1, backend.StateReady), backend.Notice{Leaving: true})).To(Equal(backend.Notice{Leaving: true}))
-	g.Expect(registry.RecordNotice(incarnation(1, backend.StateReady), backend.Notice{Leaving: true}).IsEmpty()).To(BeTrue(), "it is no news any more")
+	g.Expect(registry.RecordNotice(incarnation(1, backend.StateReady), backend.Notice{Leaving: true}).IsEmpty()).To(BeTrue(), "it is known already")
 	clock.advance(time.Second)
 	expectLeaving := func() {
 		g.Expect(registry.Ready("first", backend.RoleNone)).To(BeEmpty())
@@ -48,7 +48,7 @@
 	registry.Update(incarnation(1, backend.StateDraining))
 	registry.Update(incarnation(1, backend.StateReady))
 	expectLeaving()
-	g.Expect(registry.Lookup("a@1").LeavingFor()).To(Equal(time.Second), "since its word")
+	g.Expect(registry.Lookup("a@1").LeavingFor()).To(Equal(time.Second), "since its notice")
 	registry.RemoveRegistered("a")
 	g.Expect(registry.Withheld("first")).To(BeEmpty())
 	clock.advance(20 * time.Second)
@@ -56,7 +56,7 @@
 	expectLeaving()
 }
 
-// TestNoticeWithoutEntryIsRecorded has a backend answer while its entry has expired.
+// TestNoticeWithoutEntryIsRecorded has a backend send a notice while its entry has expired.
 func TestNoticeWithoutEntryIsRecorded(t *testing.T) {
 	g := NewWithT(t)
 	clock := newManualClock()
@@ -64,7 +64,7 @@
 	registry.Update(incarnation(1, backend.StateReady))
 	registry.RemoveRegistered("a")
 	g.Expect(registry.RecordNotice(incarnation(1, backend.StateReady), backend.Notice{Leaving: true}).Leaving).To(BeTrue())
-	g.Expect(registry.RecordNotice(incarnation(1, backend.StateReady), backend.Notice{Backoff: time.Hour}).Backoff).To(Equal(time.Hour), "and a word more")
+	g.Expect(registry.RecordNotice(incarnation(1, backend.StateReady), backend.Notice{Backoff: time.Hour}).Backoff).To(Equal(time.Hour), "and a second notice")
 	clock.advance(time.Second)
 	registry.Update(incarnation(1, backend.StateReady))
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(BeEmpty())
@@ -87,9 +87,9 @@
 }
 
 // TestNoticeOfUndiscoveredIncarnation has a backend restart and send a notice before discovery describes the
-// new incarnation: the answer is attributed to the previous one, with and without an entry of it.
+// new incarnation: the response is attributed to the previous one, with and without an entry of it.
 func TestNoticeOfUndiscoveredIncarnation(t *testing.T) {
-	for _, lapsed := range []bool{false, true} {
+	for _, expired := range []bool{false, true} {
 		g := NewWithT(t)
 		clock := newManualClock()
 		registry := backend.NewRegistry(clock.read)
@@ -103,7 +103,7 @@
 		next := incarnationAt(clock.read())
 		clock.advance(time.Second)
 		registry.RecordNotice(before, backend.Notice{Backoff: 5 * time.Second})
-		if lapsed {
+		if expired {
 			registry.RemoveRegistered("a")
 		}
 		clock.advance(time.Second)
@@ -113,14 +113,14 @@
 		later := incarnationAt(clock.read())
 		clock.advance(time.Second)
 		registry.RecordNotice(next, backend.Notice{Leaving: true})
-		if lapsed {
+		if expired {
 			registry.RemoveRegistered("a")
 		}
 		registry.Update(later)
-		g.Expect(registry.Lookup(later.ID).BackoffRemaining()).To(Equal(10*time.Second), "it leaves, if clocks agree")
+		g.Expect(registry.Lookup(later.ID).BackoffRemaining()).To(Equal(10*time.Second), "it is the one that leaves, if clocks agree")
 		clock.advance(10 * time.Second)
 		g.Expect(registry.Lookup(later.ID).BackoffRemaining()).To(BeZero())
-		g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1), "its next answer tells")
+		g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1), "its next response shows whether it leaves")
 	}
 }
 
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -172,7 +172,7 @@
 }
 
 // inherit applies to a new incarnation the notices attributed to the previous one after the new one had
-// started; the lock is held: answers do not name the incarnation that gave them, and discovery describes a new
+// started; the lock is held. Responses do not name the incarnation that sent them, and discovery describes a new
 // one late. Without this, a backend that had requested backoff before it was discovered got three requests
 // meanwhile.
 func (r *Registry) inherit(entry *Entry) {
--- a/backend/registry_test.go
+++ b/backend/registry_test.go
@@ -105,7 +105,7 @@
 	g.Expect(current.Healthy()).To(BeTrue())
 	g.Expect(current.IsFull()).To(BeFalse())
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1))
-	g.Expect(registry.Remove("a@1")).To(BeFalse(), "the life before is gone already")
+	g.Expect(registry.Remove("a@1")).To(BeFalse(), "the previous incarnation is removed already")
 	g.Expect(registry.RemoveRegistered("a")).To(BeTrue())
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(BeEmpty())
 }
