--- a/service/balancer.go
+++ b/service/balancer.go
@@ -53,7 +53,7 @@
 	return usable
 }
 
-// backOff omits a replica for as long as it has requested.
+// backOff excludes a replica from calls for as long as it has requested.
 func (b *balancer) backOff(name string, duration time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/service/handler.go
+++ b/service/handler.go
@@ -166,8 +166,8 @@
 // noReplica returns the error of a call that no replica can take now. If all are in backoff, the caller should
 // retry when the first of them is called again.
 func (h *Handler) noReplica(backends []api.Backend) error {
-	refused := api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun, "no replica can take the call")
-	return refused.WithRetryAfter(cmp.Or(h.balancer.shortestBackoff(backends), retryAfter))
+	rejection := api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun, "no replica can take the call")
+	return rejection.WithRetryAfter(cmp.Or(h.balancer.shortestBackoff(backends), retryAfter))
 }
 
 // canRetry reports whether another replica may receive the call. A streamed body can be sent only once.
--- a/service/handler_test.go
+++ b/service/handler_test.go
@@ -148,7 +148,7 @@
 	}
 	runs := func() int64 { return first.ran.Load() + second.ran.Load() }
 
-	It("reaches a replica without the caller's token and hop headers", func() {
+	It("reaches a replica without the caller's token and hop-by-hop headers", func() {
 		status, _, header := send(newHandler(), http.MethodGet, "", "")
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(header).NotTo(HaveKey("X-Hop"))
@@ -163,7 +163,7 @@
 		}
 	})
 
-	It("is repeated at another replica if it may be", func() {
+	It("is retried at another replica if it is idempotent", func() {
 		first.breaks.Store(true)
 		handler := newHandler()
 		for range 4 {
@@ -172,7 +172,7 @@
 		}
 	})
 
-	It("is not repeated if it may not be, and its outcome is unknown", func() {
+	It("is not retried if it is not idempotent, and its outcome is unknown", func() {
 		first.breaks.Store(true)
 		second.breaks.Store(true)
 		status, failure, _ := send(newHandler(), http.MethodPost, newKey(), "reading")
@@ -205,7 +205,7 @@
 		Expect(status).To(Equal(http.StatusOK))
 	})
 
-	It("needs a key that carries its time", func() {
+	It("requires a key that contains its time", func() {
 		for _, key := range []string{"", "text", uuid.NewString()} {
 			_, failure, _ := send(newHandler(), http.MethodPost, key, "reading")
 			Expect(failure.Code).To(Equal(api.CodeKeyRequired))
@@ -213,7 +213,7 @@
 		Expect(runs()).To(BeZero())
 	})
 
-	It("goes past a leaving replica", func() {
+	It("is not sent to a leaving replica", func() {
 		leaving["first"] = true
 		for range 6 {
 			status, _, _ := send(newHandler(), http.MethodGet, "", "")
@@ -222,7 +222,7 @@
 		Expect(first.ran.Load()).To(BeZero())
 	})
 
-	It("leaves a replica alone that has asked for backoff", func() {
+	It("is not sent to a replica in backoff", func() {
 		first.requestsBackoff.Store(true)
 		now := time.Now()
 		handler := newHandler()
@@ -230,7 +230,7 @@
 		for range 20 {
 			_, _, _ = send(handler, http.MethodGet, "", "")
 		}
-		Expect(first.ran.Load()).To(BeEquivalentTo(1), "calls after it asked for backoff")
+		Expect(first.ran.Load()).To(BeEquivalentTo(1), "no call after the one that it rejected with a backoff")
 		Expect(second.ran.Load()).To(BeEquivalentTo(19))
 		first.requestsBackoff.Store(false)
 		now = now.Add(time.Minute)
@@ -240,7 +240,7 @@
 		Expect(first.ran.Load()).To(BeNumerically(">", 1))
 	})
 
-	It("is refused at once when every replica has asked for backoff", func() {
+	It("is rejected immediately when every replica is in backoff", func() {
 		first.requestsBackoff.Store(true)
 		second.requestsBackoff.Store(true)
 		handler := newHandler()
@@ -253,7 +253,7 @@
 		Expect(failure.RetryAfter).To(BeNumerically("~", time.Minute, 5*time.Second))
 	})
 
-	It("is refused when every replica is leaving", func() {
+	It("is rejected when every replica is leaving", func() {
 		leaving["first"], leaving["second"] = true, true
 		_, failure, _ := send(newHandler(), http.MethodGet, "", "")
 		Expect(failure.Outcome).To(Equal(api.OutcomeNotRun))
