--- a/lease/golden_test.go
+++ b/lease/golden_test.go
@@ -15,7 +15,7 @@
 		later   = `{"holder":"node-1/1764730000000000000","fence":7,"renewals":3,"duration_ms":6000,"idle":true,"ofALaterBuild":[]}`
 	)
 	g := NewWithT(t)
-	expected := Record{Holder: "node-1/1764730000000000000", Fence: 7, Renewals: 3, DurationMillis: 6000, Idle: true}
+	expected := Record{Holder: "node-1/1764730000000000000", FencingToken: 7, Renewals: 3, DurationMillis: 6000, Idle: true}
 	for _, content := range []string{written, later} {
 		var read Record
 		g.Expect(json.Unmarshal([]byte(content), &read)).To(Succeed())
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -21,8 +21,8 @@
 type Record struct {
 	// Holder is the node and incarnation that holds the lease; empty if released.
 	Holder string `json:"holder"`
-	// Fence increases by one with each holder.
-	Fence uint64 `json:"fence"`
+	// FencingToken increases by one with each holder.
+	FencingToken uint64 `json:"fence"`
 	// Renewals increases with each renewal, so that a candidate detects a live holder.
 	Renewals uint64 `json:"renewals"`
 	// DurationMillis is how long the lease lasts without renewal.
@@ -103,7 +103,7 @@
 	l.observed, l.seenAt = wanted, l.options.Now()
 	l.held = true
 	l.until = started.Add(l.options.Duration)
-	return wanted.Fence, nil
+	return wanted.FencingToken, nil
 }
 
 // read fetches the record and tracks when it last changed.
@@ -144,7 +144,7 @@
 		return Record{}, false
 	}
 	wanted.Holder = l.options.Holder
-	wanted.Fence++
+	wanted.FencingToken++
 	return wanted, true
 }
 
@@ -205,7 +205,7 @@
 	if err != nil {
 		return err
 	}
-	if current.Holder != record.Holder || current.Fence != record.Fence {
+	if current.Holder != record.Holder || current.FencingToken != record.FencingToken {
 		return nil
 	}
 	return l.write(ctx, record)
