--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,5 +1,5 @@
 // Package lease gives one node at a time the right to act, through an object of the platform. Each holder has a
-// higher fence than all holders before it.
+// higher fencing token than all holders before it.
 //
 // A lease does not rely on synchronized clocks. A candidate measures on its own monotonic clock how long the
 // record has been unchanged, and takes over when this exceeds the duration in the record. The holder measures
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -15,7 +15,7 @@
 var ErrHeld = errors.New("lease: held by another node")
 
 // ErrExpiring is returned if too little of the lease remains to act.
-var ErrExpiring = errors.New("lease: lapsed")
+var ErrExpiring = errors.New("lease: expired or about to expire")
 
 // Record is the stored form of a lease.
 type Record struct {
@@ -80,8 +80,8 @@
 	return &Lease{options: options}
 }
 
-// Acquire takes or renews the lease and returns its fence. It returns ErrHeld while another holder may be
-// active.
+// Acquire takes or renews the lease and returns its fencing token. It returns ErrHeld while another holder may
+// be active.
 func (l *Lease) Acquire(ctx context.Context) (uint64, error) {
 	started := l.options.Now()
 	current, err := l.read(ctx)
@@ -148,8 +148,8 @@
 	return wanted, true
 }
 
-// write stores the record. A write without a definite answer does not make the node the holder; the next
-// Acquire finds its name in the record.
+// write stores the record. A write with an unknown outcome does not make the node the holder; the next Acquire
+// finds its name in the record.
 func (l *Lease) write(ctx context.Context, record Record) error {
 	spec, err := json.Marshal(record)
 	if err != nil {
@@ -180,8 +180,8 @@
 }
 
 // TakeoverWaitOver reports whether the given time has passed since the lease was taken from a holder that had
-// not given it up: an order of that holder may have been in flight. Engines that check fences need no such
-// wait.
+// not given it up: an order of that holder may have been in flight. Engines that check fencing tokens need no
+// such wait.
 func (l *Lease) TakeoverWaitOver(maxDuration time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
