--- a/rebalance/advisor.go
+++ b/rebalance/advisor.go
@@ -30,7 +30,7 @@
 	return max(prefill, decode)
 }
 
-// Options are the thresholds of an Advisor.
+// Options configures an Advisor.
 type Options struct {
 	// HighUtilization is the utilization from which a role is short of engines. Default 0.85.
 	HighUtilization float64
@@ -88,7 +88,7 @@
 	started  bool
 	prefill  float64
 	decode   float64
-	// candidate is the role that would gain an engine, since the given time.
+	// candidate is the role that would gain an engine, unchanged since the time since.
 	candidate api.Role
 	since     time.Duration
 	// lastAdvised is when a change was last advised.
