--- a/cmd/reelrun-sim/compare.go
+++ b/cmd/reelrun-sim/compare.go
@@ -94,7 +94,7 @@
 	_, _ = fmt.Fprintln(table, "site\tseed\tload\tpolicy\tworth\tin time\tlate\trefused\twasted\tpreemptions\t")
 	for _, o := range outcomes {
 		_, _ = fmt.Fprintf(table, "%s\t%d\t%.2f\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t\n",
-			o.Site, o.Seed, o.Load, o.Policy, o.Score, o.InTime, o.Late, o.Refused, o.WastedPrefill, o.Preemptions)
+			o.Site, o.Seed, o.Load, o.Policy, o.Score, o.InTime, o.Late, o.Rejected, o.WastedPrefill, o.Preemptions)
 	}
 	return errors.Wrap(table.Flush(), "write table")
 }
--- a/sim/sitemodel/run.go
+++ b/sim/sitemodel/run.go
@@ -51,11 +51,11 @@
 	// Score is the mean score of the requests, where an answer in time to the first attempt
 	// scores one, less the cost of wasted prefill.
 	Score float64 `json:"worth"`
-	// InTime, Late, Refused and Failed are shares of the requests.
-	InTime  float64 `json:"in_time"`
-	Late    float64 `json:"late"`
-	Refused float64 `json:"refused"`
-	Failed  float64 `json:"failed"`
+	// InTime, Late, Rejected and Failed are shares of the requests.
+	InTime   float64 `json:"in_time"`
+	Late     float64 `json:"late"`
+	Rejected float64 `json:"refused"`
+	Failed   float64 `json:"failed"`
 	// WastedPrefill is the share of the prefilled tokens that were wasted or recomputed.
 	WastedPrefill float64 `json:"wasted_prefill"`
 	Preemptions   int     `json:"preemptions"`
@@ -225,7 +225,7 @@
 		inTime := ended.first-ended.attempt <= s.site.Objective && !ended.paused
 		switch {
 		case ended.outcome == outcomeRefused:
-			result.Refused++
+			result.Rejected++
 		case ended.outcome != outcomeServed:
 			result.Failed++
 		case !inTime:
@@ -240,7 +240,7 @@
 		}
 	}
 	offered := float64(max(1, len(requests)))
-	for _, share := range []*float64{&result.Score, &result.InTime, &result.Late, &result.Refused, &result.Failed} {
+	for _, share := range []*float64{&result.Score, &result.InTime, &result.Late, &result.Rejected, &result.Failed} {
 		*share = round(*share / offered)
 	}
 	result.WastedPrefill = round(s.wastedTokens / max(1, s.prefilledTokens))
--- a/sim/sitemodel/run_test.go
+++ b/sim/sitemodel/run_test.go
@@ -63,7 +63,7 @@
 			t.Fatalf("%v of the requests never ended", outcome.Failed)
 		}
 		const rounding = 1e-4
-		if sum := outcome.InTime + outcome.Late + outcome.Refused; sum < 1-rounding || sum > 1+rounding {
+		if sum := outcome.InTime + outcome.Late + outcome.Rejected; sum < 1-rounding || sum > 1+rounding {
 			if outcome.Offered > 0 {
 				t.Fatalf("shares sum to %v", sum)
 			}
