--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -22,8 +22,8 @@
 	reservation(incoming *request) float64
 	// ended reports the end of a run; completed is false if the run did not start.
 	ended(s *simulation, e *decodeEngine, finished *request, duration time.Duration, completed bool)
-	// retryAfter returns the delay after which the caller of a refused request retries.
-	retryAfter(s *simulation, refused *request) time.Duration
+	// retryAfter returns the delay after which the caller of a rejected request retries.
+	retryAfter(s *simulation, rejected *request) time.Duration
 }
 
 // The names of the policies.
@@ -116,14 +116,14 @@
 		return
 	}
 	// The first event of the simulated runs is assumed to come at assumedFirstEvent.
-	answer := ledger.AnswerTiming{FirstEvent: assumedFirstEvent, Duration: duration, RestTokens: finished.output}
-	if run, known := p.ledger.End(p.names[finished], answer); known {
+	timing := ledger.AnswerTiming{FirstEvent: assumedFirstEvent, Duration: duration, RestTokens: finished.output}
+	if run, known := p.ledger.End(p.names[finished], timing); known {
 		p.output.Observe(run.CallerEstimate, finished.output)
 	}
 }
 
-func (p *coordinatorPolicy) retryAfter(s *simulation, refused *request) time.Duration {
-	return max(minRetryDelay, p.ledger.TimeUntilCapacity(s.Now(), p.runOf(s, refused)))
+func (p *coordinatorPolicy) retryAfter(s *simulation, rejected *request) time.Duration {
+	return max(minRetryDelay, p.ledger.TimeUntilCapacity(s.Now(), p.runOf(s, rejected)))
 }
 
 // reservationPolicy reserves at an engine the memory that the caller expects to need.
--- a/sim/sitemodel/run.go
+++ b/sim/sitemodel/run.go
@@ -19,9 +19,9 @@
 	minRetryDelay     = 200 * time.Millisecond
 	maxRetryDelay     = 4500 * time.Millisecond
 	defaultRetryDelay = time.Second
-	// maxPrefills bounds the prefills of a request before it is refused.
+	// maxPrefills bounds the prefills of a request before it is rejected.
 	maxPrefills = 3
-	// Scores of answers: in time, late, and in time after a quick refusal.
+	// Scores of requests: served in time, served late, and served in time after a quick rejection.
 	scoreInTime, scoreLate = 1.0, 0.2
 	scoreRetried           = (scoreInTime + scoreLate) / 2
 	// wastedPrefillCost is subtracted from the score, times the share of prefilled tokens that
@@ -29,7 +29,7 @@
 	wastedPrefillCost = 0.75
 )
 
-// Options describe one run.
+// Options configures one run.
 type Options struct {
 	Site   string
 	Policy string
@@ -48,7 +48,7 @@
 	Policy string  `json:"policy"`
 	Seed   uint64  `json:"seed"`
 	Load   float64 `json:"load"`
-	// Score is the mean score of the requests, where an answer in time to the first attempt
+	// Score is the mean score of the requests, where a response in time to the first attempt
 	// scores one, less the cost of wasted prefill.
 	Score float64 `json:"worth"`
 	// InTime, Late, Rejected and Failed are shares of the requests.
@@ -133,21 +133,21 @@
 		}
 	}
 	if s.Now()+waitInterval > until {
-		s.refuse(waiting)
+		s.reject(waiting)
 		return
 	}
 	s.After(waitInterval, func() { s.wait(waiting, until) })
 }
 
-// refuse refuses a request; its caller retries once.
-func (s *simulation) refuse(refused *request) {
-	if refused.retried {
-		refused.outcome = outcomeRefused
+// reject rejects a request; its caller retries once.
+func (s *simulation) reject(rejected *request) {
+	if rejected.retried {
+		rejected.outcome = outcomeRejected
 		return
 	}
-	refused.retried = true
-	after := min(s.policy.retryAfter(s, refused), maxRetryDelay)
-	s.After(after, func() { s.arrive(refused) })
+	rejected.retried = true
+	after := min(s.policy.retryAfter(s, rejected), maxRetryDelay)
+	s.After(after, func() { s.arrive(rejected) })
 }
 
 func (s *simulation) shortestPrefill() *prefillEngine {
@@ -175,7 +175,7 @@
 		transferStart := max(s.Now(), engine.linkFree)
 		transfer := s.site.TransferOverhead + time.Duration(float64(assigned.prompt)/s.site.LinkPerMillisecond*float64(time.Millisecond))
 		if transferStart-s.Now() > s.site.HandleTTL {
-			s.rejected(assigned, engine)
+			s.decodeRejected(assigned, engine)
 			return
 		}
 		engine.linkFree = transferStart + transfer
@@ -183,11 +183,11 @@
 	})
 }
 
-// startDecode starts the answer if the engine has capacity for the prompt.
+// startDecode starts the generation if the engine has capacity for the prompt.
 func (s *simulation) startDecode(assigned *request, engine *decodeEngine) {
 	reservation := s.policy.reservation(assigned)
 	if !engine.fits(max(0, float64(assigned.prompt)-reservation)) {
-		s.rejected(assigned, engine)
+		s.decodeRejected(assigned, engine)
 		return
 	}
 	engine.reserved -= reservation
@@ -195,21 +195,21 @@
 	engine.admit(&run{request: assigned, reserved: reservation})
 }
 
-// rejected repeats the prefill of a request that its decode engine rejected, or refuses the
+// decodeRejected repeats the prefill of a request that its decode engine rejected, or rejects the
 // request after maxPrefills.
-func (s *simulation) rejected(assigned *request, engine *decodeEngine) {
+func (s *simulation) decodeRejected(assigned *request, engine *decodeEngine) {
 	s.pending[engine.id]--
 	engine.reserved -= s.policy.reservation(assigned)
 	s.wastedTokens += float64(assigned.prompt)
 	s.policy.ended(s, engine, assigned, 0, false)
 	if assigned.prefills >= maxPrefills {
-		s.refuse(assigned)
+		s.reject(assigned)
 		return
 	}
 	s.wait(assigned, s.Now())
 }
 
-// served ends a request with a complete answer.
+// served ends a request with a complete output.
 func (s *simulation) served(engine *decodeEngine, finished *run) {
 	s.pending[engine.id]--
 	finished.request.outcome = outcomeServed
@@ -224,7 +224,7 @@
 	for _, ended := range requests {
 		inTime := ended.first-ended.attempt <= s.site.Objective && !ended.paused
 		switch {
-		case ended.outcome == outcomeRefused:
+		case ended.outcome == outcomeRejected:
 			result.Rejected++
 		case ended.outcome != outcomeServed:
 			result.Failed++
--- a/sim/sitemodel/site.go
+++ b/sim/sitemodel/site.go
@@ -22,8 +22,8 @@
 	// constant time of each prefill.
 	PrefillPerMillisecond float64
 	PrefillOverhead       time.Duration
-	// LinkPerMillisecond is the number of tokens whose memory a link transfers,
-	// TransferOverhead the constant time of each transfer.
+	// LinkPerMillisecond is the number of tokens whose memory a link transfers in a
+	// millisecond, TransferOverhead the constant time of each transfer.
 	LinkPerMillisecond float64
 	TransferOverhead   time.Duration
 	// HandleTTL is how long a prefill result is kept.
@@ -36,7 +36,7 @@
 	// deviation of the logarithm of the callers' estimates around the actual output.
 	Prompt, Shared, Events Size
 	HintDeviation          float64
-	// Objective is the longest time to the first event of an answer in time, MaxPause the
+	// Objective is the longest time to the first event of a response in time, MaxPause the
 	// longest pause between its events.
 	Objective, MaxPause time.Duration
 }
@@ -109,7 +109,7 @@
 	// output is the actual output in tokens, hint the estimate of its caller.
 	output, hint int
 	arrival      time.Duration
-	// retried is set once the request was refused and its caller retries.
+	// retried is set once the request was rejected and its caller retries.
 	retried bool
 	// attempt is when the current attempt arrived.
 	attempt time.Duration
@@ -126,7 +126,7 @@
 const (
 	outcomeOpen outcome = iota
 	outcomeServed
-	outcomeRefused
+	outcomeRejected
 )
 
 // generate returns the requests of a run in order of arrival.
