--- a/lease/lease.go
+++ b/lease/lease.go
@@ -15,14 +15,14 @@
 var ErrHeld = errors.New("lease: held by another node")
 
 // ErrExpiring is returned if too little of the lease remains to act.
-var ErrExpiring = errors.New("lease: lapsed")
+var ErrExpiring = errors.New("lease: expired or about to expire")
 
 // Record is the stored form of a lease.
 type Record struct {
 	// Holder is the node and incarnation that holds the lease; empty if released.
 	Holder string `json:"holder"`
-	// Fence increases by one with each holder.
-	Fence uint64 `json:"fence"`
+	// FencingToken increases by one with each holder.
+	FencingToken uint64 `json:"fence"`
 	// Renewals increases with each renewal, so that a candidate detects a live holder.
 	Renewals uint64 `json:"renewals"`
 	// DurationMillis is how long the lease lasts without renewal.
@@ -80,8 +80,8 @@
 	return &Lease{options: options}
 }
 
-// Acquire takes or renews the lease and returns its fence. It returns ErrHeld while another holder may be
-// active.
+// Acquire takes or renews the lease and returns its fencing token. It returns ErrHeld while another holder may
+// be active.
 func (l *Lease) Acquire(ctx context.Context) (uint64, error) {
 	started := l.options.Now()
 	current, err := l.read(ctx)
@@ -103,7 +103,7 @@
 	l.observed, l.seenAt = wanted, l.options.Now()
 	l.held = true
 	l.until = started.Add(l.options.Duration)
-	return wanted.Fence, nil
+	return wanted.FencingToken, nil
 }
 
 // read fetches the record and tracks when it last changed.
@@ -144,12 +144,12 @@
 		return Record{}, false
 	}
 	wanted.Holder = l.options.Holder
-	wanted.Fence++
+	wanted.FencingToken++
 	return wanted, true
 }
 
-// write stores the record. A write without a definite answer does not make the node the holder; the next
-// Acquire finds its name in the record.
+// write stores the record. A write with an unknown outcome does not make the node the holder; the next Acquire
+// finds its name in the record.
 func (l *Lease) write(ctx context.Context, record Record) error {
 	spec, err := json.Marshal(record)
 	if err != nil {
@@ -180,8 +180,8 @@
 }
 
 // TakeoverWaitOver reports whether the given time has passed since the lease was taken from a holder that had
-// not given it up: an order of that holder may have been in flight. Engines that check fences need no such
-// wait.
+// not given it up: an order of that holder may have been in flight. Engines that check fencing tokens need no
+// such wait.
 func (l *Lease) TakeoverWaitOver(maxDuration time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -205,7 +205,7 @@
 	if err != nil {
 		return err
 	}
-	if current.Holder != record.Holder || current.Fence != record.Fence {
+	if current.Holder != record.Holder || current.FencingToken != record.FencingToken {
 		return nil
 	}
 	return l.write(ctx, record)
--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -79,8 +79,8 @@
 // Report is the state of one service's budget.
 type Report struct {
 	Service string
-	// Granted and Refused count retries since the last report.
-	Granted, Refused int
+	// Granted and Rejected count retries since the last report.
+	Granted, Rejected int
 	// Requests and Retries are those of the last window.
 	Requests, Retries int
 	// Remaining is how many retries may be sent now, and Burst how many a window may hold beyond the ratio.
@@ -95,15 +95,15 @@
 	var reports []Report
 	for service := range b.services {
 		current := b.account(service)
-		if current.granted+current.refused == 0 {
+		if current.granted+current.rejected == 0 {
 			continue
 		}
 		reports = append(reports, Report{
-			Service: service, Granted: current.granted, Refused: current.refused,
+			Service: service, Granted: current.granted, Rejected: current.rejected,
 			Requests: current.sumOfWindow(&current.requests), Retries: current.sumOfWindow(&current.retries),
 			Remaining: b.remaining(current), Burst: b.burst(),
 		})
-		current.granted, current.refused = 0, 0
+		current.granted, current.rejected = 0, 0
 	}
 	slices.SortFunc(reports, func(a, b Report) int { return strings.Compare(a.Service, b.Service) })
 	return reports
