--- a/engine/dialect/dialect.go
+++ b/engine/dialect/dialect.go
@@ -135,7 +135,7 @@
 func (d *Dialect) holder() engine.Holder { return engine.Holder{Node: d.options.Node} }
 
 // Send implements gateway.Dialect. Plain services do not state that a request has not run.
-func (d *Dialect) Send(ctx context.Context, target backend.Backend, request *gateway.Request, left time.Duration) (*gateway.Answer, error) {
+func (d *Dialect) Send(ctx context.Context, target backend.Backend, request *gateway.Request, left time.Duration) (*gateway.Response, error) {
 	outgoing, err := backendhttp.NewRequest(ctx, request.Method, target.Address, request.URI, request.Body)
 	if err != nil {
 		return nil, errors.CombineErrors(gateway.ErrNotSent, err)
@@ -151,7 +151,7 @@
 	if backoff := httpheader.RetryAfter(response.Header); backoff > 0 && response.StatusCode == http.StatusServiceUnavailable {
 		d.options.Observe(target, backend.Notice{Backoff: backoff})
 	}
-	return &gateway.Answer{Status: response.StatusCode, Header: httpheader.EndToEnd(response.Header), Body: response.Body}, nil
+	return &gateway.Response{Status: response.StatusCode, Header: httpheader.EndToEnd(response.Header), Body: response.Body}, nil
 }
 
 // Reserve implements gateway.Dialect. These engines have no reservations: whether there is
--- a/engine/dialect/generate.go
+++ b/engine/dialect/generate.go
@@ -38,7 +38,7 @@
 }
 
 // Prefill implements gateway.Dialect.
-func (d *Dialect) Prefill(ctx context.Context, target backend.Backend, request *gateway.Request, left time.Duration) (*gateway.PrefillResult, *gateway.Answer, error) {
+func (d *Dialect) Prefill(ctx context.Context, target backend.Backend, request *gateway.Request, left time.Duration) (*gateway.PrefillResult, *gateway.Response, error) {
 	body, err := parseBody(request)
 	if err != nil {
 		return nil, nil, errors.CombineErrors(gateway.ErrNotSent, err)
@@ -64,7 +64,7 @@
 
 // refusalOf returns the answer of an engine that has rejected a call, or the error of one
 // that did not answer.
-func refusalOf(err error) (*gateway.Answer, error) {
+func refusalOf(err error) (*gateway.Response, error) {
 	var apiErr *api.Error
 	switch {
 	case !errors.As(err, &apiErr):
@@ -74,12 +74,12 @@
 	case apiErr.Code == api.CodeBackendFailed && apiErr.Status == http.StatusBadGateway:
 		return nil, errors.CombineErrors(gateway.ErrNotSent, err)
 	}
-	return &gateway.Answer{Status: apiErr.Status, NotRun: true, Body: http.NoBody}, nil
+	return &gateway.Response{Status: apiErr.Status, NotRun: true, Body: http.NoBody}, nil
 }
 
 // Decode implements gateway.Dialect. An answer that resumes after an event is generated
 // again with the same seed, and the tokens that the caller has are omitted.
-func (d *Dialect) Decode(ctx context.Context, target backend.Backend, request *gateway.Request, _ time.Duration, options gateway.DecodeOptions) (*gateway.Answer, error) {
+func (d *Dialect) Decode(ctx context.Context, target backend.Backend, request *gateway.Request, _ time.Duration, options gateway.DecodeOptions) (*gateway.Response, error) {
 	body, err := parseBody(request)
 	if err != nil {
 		return nil, errors.CombineErrors(gateway.ErrNotSent, err)
@@ -108,7 +108,7 @@
 		return refusal, err
 	}
 	header := http.Header{"Content-Type": {"text/event-stream"}, http.CanonicalHeaderKey(HeaderRequestID): {request.ID}}
-	return &gateway.Answer{Status: http.StatusOK, Header: header, Body: &answerBody{stream: stream, next: next, release: func(whole bool) {
+	return &gateway.Response{Status: http.StatusOK, Header: header, Body: &answerBody{stream: stream, next: next, release: func(whole bool) {
 		d.cancel(ctx, options.Prefill.Address, attempt)
 		if !whole {
 			d.cancel(ctx, target.Address, attempt)
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -26,9 +26,9 @@
 	sent map[string]int
 }
 
-func (d countingDialect) Send(_ context.Context, target backend.Backend, _ *gateway.Request, _ time.Duration) (*gateway.Answer, error) {
+func (d countingDialect) Send(_ context.Context, target backend.Backend, _ *gateway.Request, _ time.Duration) (*gateway.Response, error) {
 	d.sent[target.ID]++
-	return &gateway.Answer{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x"))}, nil
+	return &gateway.Response{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x"))}, nil
 }
 
 // retryBurst is how many retries a service may have beyond the ratio once its budget has grown.
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -19,8 +19,8 @@
 // failingDialect answers each request with a failure of the backend's own.
 type failingDialect struct{ parser }
 
-func (failingDialect) Send(context.Context, backend.Backend, *gateway.Request, time.Duration) (*gateway.Answer, error) {
-	return &gateway.Answer{Status: http.StatusInternalServerError, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("own words"))}, nil
+func (failingDialect) Send(context.Context, backend.Backend, *gateway.Request, time.Duration) (*gateway.Response, error) {
+	return &gateway.Response{Status: http.StatusInternalServerError, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("own words"))}, nil
 }
 
 func sendOnce(handler http.Handler) *httptest.ResponseRecorder {
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -17,8 +17,8 @@
 // ErrAnswerMismatch means that a backend answered another request than the one that it was sent.
 var ErrAnswerMismatch = errors.New("gateway: answer to another request")
 
-// Answer is the response of a backend. The body must be closed.
-type Answer struct {
+// Response is the response of a backend. The body must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
@@ -63,7 +63,7 @@
 	// read, for requests to engines.
 	Measure(request *Request) error
 	// Send sends a request to a backend of a plain service, with the time left until the deadline.
-	Send(ctx context.Context, target backend.Backend, request *Request, left time.Duration) (*Answer, error)
+	Send(ctx context.Context, target backend.Backend, request *Request, left time.Duration) (*Response, error)
 	// Ended reports whether the process of a backend is known to have terminated: nothing listens at its
 	// address any more. It is false if that cannot be determined in time.
 	Ended(ctx context.Context, target backend.Backend) bool
@@ -72,9 +72,9 @@
 	// Release cancels a reservation.
 	Release(ctx context.Context, target backend.Backend, reservation Reservation) error
 	// Prefill has an engine prefill a prompt. Without a result, the answer says why.
-	Prefill(ctx context.Context, target backend.Backend, request *Request, left time.Duration) (*PrefillResult, *Answer, error)
+	Prefill(ctx context.Context, target backend.Backend, request *Request, left time.Duration) (*PrefillResult, *Response, error)
 	// Discard frees a prefill result.
 	Discard(ctx context.Context, target backend.Backend, result PrefillResult) error
 	// Decode starts the answer, a stream of events.
-	Decode(ctx context.Context, target backend.Backend, request *Request, left time.Duration, options DecodeOptions) (*Answer, error)
+	Decode(ctx context.Context, target backend.Backend, request *Request, left time.Duration, options DecodeOptions) (*Response, error)
 }
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -67,7 +67,7 @@
 
 // finalAnswer returns the last answer of a backend, if there is one that may be passed to the caller, or
 // the error.
-func (x *exchange) finalAnswer(answer *Answer, err error) error {
+func (x *exchange) finalAnswer(answer *Response, err error) error {
 	if answer == nil {
 		return x.allBackingOff(backend.RoleNone, err)
 	}
@@ -124,7 +124,7 @@
 
 // attempt sends the request to one backend. The answer is buffered whole, or its remainder follows in its
 // body. With an error, the answer is the backend's response, if there was one.
-func (x *exchange) attempt(ctx context.Context, entry *backend.Entry) (*Answer, error) {
+func (x *exchange) attempt(ctx context.Context, entry *backend.Entry) (*Response, error) {
 	target := entry.Backend()
 	x.target = target.ID
 	end := entry.Begin()
@@ -196,7 +196,7 @@
 }
 
 // recordMisdirected records an answer from another incarnation or in another role.
-func (x *exchange) recordMisdirected(entry *backend.Entry, answer *Answer) {
+func (x *exchange) recordMisdirected(entry *backend.Entry, answer *Response) {
 	entry.RecordFailure()
 	if answer.Replaced && x.handler.options.Backends.Remove(entry.Backend().ID) {
 		x.handler.options.Logger.Info("back end replaced", "backend", entry.Backend().ID, "request", x.request.ID)
@@ -218,7 +218,7 @@
 }
 
 // buffer reads the answer's body up to bufferedAnswerBytes.
-func buffer(answer *Answer) error {
+func buffer(answer *Response) error {
 	var head bytes.Buffer
 	_, err := io.CopyN(&head, answer.Body, bufferedAnswerBytes)
 	if err == nil {
@@ -239,7 +239,7 @@
 }
 
 // relay passes a backend's answer to the caller.
-func (x *exchange) relay(answer *Answer) error {
+func (x *exchange) relay(answer *Response) error {
 	defer func() { _ = answer.Body.Close() }()
 	x.writeHead(answer)
 	if _, err := io.Copy(x.writer, answer.Body); err != nil {
@@ -249,7 +249,7 @@
 }
 
 // writeHead passes on the status and headers of an answer.
-func (x *exchange) writeHead(answer *Answer) {
+func (x *exchange) writeHead(answer *Response) {
 	header := x.writer.Header()
 	for name, values := range answer.Header {
 		header[name] = values
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -72,7 +72,7 @@
 
 // start starts an answer at a decode engine. Engines that reject it are replaced by others while the retry
 // budget lasts.
-func (x *exchange) start(ctx context.Context, profile *routing.EngineProfile, lastID string, avoid map[string]bool) (*Answer, *reservedEngine, error) {
+func (x *exchange) start(ctx context.Context, profile *routing.EngineProfile, lastID string, avoid map[string]bool) (*Response, *reservedEngine, error) {
 	for prefills := 1; ; prefills++ {
 		reserved, err := x.reserve(ctx, profile, avoid)
 		if err != nil {
@@ -107,7 +107,7 @@
 }
 
 // startAt prefills the prompt and starts the answer at the engine of a reservation.
-func (x *exchange) startAt(ctx context.Context, reserved *reservedEngine, lastID string) (*Answer, error) {
+func (x *exchange) startAt(ctx context.Context, reserved *reservedEngine, lastID string) (*Response, error) {
 	if err := x.checkSendable(); err != nil {
 		return nil, err
 	}
@@ -313,7 +313,7 @@
 }
 
 // relay passes on complete events until the stream ends.
-func (s *streamRelay) relay(ctx context.Context, answer *Answer, reserved *reservedEngine) error {
+func (s *streamRelay) relay(ctx context.Context, answer *Response, reserved *reservedEngine) error {
 	x := s.exchange
 	defer func() { _ = answer.Body.Close() }()
 	if answer.Status != http.StatusOK {
--- a/gateway/repeats_test.go
+++ b/gateway/repeats_test.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func (d *rejectingDialect) Prefill(_ context.Context, _ backend.Backend, request *gateway.Request, _ time.Duration) (*gateway.PrefillResult, *gateway.Answer, error) {
+func (d *rejectingDialect) Prefill(_ context.Context, _ backend.Backend, request *gateway.Request, _ time.Duration) (*gateway.PrefillResult, *gateway.Response, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.prefills[request.ID]++
@@ -59,7 +59,7 @@
 	return &gateway.PrefillResult{Handle: "h"}, nil, nil
 }
 
-func (d *rejectingDialect) Decode(_ context.Context, _ backend.Backend, request *gateway.Request, _ time.Duration, _ gateway.DecodeOptions) (*gateway.Answer, error) {
+func (d *rejectingDialect) Decode(_ context.Context, _ backend.Backend, request *gateway.Request, _ time.Duration, _ gateway.DecodeOptions) (*gateway.Response, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.answers[request.ID]++
@@ -69,7 +69,7 @@
 		}
 		d.retried = append(d.retried, time.Now())
 	}
-	return &gateway.Answer{
+	return &gateway.Response{
 		Status: http.StatusOK, Header: http.Header{}, NotRun: d.answers[request.ID] == 1,
 		Body: io.NopCloser(strings.NewReader("id: 1\ndata: x\n\n")),
 	}, nil
