--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -14,8 +14,8 @@
 // ErrNotSent means that no byte of a request has left this node for the backend.
 var ErrNotSent = errors.New("gateway: not sent")
 
-// ErrAnswerMismatch means that a backend answered another request than the one that it was sent.
-var ErrAnswerMismatch = errors.New("gateway: answer to another request")
+// ErrResponseMismatch means that a backend answered another request than the one that it was sent.
+var ErrResponseMismatch = errors.New("gateway: answer to another request")
 
 // Response is the response of a backend. The body must be closed.
 type Response struct {
