--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -162,11 +162,11 @@
 	switch {
 	case answer.Misdirected:
 		x.recordMisdirected(entry, answer)
-		return answer, &attemptError{failure: notRun(ReasonBackendRefused, rejectedRetryAfter, nil), arrived: true}
+		return answer, &attemptError{failure: notRun(ReasonBackendRejected, rejectedRetryAfter, nil), arrived: true}
 	case answer.NotRun:
 		outcome = admission.OutcomeRejected
 		entry.MarkFull(fullDuration)
-		return answer, &attemptError{failure: notRun(ReasonBackendRefused, rejectedRetryAfter, nil), arrived: true}
+		return answer, &attemptError{failure: notRun(ReasonBackendRejected, rejectedRetryAfter, nil), arrived: true}
 	}
 	outcome = admission.OutcomeFailed
 	x.runs++
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -153,7 +153,7 @@
 			reserved.refusal = coordinator.RefusalUnavailable
 		}
 		x.keepPrompt(ctx, prompt, wasteDecodeRefused)
-		return nil, &attemptError{failure: notRun(ReasonBackendRefused, rejectedRetryAfter, nil), arrived: true}
+		return nil, &attemptError{failure: notRun(ReasonBackendRejected, rejectedRetryAfter, nil), arrived: true}
 	}
 	x.runs++
 	return answer, nil
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -29,10 +29,10 @@
 	// ReasonOverloaded means that the request exceeds the capacity of the backends of its service.
 	ReasonOverloaded Reason = "overloaded"
 	// ReasonRetryBudget means that the retry budget of the service allows no further upstream retry.
-	ReasonRetryBudget    Reason = "retry_budget"
-	ReasonNoCapacity     Reason = "no_room"
-	ReasonPrefillFailed  Reason = "prefill_failed"
-	ReasonBackendRefused Reason = "backend_refused"
+	ReasonRetryBudget     Reason = "retry_budget"
+	ReasonNoCapacity      Reason = "no_room"
+	ReasonPrefillFailed   Reason = "prefill_failed"
+	ReasonBackendRejected Reason = "backend_refused"
 	// ReasonBackendLeft means that the engine was leaving while the prompt was being prefilled.
 	ReasonBackendLeft   Reason = "backend_left"
 	ReasonBackendFailed Reason = "backend_failed"
