--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -13,9 +13,9 @@
 	// InTime counts answers within the objective, measured from the first attempt, without a pause above
 	// the limit. Late counts the other answers.
 	InTime, Late int
-	// Refused counts requests that have certainly not run; Failed those without an answer that may have
+	// Rejected counts requests that have certainly not run; Failed those without an answer that may have
 	// run, or whose backend failed; Disconnected those whose caller disconnected.
-	Refused, Failed, Disconnected int
+	Rejected, Failed, Disconnected int
 }
 
 // routeCounters counts how requests end, by route. It is safe for concurrent use.
@@ -66,7 +66,7 @@
 		case final.reason == ReasonCallerLeft:
 			counts.Disconnected++
 		case final.retryAfter > 0:
-			counts.Refused++
+			counts.Rejected++
 		default:
 			counts.Failed++
 		}
@@ -136,6 +136,6 @@
 	h.logUpstreamRetries()
 	for _, counts := range h.counters.take() {
 		h.options.Logger.Info("requests", "route", counts.Route, "first", counts.FirstAttempts, "in_time", counts.InTime,
-			"late", counts.Late, "refused", counts.Refused, "failed", counts.Failed, "left", counts.Disconnected)
+			"late", counts.Late, "refused", counts.Rejected, "failed", counts.Failed, "left", counts.Disconnected)
 	}
 }
--- a/gateway/counts_test.go
+++ b/gateway/counts_test.go
@@ -18,10 +18,10 @@
 	other := &exchange{route: &routing.Route{Name: "a"}}
 	counters.add(first, func(counts *RouteCounts) { counts.InTime++ })
 	counters.add(retried, func(counts *RouteCounts) { counts.Late++ })
-	counters.add(other, func(counts *RouteCounts) { counts.Refused++ })
+	counters.add(other, func(counts *RouteCounts) { counts.Rejected++ })
 	counters.add(&exchange{}, func(counts *RouteCounts) { counts.Failed++ })
 	g.Expect(counters.take()).To(Equal([]RouteCounts{
-		{Route: "a", FirstAttempts: 1, Refused: 1}, {Route: "b", FirstAttempts: 1, InTime: 1, Late: 1},
+		{Route: "a", FirstAttempts: 1, Rejected: 1}, {Route: "b", FirstAttempts: 1, InTime: 1, Late: 1},
 	}))
 	g.Expect(counters.take()).To(BeEmpty())
 }
