--- a/gateway/tenantcounts.go
+++ b/gateway/tenantcounts.go
@@ -11,9 +11,9 @@
 	Late   int `json:"late"`
 	// Limited counts rejections by the tenant's quota, Refused other rejections that have certainly not
 	// run, and Failed requests without a successful answer that may have run, or whose caller disconnected.
-	Limited int `json:"limited"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
+	Limited  int `json:"limited"`
+	Rejected int `json:"refused"`
+	Failed   int `json:"failed"`
 }
 
 const (
@@ -69,7 +69,7 @@
 		case final.reason == ReasonQuota:
 			counts.Limited++
 		case final.retryAfter > 0:
-			counts.Refused++
+			counts.Rejected++
 		default:
 			counts.Failed++
 		}
