--- a/gateway/freshness.go
+++ b/gateway/freshness.go
@@ -5,9 +5,9 @@
 // Freshness describes how current the configuration of this node is. It is logged with requests that match
 // no route: it shows whether the route is missing on all nodes or on this one only.
 type Freshness struct {
-	// ActiveRevision is the revision of the configuration in force, and RevisionKnown the newest one
+	// ActiveRevision is the revision of the configuration in force, and KnownRevision the newest one
 	// received by this node.
-	ActiveRevision, RevisionKnown int64
+	ActiveRevision, KnownRevision int64
 	// SinceInSync is the time since this node's configuration was last known to equal that of a node that
 	// watches the store, as far as other nodes report.
 	SinceInSync time.Duration
@@ -20,7 +20,7 @@
 // attributes returns the log attributes for a request without a route.
 func (f Freshness) attributes() []any {
 	return []any{
-		"revision_in_force", f.ActiveRevision, "revision_known", f.RevisionKnown, "agreed_ms", f.SinceInSync.Milliseconds(),
+		"revision_in_force", f.ActiveRevision, "revision_known", f.KnownRevision, "agreed_ms", f.SinceInSync.Milliseconds(),
 		"exchanges", f.Exchanges, "oldest_exchange_ms", f.OldestExchange.Milliseconds(),
 	}
 }
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -9,7 +9,7 @@
 func (r *Router) freshness() gateway.Freshness {
 	status := r.syncer.SyncStatus()
 	return gateway.Freshness{
-		ActiveRevision: r.revisionInForce.Load(), RevisionKnown: r.revisionKnown(),
+		ActiveRevision: r.revisionInForce.Load(), KnownRevision: r.revisionKnown(),
 		SinceInSync: status.UrgentAge, Exchanges: status.Exchanges, OldestExchange: status.OldestExchange,
 	}
 }
