--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -20,7 +20,7 @@
 	"github.com/reelrun/reelrun/routing"
 )
 
-// countingDialect answers each request and counts them by their backends.
+// countingDialect answers every request with success and counts requests by backend.
 type countingDialect struct {
 	parser
 	sent map[string]int
@@ -87,16 +87,16 @@
 	decisions := admission.NewNode("n", func() time.Duration { return 0 })
 	handler := newPlainHandler(dialect, decisions)
 	sendRequest := func() *httptest.ResponseRecorder {
-		answer := httptest.NewRecorder()
-		handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "http://h/x", nil))
-		return answer
+		response := httptest.NewRecorder()
+		handler.ServeHTTP(response, httptest.NewRequest(http.MethodGet, "http://h/x", nil))
+		return response
 	}
 	g.Expect(sendRequest().Code).To(Equal(http.StatusOK))
 	decisions.Put("s", admission.Plan{RetryAfter: 2 * time.Second, Interval: time.Second})
-	refused := sendRequest()
-	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
-	g.Expect(refused.Header().Get("Retry-After")).NotTo(BeEmpty())
-	g.Expect(refused.Body.String()).To(HavePrefix(string(gateway.ReasonOverloaded)))
+	rejected := sendRequest()
+	g.Expect(rejected.Code).To(Equal(http.StatusServiceUnavailable))
+	g.Expect(rejected.Header().Get("Retry-After")).NotTo(BeEmpty())
+	g.Expect(rejected.Body.String()).To(HavePrefix(string(gateway.ReasonOverloaded)))
 	g.Expect(dialect.sent["a"] + dialect.sent["b"]).To(Equal(1))
 }
 
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -16,7 +16,7 @@
 	"github.com/reelrun/reelrun/gateway"
 )
 
-// failingDialect answers each request with a failure of the backend's own.
+// failingDialect answers every request with an error response of the backend's own.
 type failingDialect struct{ parser }
 
 func (failingDialect) Send(context.Context, backend.Backend, *gateway.Request, time.Duration) (*gateway.Response, error) {
@@ -24,14 +24,14 @@
 }
 
 func sendOnce(handler http.Handler) *httptest.ResponseRecorder {
-	answer := httptest.NewRecorder()
-	handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "http://h/x", nil))
-	return answer
+	response := httptest.NewRecorder()
+	handler.ServeHTTP(response, httptest.NewRequest(http.MethodGet, "http://h/x", nil))
+	return response
 }
 
-// TestLastAnswerIsReturnedWhenOthersAreInBackoff has one backend fail while the other one is in backoff.
-// Its answer used to be dropped in favor of a second attempt for which there was no backend.
-func TestLastAnswerIsReturnedWhenOthersAreInBackoff(t *testing.T) {
+// TestLastResponseIsReturnedWhenOthersAreInBackoff has one backend fail while the other one is in backoff.
+// The response used to be dropped in favor of a second attempt for which there was no backend.
+func TestLastResponseIsReturnedWhenOthersAreInBackoff(t *testing.T) {
 	g := NewWithT(t)
 	backends := twoBackends()
 	decisions := admission.NewNode("n", func() time.Duration { return 0 })
@@ -55,9 +55,9 @@
 	}
 	g.Expect(dialect.sent).To(Equal(map[string]int{"a": 50}))
 	backends.RecordNotice(backend.Backend{ID: "a"}, backend.Notice{Backoff: time.Second})
-	refused := sendOnce(handler)
-	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
-	g.Expect(refused.Body.String()).To(HavePrefix(string(gateway.ReasonBackoff)))
-	g.Expect(refused.Header().Get("Retry-After")).To(Or(HavePrefix("0.9"), HavePrefix("1.")), "when the first of them is back")
+	rejected := sendOnce(handler)
+	g.Expect(rejected.Code).To(Equal(http.StatusServiceUnavailable))
+	g.Expect(rejected.Body.String()).To(HavePrefix(string(gateway.ReasonBackoff)))
+	g.Expect(rejected.Header().Get("Retry-After")).To(Or(HavePrefix("0.9"), HavePrefix("1.")), "when the first backoff ends")
 	g.Expect(dialect.sent).To(Equal(map[string]int{"a": 50}))
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -9,7 +9,8 @@
 
 const (
 	// sampleSize is how many backends of a service are sampled for a request, and zoneSampleSize how many
-	// of the node's own zone are sampled in addition. A service with no more than that is examined whole.
+	// of the node's own zone are sampled in addition. A service with at most sampleSize backends is
+	// examined whole.
 	sampleSize     = 32
 	zoneSampleSize = 16
 )
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -38,8 +38,8 @@
 	g.Expect(allocations(20_000)).To(BeNumerically("<=", allocations(200)))
 }
 
-// TestPicksCoverAllBackends has nodes of five zones pick as often as there are requests in minutes: each
-// backend gets about as many, whether nodes stay in their zones or these are full.
+// TestPicksCoverAllBackends has nodes of five zones pick as often as there are requests in minutes: all
+// backends get about equally many, whether nodes stay in their zones or these are full.
 func TestPicksCoverAllBackends(t *testing.T) {
 	const (
 		backends = 1350
--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -10,10 +10,10 @@
 	Route string
 	// FirstAttempts counts the requests that are not client retries.
 	FirstAttempts int
-	// InTime counts answers within the objective, measured from the first attempt, without a pause above
-	// the limit. Late counts the other answers.
+	// InTime counts responses within the objective, measured from the first attempt, without a pause above
+	// the limit. Late counts the other responses.
 	InTime, Late int
-	// Rejected counts requests that have certainly not run; Failed those without an answer that may have
+	// Rejected counts requests that have certainly not run; Failed those without a response that may have
 	// run, or whose backend failed; Disconnected those whose caller disconnected.
 	Rejected, Failed, Disconnected int
 }
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -8,8 +8,8 @@
 	"github.com/reelrun/reelrun/quarantine"
 )
 
-// exitCheckTimeout bounds the check whether the backend of a broken answer has terminated. A connection to
-// a running backend opens within a few milliseconds; the request waits meanwhile.
+// exitCheckTimeout bounds the check whether the backend of a broken response has terminated. A connection
+// to a running backend opens within a few milliseconds; the request waits meanwhile.
 const exitCheckTimeout = 100 * time.Millisecond
 
 // fingerprint identifies the content of the request. It is computed once, and only after a failure or while
@@ -24,10 +24,10 @@
 	return *x.content
 }
 
-// checkSendable returns why a request must not be sent any more: its deadline has passed, or it has crashed
-// too many backends. It is called before each send, because another node may have recorded the last crash
-// while the request waited, and because the timer of its context stops while the machine is suspended, so
-// that a backend would be given more time than is left.
+// checkSendable returns an error if the request must not be sent any more: its deadline has passed, or it
+// has crashed too many backends. It is called before each send for two reasons: another node may have
+// recorded the last crash while the request waited, and the timer of the request's context stops while the
+// machine is suspended, so that a backend would be given more time than is left.
 func (x *exchange) checkSendable() error {
 	if x.left() <= 0 {
 		return expired(context.DeadlineExceeded)
@@ -35,7 +35,7 @@
 	return x.checkQuarantine()
 }
 
-// checkQuarantine returns the rejection of a request that has crashed too many backends.
+// checkQuarantine returns a rejection if the request has crashed too many backends.
 func (x *exchange) checkQuarantine() error {
 	tracker := x.handler.options.Quarantine
 	if tracker == nil || tracker.Empty() {
@@ -47,10 +47,10 @@
 	return nil
 }
 
-// reportBreak records that a backend broke the request off, age after it was sent there. A backend that has
-// terminated counts against the request; a broken connection does not, nor does the termination of a
-// backend that was leaving. If no crash is attributed to the request yet, the check runs in the background:
-// this crash cannot be the one that quarantines it.
+// reportBreak records that a backend broke off the request, age after the request was sent there. A backend
+// that has terminated counts against the request; a broken connection does not, nor does the termination of
+// a backend that was leaving. If no crash is attributed to the request yet, the check runs in the
+// background: this crash cannot be the one that quarantines the request.
 func (x *exchange) reportBreak(ctx context.Context, entry *backend.Entry, age time.Duration) {
 	if entry.LeavingFor() > 0 {
 		return
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -14,20 +14,20 @@
 // ErrNotSent means that no byte of a request has left this node for the backend.
 var ErrNotSent = errors.New("gateway: not sent")
 
-// ErrResponseMismatch means that a backend answered another request than the one that it was sent.
-var ErrResponseMismatch = errors.New("gateway: answer to another request")
+// ErrResponseMismatch means that the response of a backend belongs to another request.
+var ErrResponseMismatch = errors.New("gateway: response to another request")
 
-// Response is the response of a backend. The body must be closed.
+// Response is what a backend returns. The body must be closed.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 	// NotRun is set if the backend states that the request has not run and never will.
 	NotRun bool
-	// Misdirected is set if another backend than the intended one answered, or one whose role does not fit
-	// the request.
+	// Misdirected is set if the response comes from another backend than the intended one, or from one
+	// whose role does not fit the request.
 	Misdirected bool
-	// Replaced is set if another incarnation answered: the expected one has terminated.
+	// Replaced is set if the response comes from another incarnation: the expected one has terminated.
 	Replaced bool
 }
 
@@ -43,7 +43,7 @@
 	Handle  string
 }
 
-// DecodeOptions are the options of a decode call.
+// DecodeOptions configure a decode call.
 type DecodeOptions struct {
 	// Prefill is the prompt prefilled at another engine; nil for local prefill.
 	Prefill *PrefillResult
@@ -71,10 +71,10 @@
 	Reserve(ctx context.Context, target backend.Backend, tokens int, lasting time.Duration) (*Reservation, error)
 	// Release cancels a reservation.
 	Release(ctx context.Context, target backend.Backend, reservation Reservation) error
-	// Prefill has an engine prefill a prompt. Without a result, the answer says why.
+	// Prefill has an engine prefill a prompt. Without a result, the response says why.
 	Prefill(ctx context.Context, target backend.Backend, request *Request, left time.Duration) (*PrefillResult, *Response, error)
 	// Discard frees a prefill result.
 	Discard(ctx context.Context, target backend.Backend, result PrefillResult) error
-	// Decode starts the answer, a stream of events.
+	// Decode starts the decode stage. The body of the response is a stream of events.
 	Decode(ctx context.Context, target backend.Backend, request *Request, left time.Duration, options DecodeOptions) (*Response, error)
 }
--- a/gateway/enginewaits.go
+++ b/gateway/enginewaits.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// isLate reports whether the request is late in any case: a client retry, a stream that has broken off, or
-// a request whose objective has passed.
+// isLate reports whether the request is late whatever happens next: a client retry, a stream that has
+// broken off, or a request whose objective has passed.
 func (x *exchange) isLate() bool {
 	return x.isClientRetry() || x.answered || x.since() >= x.route.Objective
 }
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -49,7 +49,7 @@
 			t.Fatal("bytes were changed")
 		}
 		if err == nil && joined != string(stream) {
-			t.Fatal("a part was lost without an error")
+			t.Fatal("bytes were lost without an error")
 		}
 		if err != nil && !errors.Is(err, errTruncatedEvent) && len(stream) < maxEventBytes {
 			t.Fatal(err)
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -16,15 +16,15 @@
 const (
 	// maxSends bounds the calls that run one request at plain backends.
 	maxSends = 3
-	// bufferedAnswerBytes is how much of an answer is read before its head is passed on, so that another
-	// backend can replace an answer that breaks off.
-	bufferedAnswerBytes = 256 << 10
+	// bufferedResponseBytes is how much of a response is read before its head is passed on, so that another
+	// backend can replace a response that breaks off.
+	bufferedResponseBytes = 256 << 10
 	// firstAttemptShare is the share of the time left that an attempt may take while another attempt is
 	// possible.
 	firstAttemptShare = 0.5
 	// noBackendRetryAfter is the Retry-After for a service without backends.
 	noBackendRetryAfter = 1000 * time.Millisecond
-	// rejectedRetryAfter is the Retry-After once backends were full.
+	// rejectedRetryAfter is the Retry-After of a request that no backend accepted.
 	rejectedRetryAfter = 400 * time.Millisecond
 )
 
@@ -47,35 +47,35 @@
 			return err
 		}
 		attempted[entry.Backend().ID] = true
-		answer, err := x.attempt(ctx, entry)
+		response, err := x.attempt(ctx, entry)
 		if err == nil {
-			return x.relay(answer)
+			return x.relay(response)
 		}
-		// The check for another backend comes first: otherwise the last one's own answer would be dropped,
-		// and a retry charged to the budget, for nothing.
+		// The check for another backend comes first. Otherwise the last backend's own response would be
+		// dropped, and a retry charged to the budget, although no backend is left to retry at.
 		next := x.handler.pick(x.service, backend.RoleNone, attempted)
 		if next == nil || !x.mayRetry(err) {
-			return x.finalAnswer(answer, err)
+			return x.finalResponse(response, err)
 		}
 		x.handler.logRetry(x, err)
-		if answer != nil {
-			_ = answer.Body.Close()
+		if response != nil {
+			_ = response.Body.Close()
 		}
 		entry = next
 	}
 }
 
-// finalAnswer returns the last answer of a backend, if there is one that may be passed to the caller, or
-// the error.
-func (x *exchange) finalAnswer(answer *Response, err error) error {
-	if answer == nil {
+// finalResponse passes on the last response of a backend, if there is one that the caller may receive, and
+// returns the error otherwise.
+func (x *exchange) finalResponse(response *Response, err error) error {
+	if response == nil {
 		return x.allBackingOff(backend.RoleNone, err)
 	}
-	if answer.NotRun || answer.Misdirected {
-		_ = answer.Body.Close()
+	if response.NotRun || response.Misdirected {
+		_ = response.Body.Close()
 		return x.allBackingOff(backend.RoleNone, err)
 	}
-	return x.relay(answer)
+	return x.relay(response)
 }
 
 // allBackingOff returns the rejection of a request that has not run if all backends of its service have
@@ -89,7 +89,7 @@
 	return notRun(ReasonBackoff, x.handler.options.Policy.retryAfter(wait), err)
 }
 
-// attemptError is why one attempt did not give an answer that ends the request.
+// attemptError is why one attempt did not produce a response that ends the request.
 type attemptError struct {
 	failure *failure
 	// arrived is set if the backend may have received the request.
@@ -122,8 +122,8 @@
 	return x.maySendRun()
 }
 
-// attempt sends the request to one backend. The answer is buffered whole, or its remainder follows in its
-// body. With an error, the answer is the backend's response, if there was one.
+// attempt sends the request to one backend. The response is buffered whole, or its remainder follows in its
+// body. With an error, the response is what the backend returned, or nil.
 func (x *exchange) attempt(ctx context.Context, entry *backend.Entry) (*Response, error) {
 	target := entry.Backend()
 	x.target = target.ID
@@ -139,11 +139,11 @@
 		defer cancel()
 		sendContext = limited
 	}
-	if refused := x.runRefusal(nil); refused != nil {
-		return nil, refused
+	if rejection := x.runRejection(nil); rejection != nil {
+		return nil, rejection
 	}
 	sent := time.Now()
-	answer, err := x.handler.options.Dialect.Send(sendContext, target, x.request, left)
+	response, err := x.handler.options.Dialect.Send(sendContext, target, x.request, left)
 	if errors.Is(err, ErrNotSent) {
 		outcome = admission.OutcomeFailed
 		entry.RecordFailure()
@@ -151,7 +151,7 @@
 	}
 	x.countRun()
 	if err == nil {
-		err = buffer(answer)
+		err = buffer(response)
 	}
 	if err != nil {
 		if !errors.Is(ctx.Err(), context.Canceled) {
@@ -160,29 +160,29 @@
 		return nil, x.attemptFailed(ctx, entry, time.Since(sent), err)
 	}
 	switch {
-	case answer.Misdirected:
-		x.recordMisdirected(entry, answer)
-		return answer, &attemptError{failure: notRun(ReasonBackendRejected, rejectedRetryAfter, nil), arrived: true}
-	case answer.NotRun:
+	case response.Misdirected:
+		x.recordMisdirected(entry, response)
+		return response, &attemptError{failure: notRun(ReasonBackendRejected, rejectedRetryAfter, nil), arrived: true}
+	case response.NotRun:
 		outcome = admission.OutcomeRejected
 		entry.MarkFull(fullDuration)
-		return answer, &attemptError{failure: notRun(ReasonBackendRejected, rejectedRetryAfter, nil), arrived: true}
+		return response, &attemptError{failure: notRun(ReasonBackendRejected, rejectedRetryAfter, nil), arrived: true}
 	}
 	outcome = admission.OutcomeFailed
 	x.runs++
-	if promisesNotRun(answer.Status) {
+	if promisesNotRun(response.Status) {
 		// To the caller this status says that nothing has run, which the backend did not state.
-		_ = answer.Body.Close()
-		return nil, &attemptError{failure: unknown(ReasonBackendFailed, errors.Newf("status %d", answer.Status)), arrived: true, ran: true}
+		_ = response.Body.Close()
+		return nil, &attemptError{failure: unknown(ReasonBackendFailed, errors.Newf("status %d", response.Status)), arrived: true, ran: true}
 	}
-	if answer.Status >= http.StatusInternalServerError {
+	if response.Status >= http.StatusInternalServerError {
 		entry.RecordFailure()
-		return answer, &attemptError{failure: unknown(ReasonBackendFailed, nil), arrived: true, ran: true}
+		return response, &attemptError{failure: unknown(ReasonBackendFailed, nil), arrived: true, ran: true}
 	}
 	outcome = admission.OutcomeAnswered
 	entry.RecordSuccess()
 	x.recordAnswered()
-	return answer, nil
+	return response, nil
 }
 
 // promisesNotRun reports whether a status promises a caller that its request has not run and never will.
@@ -195,19 +195,20 @@
 	}
 }
 
-// recordMisdirected records an answer from another incarnation or in another role.
-func (x *exchange) recordMisdirected(entry *backend.Entry, answer *Response) {
+// recordMisdirected records a response from another incarnation or in another role.
+func (x *exchange) recordMisdirected(entry *backend.Entry, response *Response) {
 	entry.RecordFailure()
-	if answer.Replaced && x.handler.options.Backends.Remove(entry.Backend().ID) {
+	if response.Replaced && x.handler.options.Backends.Remove(entry.Backend().ID) {
 		x.handler.options.Logger.Info("back end replaced", "backend", entry.Backend().ID, "request", x.request.ID)
 	}
 }
 
-// attemptFailed returns the error of an attempt without a complete answer, age after it was sent.
+// attemptFailed returns the error of an attempt without a complete response, age after the request was
+// sent.
 func (x *exchange) attemptFailed(ctx context.Context, entry *backend.Entry, age time.Duration, err error) error {
 	x.runs++
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		// A backend that is silent until the deadline has failed as well.
+		// A backend that is unresponsive until the deadline has failed as well.
 		entry.RecordFailure()
 	}
 	if failure := contextFailure(ctx); failure != nil {
@@ -217,19 +218,19 @@
 	return &attemptError{failure: unknown(ReasonBackendFailed, err), arrived: true, ran: true}
 }
 
-// buffer reads the answer's body up to bufferedAnswerBytes.
-func buffer(answer *Response) error {
+// buffer reads the body of a response up to bufferedResponseBytes.
+func buffer(response *Response) error {
 	var head bytes.Buffer
-	_, err := io.CopyN(&head, answer.Body, bufferedAnswerBytes)
+	_, err := io.CopyN(&head, response.Body, bufferedResponseBytes)
 	if err == nil {
-		answer.Body = joinedBody{io.MultiReader(&head, answer.Body), answer.Body}
+		response.Body = joinedBody{io.MultiReader(&head, response.Body), response.Body}
 		return nil
 	}
-	_ = answer.Body.Close()
+	_ = response.Body.Close()
 	if !errors.Is(err, io.EOF) {
-		return errors.Wrap(err, "read answer")
+		return errors.Wrap(err, "read response")
 	}
-	answer.Body = io.NopCloser(&head)
+	response.Body = io.NopCloser(&head)
 	return nil
 }
 
@@ -238,29 +239,29 @@
 	io.Closer
 }
 
-// relay passes a backend's answer to the caller.
-func (x *exchange) relay(answer *Response) error {
-	defer func() { _ = answer.Body.Close() }()
-	x.writeHead(answer)
-	if _, err := io.Copy(x.writer, answer.Body); err != nil {
+// relay passes a backend's response to the caller.
+func (x *exchange) relay(response *Response) error {
+	defer func() { _ = response.Body.Close() }()
+	x.writeHead(response)
+	if _, err := io.Copy(x.writer, response.Body); err != nil {
 		return unknown(ReasonStreamBroken, err)
 	}
 	return nil
 }
 
-// writeHead passes on the status and headers of an answer.
-func (x *exchange) writeHead(answer *Response) {
+// writeHead passes on the status and headers of a response.
+func (x *exchange) writeHead(response *Response) {
 	header := x.writer.Header()
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		header[name] = values
 	}
 	// net/http would add these headers by itself.
 	for _, name := range []string{"Content-Type", "Date"} {
-		if _, given := answer.Header[name]; !given {
+		if _, given := response.Header[name]; !given {
 			header[name] = nil
 		}
 	}
 	x.answered = true
-	x.status = answer.Status
-	x.writer.WriteHeader(answer.Status)
+	x.status = response.Status
+	x.writer.WriteHeader(response.Status)
 }
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -15,35 +15,36 @@
 const (
 	// maxPrefills bounds the prefills of one request.
 	maxPrefills = 3
-	// maxLeavingTime is for how long after a decode engine was reported leaving an answer still starts
-	// there, because its prompt was being prefilled. It is half of the shortest time for which engines
-	// continue to serve (2 s on the supported deployments).
+	// maxLeavingTime is how long after a decode engine was reported leaving a run may still start there,
+	// because its prompt was being prefilled. It is half of the shortest time for which engines continue to
+	// serve (2 s on the supported deployments).
 	maxLeavingTime = time.Second
-	// maxBackoffTime is the same after a decode engine has requested backoff: it has reserved memory for
-	// this answer. It is half of the time in which engines still accept requests under way (0.5 s).
+	// maxBackoffTime is the same limit after a decode engine has requested backoff: it has already reserved
+	// memory for this run. It is half of the time for which engines still accept requests under way
+	// (0.5 s).
 	maxBackoffTime = 250 * time.Millisecond
-	// prefillTimeoutShare is the share of the objective after which the prefill is abandoned at a silent
-	// engine, if no estimate of its duration is available.
+	// prefillTimeoutShare is the share of the objective after which the prefill at an unresponsive engine
+	// is abandoned, if there is no estimate of its duration.
 	prefillTimeoutShare = 0.7
-	// expectedPrefillFactor and shortestPrefillTimeout give that timeout if the coordinator expects a
-	// duration. A second prefill of a prompt wastes the first one and lengthens the queues, so the timeout
-	// lies well above the variation of the expected duration.
+	// expectedPrefillFactor and shortestPrefillTimeout determine that timeout if the coordinator has
+	// estimated the duration. A second prefill of a prompt wastes the first one and lengthens the queues,
+	// so the timeout lies well above the variation of the estimates.
 	expectedPrefillFactor  = 2
 	shortestPrefillTimeout = 500 * time.Millisecond
 )
 
-// generate serves a request by engines: memory is reserved, the prompt is prefilled, and the answer is
-// relayed. If a stream breaks off and may be resumed, another engine continues it.
+// generate serves a request by engines: memory is reserved, the prompt is prefilled, and the output of the
+// decode engine is relayed. If a stream breaks off and may be resumed, another engine continues it.
 func (x *exchange) generate(ctx context.Context, profile *routing.EngineProfile) error {
 	defer func() { x.freeKeptPrompt(ctx) }()
 	relayed := &streamRelay{exchange: x, lastID: x.request.Generation.LastEventID}
 	avoid := map[string]bool{}
 	for {
-		answer, reserved, err := x.start(ctx, profile, relayed.lastID, avoid)
+		response, reserved, err := x.start(ctx, profile, relayed.lastID, avoid)
 		if err != nil {
 			return err
 		}
-		err = relayed.relay(ctx, answer, reserved)
+		err = relayed.relay(ctx, response, reserved)
 		if err != nil && contextFailure(ctx) == nil && !isReason(err, ReasonCallerLeft) {
 			reserved.refusal = coordinator.RefusalFailed
 			x.handler.logWasted(x, reserved.entry.Backend().ID, wasteStreamBroken)
@@ -70,8 +71,8 @@
 	return x.mayStartRun()
 }
 
-// start starts an answer at a decode engine. Engines that reject it are replaced by others while the retry
-// budget lasts.
+// start starts the run at a decode engine. Engines that reject the run are replaced by others while the
+// retry budget lasts.
 func (x *exchange) start(ctx context.Context, profile *routing.EngineProfile, lastID string, avoid map[string]bool) (*Response, *reservedEngine, error) {
 	for prefills := 1; ; prefills++ {
 		reserved, err := x.reserve(ctx, profile, avoid)
@@ -79,9 +80,9 @@
 			return nil, nil, err
 		}
 		x.timings.reserved = x.since()
-		answer, err := x.startAt(ctx, reserved, lastID)
+		response, err := x.startAt(ctx, reserved, lastID)
 		if err == nil {
-			return answer, reserved, nil
+			return response, reserved, nil
 		}
 		x.release(ctx, reserved)
 		var failed *attemptError
@@ -95,7 +96,7 @@
 	}
 }
 
-// mayStartAgain reports whether an answer that has not started may start at another engine.
+// mayStartAgain reports whether a run that has not started may start at another engine.
 func (x *exchange) mayStartAgain(failed *attemptError) bool {
 	if failed.ran {
 		return x.mayResume()
@@ -106,7 +107,7 @@
 	return x.mayStartRun()
 }
 
-// startAt prefills the prompt and starts the answer at the engine of a reservation.
+// startAt prefills the prompt and starts the run at the engine of a reservation.
 func (x *exchange) startAt(ctx context.Context, reserved *reservedEngine, lastID string) (*Response, error) {
 	if err := x.checkSendable(); err != nil {
 		return nil, err
@@ -132,34 +133,34 @@
 		x.discard(ctx, prompt, wasteNotSent)
 		return nil, err
 	}
-	if refused := x.runRefusal(nil); refused != nil {
+	if rejection := x.runRejection(nil); rejection != nil {
 		x.discard(ctx, prompt, wasteNotSent)
-		return nil, refused
+		return nil, rejection
 	}
 	watched := x.watchDecode(ctx, reserved)
 	reserved.sent = time.Now()
-	answer, err := x.handler.options.Dialect.Decode(watched, reserved.entry.Backend(), x.request, x.left(), options)
+	response, err := x.handler.options.Dialect.Decode(watched, reserved.entry.Backend(), x.request, x.left(), options)
 	if err != nil {
 		x.discard(ctx, prompt, wasteDecodeFailed)
 		return nil, x.decodeFailed(ctx, reserved, err)
 	}
 	x.countRun()
-	if answer.Misdirected {
-		x.recordMisdirected(reserved.entry, answer)
+	if response.Misdirected {
+		x.recordMisdirected(reserved.entry, response)
 	}
-	if answer.NotRun || answer.Misdirected {
-		_ = answer.Body.Close()
+	if response.NotRun || response.Misdirected {
+		_ = response.Body.Close()
 		if reserved.entry.BackoffRemaining() == 0 {
 			reserved.refusal = coordinator.RefusalUnavailable
 		}
-		x.keepPrompt(ctx, prompt, wasteDecodeRefused)
+		x.keepPrompt(ctx, prompt, wasteDecodeRejected)
 		return nil, &attemptError{failure: notRun(ReasonBackendRejected, rejectedRetryAfter, nil), arrived: true}
 	}
 	x.runs++
-	return answer, nil
+	return response, nil
 }
 
-// decodeFailed returns the error for a decode engine that gave no answer.
+// decodeFailed returns the error for a decode engine that gave no response.
 func (x *exchange) decodeFailed(ctx context.Context, reserved *reservedEngine, err error) error {
 	if !errors.Is(err, ErrNotSent) {
 		x.countRun()
@@ -177,8 +178,8 @@
 	return &attemptError{failure: unknown(ReasonBackendFailed, err), arrived: true, ran: true}
 }
 
-// prefill has the prompt prefilled. That runs nothing of the request, so that another engine may be used
-// after any failure.
+// prefill has the prompt prefilled. A prefill does not run the request, so another engine may be used after
+// any failure.
 func (x *exchange) prefill(ctx context.Context, reserved *reservedEngine) (*PrefillResult, *backend.Entry, error) {
 	attempted := map[string]bool{}
 	for {
@@ -196,8 +197,8 @@
 		if failure := contextFailure(ctx); failure != nil {
 			return nil, nil, failure
 		}
-		if refused := x.checkSendable(); refused != nil {
-			return nil, nil, refused
+		if rejection := x.checkSendable(); rejection != nil {
+			return nil, nil, rejection
 		}
 		if len(attempted) >= maxPrefills || !x.mayStartRun() {
 			return nil, nil, notRun(ReasonPrefillFailed, rejectedRetryAfter, err)
@@ -237,11 +238,11 @@
 	defer end()
 	limited, cancel := context.WithTimeout(ctx, x.prefillTimeout(entry, reserved))
 	defer cancel()
-	if refused := x.prefillRefusal(); refused != nil {
-		return nil, refused
+	if rejection := x.prefillRejection(); rejection != nil {
+		return nil, rejection
 	}
 	sent := time.Now()
-	result, answer, err := x.handler.options.Dialect.Prefill(limited, entry.Backend(), x.request, x.left())
+	result, response, err := x.handler.options.Dialect.Prefill(limited, entry.Backend(), x.request, x.left())
 	if !errors.Is(err, ErrNotSent) {
 		x.countPrefill(result != nil)
 	}
@@ -258,17 +259,17 @@
 			x.reportBreak(ctx, entry, time.Since(sent))
 		}
 		return nil, err
-	case result == nil && answer.Misdirected:
-		x.recordMisdirected(entry, answer)
+	case result == nil && response.Misdirected:
+		x.recordMisdirected(entry, response)
 		reserved.reportPrefillFailure(entry.Backend().ID, false)
-		return nil, errors.Newf("prefill refused with status %d", answer.Status)
-	case result == nil && answer.NotRun:
+		return nil, errors.Newf("prefill rejected with status %d", response.Status)
+	case result == nil && response.NotRun:
 		entry.MarkFull(fullDuration)
-		return nil, errors.Newf("prefill refused with status %d", answer.Status)
+		return nil, errors.Newf("prefill rejected with status %d", response.Status)
 	case result == nil:
 		entry.RecordFailure()
 		reserved.reportPrefillFailure(entry.Backend().ID, false)
-		return nil, errors.Newf("prefill failed with status %d", answer.Status)
+		return nil, errors.Newf("prefill failed with status %d", response.Status)
 	}
 	return result, nil
 }
@@ -306,30 +307,30 @@
 	s.lastAt = now
 	s.events++
 	reserved.events++
-	reserved.silence.reset(s.exchange.pauseLimit())
+	reserved.watchdog.reset(s.exchange.pauseLimit())
 	if id != "" {
 		s.lastID = id
 	}
 }
 
 // relay passes on complete events until the stream ends.
-func (s *streamRelay) relay(ctx context.Context, answer *Response, reserved *reservedEngine) error {
+func (s *streamRelay) relay(ctx context.Context, response *Response, reserved *reservedEngine) error {
 	x := s.exchange
-	defer func() { _ = answer.Body.Close() }()
-	if answer.Status != http.StatusOK {
-		if promisesNotRun(answer.Status) {
-			return unknown(ReasonBackendFailed, errors.Newf("status %d", answer.Status))
+	defer func() { _ = response.Body.Close() }()
+	if response.Status != http.StatusOK {
+		if promisesNotRun(response.Status) {
+			return unknown(ReasonBackendFailed, errors.Newf("status %d", response.Status))
 		}
 		if x.answered {
-			return unknown(ReasonStreamBroken, errors.Newf("resumed with status %d", answer.Status))
+			return unknown(ReasonStreamBroken, errors.Newf("resumed with status %d", response.Status))
 		}
-		if err := buffer(answer); err != nil {
+		if err := buffer(response); err != nil {
 			return unknown(ReasonBackendFailed, err)
 		}
-		return x.relay(answer)
+		return x.relay(response)
 	}
 	flusher := http.NewResponseController(x.writer)
-	events := newEventReader(answer.Body)
+	events := newEventReader(response.Body)
 	for {
 		event, err := events.next()
 		if err != nil {
@@ -340,13 +341,13 @@
 		}
 		if event == nil {
 			if !x.answered {
-				x.writeHead(answer)
+				x.writeHead(response)
 			}
 			x.recordAnswered()
 			return nil
 		}
 		if !x.answered {
-			x.writeHead(answer)
+			x.writeHead(response)
 		}
 		if _, err := x.writer.Write(event.bytes); err != nil {
 			return unknown(ReasonCallerLeft, err)
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -34,8 +34,8 @@
 	Budget   *retrybudget.Budget
 	Metrics  *metrics.Set
 	Logger   *slog.Logger
-	// Coordinator assigns engines. Without one, each node chooses engines itself, by the reservations that
-	// they accept.
+	// Coordinator assigns engines. Without one, each node chooses engines itself, among those that accept
+	// its reservations.
 	Coordinator Coordinator
 	// Assignable reports whether a backend may be given new work, in addition to its state. Default:
 	// always.
@@ -45,7 +45,7 @@
 	// Quarantine tracks which requests crash backends. Without it, crashes are not recorded.
 	Quarantine quarantine.Tracker
 	// Admission decides which requests to plain services are admitted, and where they are sent. Default:
-	// all are admitted, and sent by this node's own observations.
+	// all are admitted, and backends are chosen by this node's own observations.
 	Admission *admission.Node
 	// Freshness describes how current the configuration of this node is, for the log. Default: the zero
 	// value.
@@ -85,7 +85,7 @@
 	counters      routeCounters
 	// retryCounters counts the upstream retries of each service.
 	retryCounters retryCounters
-	// tenantCounters counts by tenant, beside counters.
+	// tenantCounters counts how the requests of each tenant end, in addition to counters by route.
 	tenantCounters tenantCounters
 	firstEvents    firstEvents
 }
@@ -106,7 +106,8 @@
 	return &Handler{options: options, started: started, runNames: newRunNames()}
 }
 
-// Configure puts a configuration in force, unless one at least as new is. It reports whether it did.
+// Configure makes a configuration active, unless the active one is at least as new. It reports whether it
+// did.
 func (h *Handler) Configure(configuration *routing.Configuration) bool {
 	for {
 		current := h.configuration.Load()
@@ -119,7 +120,7 @@
 	}
 }
 
-// Configuration returns the configuration in force, or nil.
+// Configuration returns the active configuration, or nil.
 func (h *Handler) Configuration() *routing.Configuration { return h.configuration.Load() }
 
 // Drain makes the handler unready. Requests are still served.
@@ -172,7 +173,7 @@
 	tenant   *tenant.Tenant
 	service  string
 	deadline time.Time
-	// answered is set once the head of an answer has been written.
+	// answered is set once the head of a response has been written.
 	answered bool
 	// arrivals counts the calls that have reached backends, runs those that may have run there.
 	arrivals arrivals
@@ -191,7 +192,7 @@
 	// target is the backend of the last send.
 	target  string
 	timings timings
-	// status is the status of the backend's answer that was passed on.
+	// status is the status of the backend's response that was passed on.
 	status int
 	// content is the fingerprint of the request once it has been computed.
 	content *quarantine.Fingerprint
@@ -199,7 +200,7 @@
 	clientRetry clientRetryEvidence
 }
 
-// serve answers the request or returns the failure.
+// serve responds to the request, or returns why it cannot.
 func (x *exchange) serve(r *http.Request) error {
 	h := x.handler
 	request, malformed := h.options.Dialect.Parse(r)
@@ -279,7 +280,7 @@
 	}
 }
 
-// finish writes the gateway's own answer, if there is one, and accounts for the request.
+// finish writes the gateway's own response, if there is one, and accounts for the request.
 func (h *Handler) finish(x *exchange, err error, took time.Duration) {
 	x.refund()
 	h.countArrivals(x)
@@ -294,14 +295,14 @@
 		final = unknown(ReasonBackendFailed, err)
 	}
 	if x.runs > 0 && final.retryAfter > 0 {
-		// Part of the request may have run, so the answer must not promise that nothing has.
+		// Part of the request may have run, so the response must not promise that nothing has.
 		final = unknown(final.reason, final.cause)
 	}
 	h.options.Metrics.Add("requests_"+string(final.reason), 1)
 	h.countFailure(x, final)
 	h.logFailure(x, final, took)
 	if x.answered {
-		// A truncated answer must not look complete.
+		// A truncated response must not look complete.
 		panic(http.ErrAbortHandler)
 	}
 	final.write(x.writer)
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -78,8 +78,8 @@
 		"cause", err.Error(), "budget_left", int(h.options.Budget.Remaining(x.service)))...)
 }
 
-// logBreak logs that a backend broke a request off, whether the backend has terminated, and the request's
-// quarantine status since.
+// logBreak logs that a backend broke off a request, whether the backend has terminated, and the resulting
+// quarantine status of the request.
 func (h *Handler) logBreak(broken brokenRequest, crashed bool, quarantineStatus quarantine.Status) {
 	h.options.Metrics.Add("requests_broken_off", 1)
 	h.options.Logger.Info("back end broke request off", "request", broken.request, "content", broken.content.String(),
@@ -99,7 +99,8 @@
 	h.options.Logger.Info("assigned engine full", append(x.attributes(x.since()), "engine", engine)...)
 }
 
-// logAnswered logs an answer that is late or a failure of its backend. Other answers have no line.
+// logAnswered logs a response that is late, or that reports a failure of its backend. Other responses have
+// no line.
 func (h *Handler) logAnswered(x *exchange, took time.Duration) {
 	if x.status >= http.StatusInternalServerError {
 		h.options.Metrics.Add("requests_failed_by_backend", 1)
@@ -128,7 +129,7 @@
 	}
 }
 
-// logWasted logs a wasted prefill, complete or only started.
+// logWasted logs a prefill, complete or only started, whose result is not used.
 func (h *Handler) logWasted(x *exchange, engine string, cause wasteCause) {
 	h.options.Metrics.Add("prompts_wasted", 1)
 	h.options.Logger.Info("prompt wasted", "request", x.request.ID, "service", x.service, "engine", engine,
@@ -138,10 +139,10 @@
 // wasteCause is why a prefill was wasted.
 type wasteCause string
 
-// The causes.
+// The causes of wasted prefills, as logged.
 const (
 	wastePrefillTimeout wasteCause = "reading given up"
-	wasteDecodeRefused  wasteCause = "decode refused"
+	wasteDecodeRejected wasteCause = "decode refused"
 	wasteDecodeFailed   wasteCause = "decode failed"
 	wasteEngineLeft     wasteCause = "engine left"
 	wasteEngineBackoff  wasteCause = "engine asked for backoff"
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -18,7 +18,7 @@
 	ReasonNoRoute   Reason = "no_route"
 	// ReasonQuota means that the request exceeds the quota of its tenant.
 	ReasonQuota Reason = "quota"
-	// ReasonUnknownKey means that the caller presented no key of the configuration in force.
+	// ReasonUnknownKey means that the caller presented no key of the active configuration.
 	ReasonUnknownKey   Reason = "unknown_key"
 	ReasonBodyTooLarge Reason = "body_too_large"
 	ReasonNoBackend    Reason = "no_backend"
@@ -41,7 +41,7 @@
 	ReasonStreamBroken  Reason = "stream_broken"
 )
 
-// failure is the gateway's own final answer. It implements error, so that each step can return it.
+// failure is a final response of the gateway's own. It implements error, so that each step can return it.
 type failure struct {
 	status int
 	reason Reason
@@ -62,27 +62,27 @@
 // Unwrap returns the cause.
 func (f *failure) Unwrap() error { return f.cause }
 
-// notRun is the answer to a request that has certainly not run.
+// notRun is the response to a request that has certainly not run.
 func notRun(reason Reason, retryAfter time.Duration, cause error) *failure {
 	return &failure{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter, cause: cause}
 }
 
-// beyondQuota is the answer to a request beyond the quota of its tenant, which has certainly not run.
+// beyondQuota is the response to a request beyond the quota of its tenant, which has certainly not run.
 func beyondQuota(retryAfter time.Duration) *failure {
 	return &failure{status: http.StatusTooManyRequests, reason: ReasonQuota, retryAfter: retryAfter}
 }
 
-// unknown is the answer to a request that may have run.
+// unknown is the response to a request that may have run.
 func unknown(reason Reason, cause error) *failure {
 	return &failure{status: http.StatusBadGateway, reason: reason, cause: cause}
 }
 
-// expired is the answer to a request whose deadline has passed.
+// expired is the response to a request whose deadline has passed.
 func expired(cause error) *failure {
 	return &failure{status: http.StatusGatewayTimeout, reason: ReasonDeadline, cause: cause}
 }
 
-// rejected is the answer to a request that is itself invalid.
+// rejected is the response to a request that is itself invalid.
 func rejected(status int, reason Reason, cause error) *failure {
 	return &failure{status: status, reason: reason, cause: cause}
 }
--- a/gateway/policy.go
+++ b/gateway/policy.go
@@ -7,23 +7,25 @@
 )
 
 // Policy controls how engines are chosen and when a request is rejected. The effect of each field was
-// measured separately.
+// measured separately; docs/BENCH.md has the figures.
 type Policy struct {
 	// OutputMargin is the share of the expected output that is reserved at an engine that the coordinator
 	// assigned. Default 0.1: an engine blocks the whole reservation until its run has ended, and the
 	// coordinator's ledger already accounts for the growth of runs.
 	OutputMargin float64
-	// UncoordinatedOutputMargin is the same without a coordinator. Default 1.3: then only the reservations
-	// at the engine protect its memory.
+	// UncoordinatedOutputMargin is the same share without a coordinator. Default 1.3: without a
+	// coordinator, only the reservations at the engine protect its memory.
 	UncoordinatedOutputMargin float64
 	// RetryWait is how long a client retry waits for engines, as a share of the time after which its caller
-	// leaves a silent stream. It is late whenever it is served, so it may wait while others go first; a
-	// second rejection would not help it. Default 0.75: the rest is left for prefilling its prompt.
+	// disconnects from a stream without events. A client retry is late whenever it is served, so it may
+	// wait while others go first, and a second rejection would not help it. Default 0.75: the rest is left
+	// for prefilling its prompt.
 	RetryWait float64
 	// UncoordinatedWait is how long a first attempt waits for memory without a coordinator, as a share of
-	// the objective. Default 0.2: then there is no estimate whether memory will become free.
+	// the objective. Default 0.2: without a coordinator there is no estimate whether memory will become
+	// free.
 	UncoordinatedWait float64
-	// ReservationLifetime is how long memory stays reserved until the answer starts. Default 1.5s.
+	// ReservationLifetime is how long memory stays reserved until the run starts. Default 1.5s.
 	ReservationLifetime time.Duration
 	// ShortestRetryAfter and LongestRetryAfter bound the Retry-After of rejected requests. Defaults 0.2s
 	// and 4.5s.
@@ -72,7 +74,7 @@
 }
 
 // retryAfter returns the Retry-After of a rejected request, given when capacity is expected. Jitter spreads
-// out the retries of callers that are rejected together.
+// the retries of callers that are rejected together.
 func (p *Policy) retryAfter(wait time.Duration) time.Duration {
 	const jitter = 0.1
 	after := time.Duration(float64(wait) * (1 + jitter*rand.Float64()))
--- a/gateway/prompt.go
+++ b/gateway/prompt.go
@@ -7,8 +7,8 @@
 	"github.com/reelrun/reelrun/backend"
 )
 
-// maxKeptPromptAge is the age up to which another engine may still fetch a prefilled prompt. Engines keep
-// one for half a second, and the fetch has to start in that time.
+// maxKeptPromptAge is the age up to which another engine may still fetch a prefilled prompt. Engines keep a
+// prompt for half a second, and the fetch has to start in that time.
 const maxKeptPromptAge = 300 * time.Millisecond
 
 // prefilledPrompt is a prefilled prompt, which its engine keeps for a short time.
@@ -42,12 +42,12 @@
 }
 
 // prefillLocally has the decode engine prefill the prompt, which other engines have rejected or failed to
-// prefill: it has memory for the request and prefills more slowly, but at once. Each rejected prefill
-// counts as an arrival: if the budget were not checked here, runs after rejected prefills would exceed it
-// by one each.
+// prefill: the decode engine has memory for the request and prefills more slowly, but at once. Each
+// rejected prefill counts as an arrival: if the budget were not checked here, runs after rejected prefills
+// would exceed it by one each.
 func (x *exchange) prefillLocally(reserved *reservedEngine, failed error) error {
-	if refused := x.runRefusal(failed); refused != nil {
-		return refused
+	if rejection := x.runRejection(failed); rejection != nil {
+		return rejection
 	}
 	reserved.localPrefill = true
 	x.handler.logRetry(x, failed)
@@ -55,9 +55,9 @@
 }
 
 // keepPrompt keeps a prompt that no engine has fetched for the next engine, if there is time for that, and
-// frees it otherwise. A rejected run has not used the prompt; if it were prefilled again elsewhere, the
-// next start would count as two retries instead of one. The prompt is offered to two engines at most,
-// because an engine may have rejected the run for being unable to fetch it.
+// frees it otherwise. A rejected run has not used the prompt; if the prompt were prefilled again elsewhere,
+// the next start would count as two retries instead of one. The prompt is offered to two engines at most,
+// because an engine may have rejected the run for being unable to fetch the prompt.
 func (x *exchange) keepPrompt(ctx context.Context, prompt *prefilledPrompt, cause wasteCause) {
 	if prompt == nil {
 		return
@@ -75,7 +75,7 @@
 	keptPrompt := x.keptPrompt
 	x.keptPrompt = nil
 	if keptPrompt != nil && time.Since(keptPrompt.prefilledAt) > maxKeptPromptAge {
-		x.discard(ctx, keptPrompt, wasteDecodeRefused)
+		x.discard(ctx, keptPrompt, wasteDecodeRejected)
 		return nil
 	}
 	return keptPrompt
@@ -85,7 +85,7 @@
 func (x *exchange) freeKeptPrompt(ctx context.Context) {
 	if keptPrompt := x.keptPrompt; keptPrompt != nil {
 		x.keptPrompt = nil
-		x.discard(ctx, keptPrompt, wasteDecodeRefused)
+		x.discard(ctx, keptPrompt, wasteDecodeRejected)
 	}
 }
 
--- a/gateway/repeats.go
+++ b/gateway/repeats.go
@@ -1,7 +1,7 @@
 package gateway
 
-// noBudgetRetryAfter is the Retry-After of a request that may not be sent again. The client retry is a
-// first attempt to the backends, which needs no retry budget.
+// noBudgetRetryAfter is the Retry-After of a request that may not be sent again for lack of retry budget. A
+// client retry is a new request, and the first attempt of a request needs no retry budget.
 const noBudgetRetryAfter = rejectedRetryAfter
 
 // maySend reserves, in the retry budget, the retries that the request will have made once the given calls
@@ -20,14 +20,16 @@
 	return x.maySend(after.withRun())
 }
 
-// runRefusal returns the rejection of the request if the retry budget does not allow the run that is about
+// runRejection returns the rejection of the request if the retry budget does not allow the run that is about
 // to be sent. The cause is why it would be a retry, if that is known.
-func (x *exchange) runRefusal(cause error) error { return x.budgetRefusal(x.arrivals.withRun(), cause) }
+func (x *exchange) runRejection(cause error) error {
+	return x.budgetRejection(x.arrivals.withRun(), cause)
+}
 
-// prefillRefusal is runRefusal for a prefill. Whether an engine accepts it is not known yet.
-func (x *exchange) prefillRefusal() error { return x.budgetRefusal(x.arrivals.withPrefill(), nil) }
+// prefillRejection is runRejection for a prefill. Whether an engine accepts it is not known yet.
+func (x *exchange) prefillRejection() error { return x.budgetRejection(x.arrivals.withPrefill(), nil) }
 
-func (x *exchange) budgetRefusal(after arrivals, cause error) error {
+func (x *exchange) budgetRejection(after arrivals, cause error) error {
 	if !x.maySend(after) || !x.retryGrant.MaySend(after.upstreamRetries()) {
 		return notRun(ReasonRetryBudget, x.handler.options.Policy.retryAfter(noBudgetRetryAfter), cause)
 	}
--- a/gateway/repeats_test.go
+++ b/gateway/repeats_test.go
@@ -23,16 +23,16 @@
 	"github.com/reelrun/reelrun/routing"
 )
 
-// rejectingDialect has engines reject the first answer of each request, and records when retries reach
+// rejectingDialect has engines reject the first decode call of each request, and records when retries reach
 // engines.
 type rejectingDialect struct {
 	parser
 	mu       sync.Mutex
 	prefills map[string]int
-	answers  map[string]int
+	decodes  map[string]int
 	retried  []time.Time
-	// delay is how long the second answers of requests that arrive before a moment are delayed on their
-	// way.
+	// delay is how long the second decode calls of requests that arrive before a moment are delayed on
+	// their way.
 	delay  time.Duration
 	before time.Time
 }
@@ -62,21 +62,21 @@
 func (d *rejectingDialect) Decode(_ context.Context, _ backend.Backend, request *gateway.Request, _ time.Duration, _ gateway.DecodeOptions) (*gateway.Response, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.answers[request.ID]++
-	if d.answers[request.ID] > 1 {
+	d.decodes[request.ID]++
+	if d.decodes[request.ID] > 1 {
 		if time.Now().Before(d.before) {
 			time.Sleep(d.delay)
 		}
 		d.retried = append(d.retried, time.Now())
 	}
 	return &gateway.Response{
-		Status: http.StatusOK, Header: http.Header{}, NotRun: d.answers[request.ID] == 1,
+		Status: http.StatusOK, Header: http.Header{}, NotRun: d.decodes[request.ID] == 1,
 		Body: io.NopCloser(strings.NewReader("id: 1\ndata: x\n\n")),
 	}, nil
 }
 
-// waitingCoordinator assigns engines, the second time after a wait for requests that arrive before a
-// moment.
+// waitingCoordinator assigns engines. The second assignment of a request that arrives before a moment takes
+// a while.
 type waitingCoordinator struct {
 	fullCoordinator
 	wait   time.Duration
@@ -95,15 +95,15 @@
 }
 
 // TestUpstreamRetriesCountFromSending guards against counting retries from when they were granted. A
-// request whose answer was rejected waited nine seconds for other engines and was then sent again. Its
-// retries counted from before the wait and expired two seconds after they had arrived, so that two windows'
-// worth arrived in one: four calls within 2.1 s where a window of ten allows two. A granted retry counts
-// until it is sent, and from then on for a window.
+// request whose run was rejected waited nine seconds for other engines and was then sent again. Its retries
+// counted from before the wait and expired two seconds after they had arrived, so that two windows' worth
+// arrived in one: four calls within 2.1 s where a window of ten allows two. A granted retry counts until it
+// is sent, and from then on for a window.
 func TestUpstreamRetriesCountFromSending(t *testing.T) {
 	const burst, wait, window = 2, 9 * time.Second, 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		dialect := &rejectingDialect{prefills: map[string]int{}, answers: map[string]int{}}
+		dialect := &rejectingDialect{prefills: map[string]int{}, decodes: map[string]int{}}
 		assigned := &waitingCoordinator{wait: wait, before: time.Now().Add(window + time.Second)}
 		handler := newRetryingHandler(dialect, assigned, burst, window)
 		time.Sleep(window)
@@ -126,14 +126,14 @@
 }
 
 // TestDelayedUpstreamRetriesCountUntilArrival guards against expiring retries that are still under way. A
-// link delayed a retry by nine seconds. It expired a window after it was sent, but reached the engine up to
-// nine seconds later: three retries in a window that allows two. A call may arrive at any moment until its
-// answer or its failure is known, so its retry counts in each window until then.
+// link delayed a retry by nine seconds. The retry expired a window after it was sent, but reached the
+// engine up to nine seconds later: three retries in a window that allows two. A call may arrive at any
+// moment until its response or its failure is known, so its retry counts in each window until then.
 func TestDelayedUpstreamRetriesCountUntilArrival(t *testing.T) {
 	const burst, delay, window = 2, 9 * time.Second, 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		dialect := &rejectingDialect{
-			prefills: map[string]int{}, answers: map[string]int{}, delay: delay, before: time.Now().Add(window + time.Second),
+			prefills: map[string]int{}, decodes: map[string]int{}, delay: delay, before: time.Now().Add(window + time.Second),
 		}
 		handler := newRetryingHandler(dialect, &waitingCoordinator{}, burst, window)
 		time.Sleep(window)
@@ -148,9 +148,9 @@
 func sendRequest(handler http.Handler, id string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, "http://h/x", nil)
 	request.Header.Set("Id", id)
-	answer := httptest.NewRecorder()
-	handler.ServeHTTP(answer, request)
-	return answer
+	response := httptest.NewRecorder()
+	handler.ServeHTTP(response, request)
+	return response
 }
 
 // newRetryingHandler returns a handler for one stream route with an engine of each role, and a retry budget
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -15,7 +15,7 @@
 	Host   string
 	// URI is the path and query, unchanged.
 	URI string
-	// Header holds the end-to-end headers.
+	// Header holds the end-to-end headers, which are passed on.
 	Header http.Header
 	// Credential is what the caller presented; it is not part of Header.
 	Credential tenant.Credential
@@ -32,7 +32,7 @@
 // Generation is the size of a request to an engine, in tokens.
 type Generation struct {
 	PromptTokens int
-	// MaxOutputTokens bounds the answer.
+	// MaxOutputTokens bounds the output.
 	MaxOutputTokens int
 	// ExpectedOutputTokens is the caller's estimate; zero if there is none.
 	ExpectedOutputTokens int
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -19,9 +19,9 @@
 	reserveTimeout = 100 * time.Millisecond
 	// releaseTimeout bounds the calls that free reservations and prompts.
 	releaseTimeout = 2 * time.Second
-	// maxFreeDelay is how long such a call is delayed until its engine's backoff ends. What engines keep
-	// for a request expires by itself, reservations after 2 s on the supported deployments and prompts soon
-	// after.
+	// maxFreeDelay is the longest time for which such a call is delayed until the backoff of its engine
+	// ends. What engines keep for a request expires by itself, reservations after 2 s on the supported
+	// deployments and prompts soon after.
 	maxFreeDelay = 5 * time.Second
 	// reserveInterval is the pause between two rounds over all engines.
 	reserveInterval = 40 * time.Millisecond
@@ -45,21 +45,21 @@
 	// reservedAt is when the engine was reserved, first how long after that the first event arrived.
 	reservedAt time.Time
 	first      time.Duration
-	// sent is when the answer was requested, events how many events this engine has sent.
+	// sent is when the decode call was sent, events how many events this engine has sent.
 	sent   time.Time
 	events int
 	// refusal is why the engine did not accept the run in spite of the reservation.
 	refusal coordinator.Refusal
-	// silence ends the answer of a silent engine; nil if the answer cannot move to another engine.
-	silence *silenceWatch
-	end     func()
+	// watchdog ends the stream of an unresponsive engine; nil if no other engine could continue it.
+	watchdog *watchdog
+	end      func()
 }
 
-// close ends the run. The answer was complete or not, and had the given number of events in total, some of
+// close ends the run. The stream was complete or not, and had the given number of events in total, some of
 // them possibly from other engines.
 func (s *reservedEngine) close(complete bool, events, eventTokens int) {
 	s.end()
-	s.silence.stop()
+	s.watchdog.stop()
 	if s.run == "" {
 		return
 	}
@@ -89,8 +89,8 @@
 
 // reserve reserves memory at a decode engine, waiting a bounded time for it.
 func (x *exchange) reserve(ctx context.Context, profile *routing.EngineProfile, avoid map[string]bool) (*reservedEngine, error) {
-	if refused := x.allBackingOff(backend.RoleDecode, nil); refused != nil {
-		return nil, refused
+	if rejection := x.allBackingOff(backend.RoleDecode, nil); rejection != nil {
+		return nil, rejection
 	}
 	if x.handler.options.Coordinator == nil {
 		return x.reserveUncoordinated(ctx, profile, avoid)
@@ -107,8 +107,8 @@
 	}
 }
 
-// reserveAssigned reserves memory at the engine that the coordinator assigns. The result is nil if that
-// engine has no capacity; the coordinator is notified.
+// reserveAssigned reserves memory at the engine that the coordinator assigns. If that engine has no
+// capacity, the result is nil and the coordinator is notified.
 func (x *exchange) reserveAssigned(ctx context.Context, profile *routing.EngineProfile, avoid map[string]bool) (*reservedEngine, error) {
 	request := coordinator.Request{
 		Service:   x.service,
@@ -126,7 +126,8 @@
 	if x.tenant != nil {
 		request.TenantPriority = x.tenant.Priority
 	}
-	// A coordinator that has not received the notice of a backend would assign it again and again.
+	// Without this list, a coordinator that has not received the notice of a backend would assign the
+	// backend again and again.
 	request.Avoid = x.handler.options.Backends.Withheld(x.service)
 	for id := range avoid {
 		request.Avoid = append(request.Avoid, id)
@@ -207,8 +208,8 @@
 	expectedPrefill time.Duration
 }
 
-// reserveAt requests a reservation from one engine. The result is nil if the engine is full or does not
-// answer; the refusal says which.
+// reserveAt requests a reservation from one engine. The result is nil if the engine is full, in backoff or
+// does not answer; the returned coordinator.Refusal says which.
 func (x *exchange) reserveAt(ctx context.Context, entry *backend.Entry, profile *routing.EngineProfile, size reservationSize) (*Reservation, coordinator.Refusal, error) {
 	policy := &x.handler.options.Policy
 	tokens := min(policy.reservedTokens(x.request.Generation, size.assigned), profile.MemoryTokens)
@@ -224,9 +225,9 @@
 		x.handler.options.Metrics.Add("reservation_errors", 1)
 		return nil, coordinator.RefusalFailed, nil
 	case reservation == nil && entry.BackoffRemaining() > 0:
-		// It has requested backoff from this node only, and may have capacity for others. With a backoff
-		// for all nodes, where engines reject one call in twenty, 0.44 of the streams were in time instead
-		// of 0.59 (four nodes, six engines, 50 streams a second, means of six runs).
+		// The engine has requested backoff from this node only, and may have capacity for others. With a
+		// backoff for all nodes, where engines reject one call in twenty, 0.44 of the streams were in time
+		// instead of 0.59 (four nodes, six engines, 50 streams a second, means of six runs).
 		x.handler.options.Metrics.Add("reservation_refusals", 1)
 		return nil, coordinator.RefusalNone, nil
 	case reservation == nil:
@@ -258,7 +259,7 @@
 }
 
 // freeLater has an engine free something, without waiting for it. An engine in backoff is called after the
-// backoff, because it wants no calls meanwhile.
+// backoff, because it must receive no calls meanwhile.
 func (x *exchange) freeLater(ctx context.Context, engine *backend.Entry, errorsMetric string, free func(context.Context) error) {
 	backoff := engine.BackoffRemaining()
 	if backoff > maxFreeDelay {
--- a/gateway/runname.go
+++ b/gateway/runname.go
@@ -8,12 +8,12 @@
 	"github.com/google/uuid"
 )
 
-// runNamePrefixBytes is the length of the random prefix that distinguishes the runs of one process from
-// those of all others.
+// runNamePrefixBytes is the number of random bytes in the prefix that distinguishes the runs of one process
+// from those of all others.
 const runNamePrefixBytes = 6
 
-// runNames generates the names of the runs of one process. Coordinators do not use the identifiers of
-// requests: callers choose these, and may choose another tenant's or none.
+// runNames generates the names of the runs of one process. Coordinators do not identify runs by the
+// identifiers of requests: callers choose these, and may choose another tenant's or none.
 type runNames struct {
 	prefix string
 	last   atomic.Uint64
--- a/gateway/runname_test.go
+++ b/gateway/runname_test.go
@@ -80,9 +80,9 @@
 		for _, id := range []string{"same", "same", "", ""} {
 			request := httptest.NewRequest(http.MethodPost, "http://h/x", nil)
 			request.Header.Set("Id", id)
-			answer := httptest.NewRecorder()
-			handler.ServeHTTP(answer, request)
-			g.Expect(answer.Code).To(Equal(http.StatusServiceUnavailable))
+			response := httptest.NewRecorder()
+			handler.ServeHTTP(response, request)
+			g.Expect(response.Code).To(Equal(http.StatusServiceUnavailable))
 		}
 	}
 	seen := map[string]bool{}
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestSlowEnginesAreNotSilent observes engines whose first event takes long, because an event carries many
-// tokens. Their mean time must not count as silence.
-func TestSlowEnginesAreNotSilent(t *testing.T) {
+// TestSlowEnginesAreNotUnresponsive observes engines whose first event takes long, because an event carries
+// many tokens. Their mean time must not count as unresponsiveness.
+func TestSlowEnginesAreNotUnresponsive(t *testing.T) {
 	g := NewWithT(t)
 	var tracked firstEvents
 	g.Expect(tracked.limit("slow")).To(Equal(initialFirstEventLimit))
--- a/gateway/tenantcounts.go
+++ b/gateway/tenantcounts.go
@@ -6,19 +6,20 @@
 type TenantCounts struct {
 	// Requests counts all requests.
 	Requests int `json:"asked"`
-	// InTime counts answers within the objective, Late the other answers.
+	// InTime counts responses within the objective, Late the other responses.
 	InTime int `json:"in_time"`
 	Late   int `json:"late"`
-	// Limited counts rejections by the tenant's quota, Refused other rejections that have certainly not
-	// run, and Failed requests without a successful answer that may have run, or whose caller disconnected.
+	// Limited counts rejections by the tenant's quota, Rejected other rejections of requests that have
+	// certainly not run, and Failed requests without a successful response that may have run, or whose
+	// caller disconnected.
 	Limited  int `json:"limited"`
 	Rejected int `json:"refused"`
 	Failed   int `json:"failed"`
 }
 
 const (
-	// maxNamedTenants bounds the tenants that are counted by name in one report: with 13,000 tenants a node
-	// serves some tens of them a second.
+	// maxNamedTenants bounds the tenants that are counted by name in one report: with 13,000 tenants, a
+	// node serves a few tens of them a second.
 	maxNamedTenants = 64
 	// otherTenants is the name for all further tenants; no tenant can have it, since names are not empty.
 	otherTenants = ""
--- a/gateway/waits.go
+++ b/gateway/waits.go
@@ -15,13 +15,13 @@
 	// fullDeadlineMargin is by how much a full deadline may be shorter than the longest: callers count it
 	// in whole milliseconds, some from when they started to connect.
 	fullDeadlineMargin = 20 * time.Millisecond
-	// minAttempts is how many attempts of a route must have been observed before its deadlines are
+	// minAttempts is how many attempts of a route must have been observed before its deadlines count as
 	// evidence.
 	minAttempts = 6
 	// minFullShare is the least share of attempts with the full deadline at which a shorter deadline
-	// indicates a client retry. If all callers wait equally long and each rejected one retries once, it is
-	// at least a half, and 0.4 if three in ten of them retry three times more. If callers wait for 2.55 to
-	// 3 s, it is 0.05.
+	// indicates a client retry. If all callers wait equally long and each rejected one retries once, the
+	// share is at least a half, and 0.4 if three in ten of them retry three times more. If callers wait for
+	// 2.55 to 3 s, it is 0.05.
 	minFullShare = 0.25
 	// attemptWindow bounds the attempts that the share is computed over, so that it adapts to changes of
 	// the callers.
@@ -29,9 +29,9 @@
 )
 
 // waitHistory tracks how long callers of each route wait. A client retry has less time left, by as much as
-// its caller has waited already. That is evidence only if all callers of a route wait equally long: where
-// deadlines vary by themselves, a first attempt with a short one would be ordered behind others as a retry,
-// and served late. It is safe for concurrent use.
+// its caller has waited already. The time left is evidence only if all callers of a route wait equally
+// long: where deadlines vary by themselves, a first attempt with a short one would be ordered behind others
+// as a retry, and served late. It is safe for concurrent use.
 type waitHistory struct {
 	mu      sync.Mutex
 	byRoute map[routeKey]*routeWaits
@@ -48,8 +48,7 @@
 	attempts, full float64
 }
 
-// clientRetryEvidence is the estimated time since the caller's first attempt, and the strength of the
-// evidence.
+// clientRetryEvidence is the estimated time since the caller's first attempt, and how well it is supported.
 type clientRetryEvidence struct {
 	// age is zero for a first attempt, and if nothing indicates a retry.
 	age time.Duration
@@ -57,7 +56,7 @@
 	fullShare float64
 }
 
-// observe records an attempt and judges by the time left to its caller whether it is a client retry.
+// observe records an attempt and evaluates, by the time left to its caller, whether it is a client retry.
 func (h *waitHistory) observe(route *routing.Route, wait time.Duration) clientRetryEvidence {
 	if wait <= 0 {
 		return clientRetryEvidence{}
@@ -74,7 +73,7 @@
 		h.byRoute[key] = waits
 	}
 	waits.add(wait)
-	return waits.judge(wait)
+	return waits.evaluate(wait)
 }
 
 // add counts an attempt.
@@ -84,7 +83,7 @@
 	}
 	w.attempts++
 	if wait > w.longest+fullDeadlineMargin {
-		// The deadlines counted as full before were shorter ones.
+		// The deadlines counted as full so far were shorter ones.
 		w.full = 0
 	}
 	w.longest = max(w.longest, wait)
@@ -93,9 +92,9 @@
 	}
 }
 
-// judge detects a client retry by its deadline, if most first attempts have the same one. The longest
+// evaluate detects a client retry by its deadline, if most first attempts have the same one. The longest
 // deadline itself is always full, and is no evidence.
-func (w *routeWaits) judge(wait time.Duration) clientRetryEvidence {
+func (w *routeWaits) evaluate(wait time.Duration) clientRetryEvidence {
 	if w.attempts < minAttempts {
 		return clientRetryEvidence{}
 	}
--- a/gateway/waits_test.go
+++ b/gateway/waits_test.go
@@ -32,7 +32,7 @@
 	late := after(1200*time.Millisecond, false)
 	g.Expect(late.isLate()).To(BeTrue())
 	g.Expect(late.firstTokenBudget()).To(Equal(route.Objective))
-	g.Expect(late.coordinatedWait()).To(BeNumerically("~", 1500*time.Millisecond, slack), "before its caller leaves")
+	g.Expect(late.coordinatedWait()).To(BeNumerically("~", 1500*time.Millisecond, slack), "before its caller disconnects")
 
 	broken := after(5*time.Second, true)
 	g.Expect(broken.isLate()).To(BeTrue())
@@ -41,7 +41,7 @@
 	g.Expect(broken.uncoordinatedWait()).To(Equal(route.Objective))
 }
 
-// classifyAttempts replays attempts of one route and returns the share of first attempts and of retries
+// classifyAttempts simulates attempts of one route and returns the share of first attempts and of retries
 // that were classified as retries. Each third caller retries after a tenth to three tenths of its deadline.
 func classifyAttempts(deadline time.Duration, variation float64, attempts int) (firstAttempts, retries float64) {
 	random := rand.New(rand.NewPCG(1, 2))
@@ -62,7 +62,7 @@
 	return detected[0] / counts[0], detected[1] / counts[1]
 }
 
-// TestRetriesAreDetectedWithEqualDeadlines replays callers that all wait equally long: retries are
+// TestRetriesAreDetectedWithEqualDeadlines simulates callers that all wait equally long: retries are
 // detected, so that first attempts go before them.
 func TestRetriesAreDetectedWithEqualDeadlines(t *testing.T) {
 	g := NewWithT(t)
@@ -71,19 +71,19 @@
 	g.Expect(retries).To(BeNumerically(">", 0.95))
 }
 
-// TestDifferentDeadlinesAreNotRetries replays callers whose deadlines vary by themselves, by a little and
+// TestDifferentDeadlinesAreNotRetries simulates callers whose deadlines vary by themselves, by a little and
 // by much. Classified as retries they would be ordered behind others, and wait until they are late.
 func TestDifferentDeadlinesAreNotRetries(t *testing.T) {
 	for _, deadline := range []time.Duration{3 * time.Second, 14 * time.Second} {
 		for _, variation := range []float64{0.08, 0.15, 0.5} {
 			g := NewWithT(t)
 			firstAttempts, _ := classifyAttempts(deadline, variation, 400)
-			g.Expect(firstAttempts).To(BeNumerically("<", 0.02), "deadline %v, spread %v", deadline, variation)
+			g.Expect(firstAttempts).To(BeNumerically("<", 0.02), "deadline %v, variation %v", deadline, variation)
 		}
 	}
 }
 
-// TestUniformlyShorterDeadlinesAreNotRetries has all callers wait for less from a moment on.
+// TestUniformlyShorterDeadlinesAreNotRetries has all callers wait for a shorter time from some moment on.
 func TestUniformlyShorterDeadlinesAreNotRetries(t *testing.T) {
 	g := NewWithT(t)
 	history, route := &waitHistory{}, &routing.Route{Host: "h", PathPrefix: "/a/"}
