--- a/routing/route.go
+++ b/routing/route.go
@@ -32,9 +32,9 @@
 	Kind       Kind
 	// Timeout is the longest time for which a request is held.
 	Timeout time.Duration
-	// Objective is the time within which an answer (of a stream: its first event) is in time.
+	// Objective is the time within which a response (of a stream: its first event) is in time.
 	Objective time.Duration
-	// MaxPause is the longest pause between events at which a stream is in time.
+	// MaxPause is the longest pause between events at which a stream still counts as in time.
 	MaxPause time.Duration
 	// CallerEventTimeout is how long a caller waits for the first event of a stream, or for the
 	// next one, before it disconnects; zero if that is not known.
