--- a/backendhttp/exchange.go
+++ b/backendhttp/exchange.go
@@ -26,8 +26,8 @@
 	idleTimeout = 2 * time.Second
 	// maxIdlePerBackend is how many idle connections to a backend are kept.
 	maxIdlePerBackend = 16
-	// maxAnswerHeadBytes bounds the head of an answer.
-	maxAnswerHeadBytes = 64 << 10
+	// maxResponseHeadBytes bounds the head of a response.
+	maxResponseHeadBytes = 64 << 10
 )
 
 // DialFunc opens a connection to an address.
@@ -70,7 +70,7 @@
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    maxIdlePerBackend,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: maxAnswerHeadBytes,
+		MaxResponseHeaderBytes: maxResponseHeadBytes,
 	}}
 }
 
