--- a/httpheader/retryafter.go
+++ b/httpheader/retryafter.go
@@ -9,12 +9,12 @@
 )
 
 // maxRetryAfter bounds how long a backend is avoided at its own request. A longer time is more
-// likely a fault; a backend that still needs backoff then asks for it again in its next answer.
+// likely a fault; a backend that still needs backoff then asks for it again in its next response.
 const maxRetryAfter = 10 * time.Minute
 
-// RetryAfter returns for how long a backend asks its caller to back off, or zero if it does not.
-// It parses the form in seconds (RFC 9110, section 10.2.3), also with fractions; a date is ignored,
-// because clocks differ between machines by more than the times asked for.
+// RetryAfter returns for how long a backend asks its caller to back off, or zero if it does not. It
+// parses the form in seconds (RFC 9110, section 10.2.3), also with fractions; a date is ignored,
+// because clocks differ between machines by more than the requested times.
 func RetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(header.Get("Retry-After")), 64)
 	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
