--- a/completion/cancel.go
+++ b/completion/cancel.go
@@ -12,8 +12,9 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// Retry intervals of a cancellation. It is abandoned once the engine must have been
-// restarted or the owner's inspection of the engine has cleaned up instead.
+// Retry intervals of a cancellation. A cancellation is abandoned after
+// cancelMaxElapsed: by then the engine must have been restarted, or the owner's
+// inspection of the engine has made up for the cancellation.
 const (
 	cancelFirstInterval = 50 * time.Millisecond
 	cancelMaxInterval   = time.Second
--- a/completion/decode.go
+++ b/completion/decode.go
@@ -110,8 +110,8 @@
 	return err
 }
 
-// isStreamFailure reports whether the failure is one of the stream, and not of the
-// caller.
+// isStreamFailure reports whether the stream failed, rather than the caller's
+// connection, and no later turn has taken the stream over.
 func (r *run) isStreamFailure(err error) bool {
 	return !errors.Is(err, errCallerDisconnected) && !errors.Is(err, errTakenOver)
 }
@@ -167,7 +167,7 @@
 	return cause
 }
 
-// isStreamLost reports whether the engine has answered that it does not hold the
+// isStreamLost reports whether the engine has responded that it does not hold the
 // stream.
 func isStreamLost(err error) bool {
 	return api.IsCode(err, api.CodeNotFound) || api.IsCode(err, api.CodeCancelled)
--- a/completion/grants.go
+++ b/completion/grants.go
@@ -13,8 +13,8 @@
 	"github.com/reelrun/reelrun/tasks"
 )
 
-// releaseTimeout bounds the release of a grant. The owner's inspection of the
-// engines makes up for a lost release.
+// releaseTimeout bounds the release of a grant. If a release is lost, the owner's
+// inspection of the engines makes up for it.
 const releaseTimeout = 2 * time.Second
 
 // grant is the permission of a pool's owner to run an attempt at its engines.
@@ -52,7 +52,8 @@
 	return &grants{ctx: ctx, cluster: fleet, metrics: set, held: map[*grant]struct{}{}}
 }
 
-// requestGrant waits for a prefill engine of the pool.
+// requestGrant requests a grant from the owner of the pool and waits for a prefill
+// engine.
 func (g *grants) requestGrant(ctx context.Context, pool *api.Pool, request *peerpb.Grant) (*grant, error) {
 	request.Pool = pool.Name
 	node, err := g.cluster.Owner(pool.Zone, owner.Key(pool.Name))
--- a/completion/quarantine.go
+++ b/completion/quarantine.go
@@ -13,8 +13,8 @@
 // terminated.
 const exitCheckTimeout = 100 * time.Millisecond
 
-// fingerprint identifies the content of the request: it is the same for each
-// arrival and each attempt.
+// fingerprint identifies the content of the request: it is the same for all
+// arrivals and attempts.
 func (r *run) fingerprint() quarantine.Fingerprint {
 	return quarantine.NewFingerprint(quarantine.Content{
 		Tenant: r.exchange.Tenant.Name, Method: http.MethodPost, URI: "completions/" + r.request.class.Model, Body: []byte(r.request.prompt),
@@ -34,13 +34,13 @@
 	}
 	r.event("quarantined", "", "")
 	cause := api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, r.outcome(), "the request has crashed the engines that ran it")
-	return &refusedError{cause: cause.WithRetryAfter(left)}
+	return &rejectedError{cause: cause.WithRetryAfter(left)}
 }
 
 // recordEngineFailure records that an engine failed an attempt which may have run
-// there. An engine that has terminated counts against the request; one that could
-// not be reached had terminated before. Engines do not report their incarnation:
-// the attempt is used in its place.
+// there. An engine that has terminated counts against the request; an engine that
+// could not be reached had terminated before the attempt and does not count.
+// Engines do not report their incarnation, so the attempt is used in its place.
 func (r *run) recordEngineFailure(ctx context.Context, name string) {
 	tracker := r.service.options.Quarantine
 	ref, err := r.engineOf(name)
@@ -56,7 +56,7 @@
 	tracker.Crashed(ctx, r.fingerprint(), name+"/"+r.engineAttempt().String())
 }
 
-// recordAnswered records a complete answer.
+// recordAnswered records that the request has been answered completely.
 func (r *run) recordAnswered() {
 	if tracker := r.service.options.Quarantine; tracker != nil && !tracker.Empty() {
 		tracker.Answered(r.fingerprint())
--- a/completion/register.go
+++ b/completion/register.go
@@ -23,26 +23,26 @@
 // errAnswered means that the request with the key has been answered.
 var errAnswered = api.NewError(http.StatusConflict, api.CodeAlreadyClaimed, api.OutcomeRan, "the request with this key has been answered")
 
-// registerArrival takes the next turn of a request and returns the turn before.
+// registerArrival takes the next turn of a request and returns the previous turn.
 //
 // The record is kept at two nodes: the owner of the key and the one that would
 // succeed it. While the membership changes, two nodes may determine different
 // owners for a moment, but the two pairs still have a node in common. The first
-// node assigns the turn; it is reported to the second one, which answers with
-// another holder if it has a record of one.
+// node assigns the turn. The turn is then reported to the second node, which
+// responds with another holder if it has a record of one.
 func (s *Service) registerArrival(ctx context.Context, started *run) (*peerpb.Running, error) {
 	running := started.running()
 	first := s.directoryNodes(running)
 	var registered *peerpb.Registered
 	answeredBy := -1
 	for i, node := range first {
-		answer, err := s.register(ctx, node, peerpb.RegisterMode_REGISTER_MODE_ARRIVE, running)
-		var refused *api.Error
-		if errors.As(err, &refused) {
-			return nil, refused
+		response, err := s.register(ctx, node, peerpb.RegisterMode_REGISTER_MODE_ARRIVE, running)
+		var rejected *api.Error
+		if errors.As(err, &rejected) {
+			return nil, rejected
 		}
 		if err == nil {
-			registered, answeredBy = answer, i
+			registered, answeredBy = response, i
 			break
 		}
 	}
@@ -85,7 +85,7 @@
 	return response.GetRegistered(), err
 }
 
-// report reports the run's present state to the directory nodes.
+// report sends the run's present state to the directory nodes.
 func (r *run) report() { r.reportAs(r.running()) }
 
 func (r *run) reportAs(running *peerpb.Running) {
--- a/completion/run.go
+++ b/completion/run.go
@@ -21,8 +21,8 @@
 	// maxAttempts bounds how often a request is started, and thereby what its
 	// retries can add to the load of a pool.
 	maxAttempts = 3
-	// prefillMargin is added to twice the predicted time of a prefill before it
-	// counts as failed.
+	// prefillMargin is added to twice the predicted time of a prefill to give the
+	// time after which the prefill counts as failed.
 	prefillMargin = 5 * time.Second
 )
 
@@ -36,13 +36,14 @@
 	request  *parsed
 	sink     sink
 
-	// requestID is the identifier at the engines. It is that of the first arrival.
+	// requestID identifies the request at the engines. It is the identifier of the
+	// first arrival.
 	requestID string
 	attempt   uint32
 	excluded  []string
-	// generated is the text of the tokens before offset. complete is set while it
-	// holds all of them, that is, if this node has received the stream from its
-	// first token on.
+	// generated is the text of the tokens before offset. complete is set while
+	// generated holds all of these tokens, that is, if this node has received the
+	// stream from its first token on.
 	generated strings.Builder
 	complete  bool
 	offset    int
@@ -102,18 +103,18 @@
 	if ctx.Err() != nil || errors.Is(err, errCallerDisconnected) || errors.Is(err, errTakenOver) {
 		return false
 	}
-	var refused *refusedError
-	return !errors.As(err, &refused)
+	var rejected *rejectedError
+	return !errors.As(err, &rejected)
 }
 
-// refusedError is the final rejection by the pools' owners.
-type refusedError struct{ cause *api.Error }
+// rejectedError is the final rejection of a request, which is not retried.
+type rejectedError struct{ cause *api.Error }
 
 // Error implements error.
-func (e *refusedError) Error() string { return e.cause.Error() }
+func (e *rejectedError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the API error.
-func (e *refusedError) Unwrap() error { return e.cause }
+func (e *rejectedError) Unwrap() error { return e.cause }
 
 func (r *run) executeAttempt(ctx context.Context) error {
 	if resumed := r.turn.takeResume(); resumed != nil {
@@ -179,7 +180,7 @@
 		final = earlierRetry(final, err)
 	}
 	r.event("refused", "", "")
-	return nil, &refusedError{cause: api.AsError(final, api.OutcomeNotRun).WithOutcome(r.outcome())}
+	return nil, &rejectedError{cause: api.AsError(final, api.OutcomeNotRun).WithOutcome(r.outcome())}
 }
 
 var errNoPool = api.NewError(http.StatusServiceUnavailable, api.CodeNoCapacity, api.OutcomeNotRun, "no pool can take the request").WithRetryAfter(time.Second)
@@ -189,11 +190,11 @@
 	if errors.Is(a, errNoPool) {
 		return b
 	}
-	typedA, typedB := api.AsError(a, api.OutcomeNotRun), api.AsError(b, api.OutcomeNotRun)
-	if typedB.RetryAfter > 0 && (typedA.RetryAfter == 0 || typedB.RetryAfter < typedA.RetryAfter) {
-		return typedB
+	errorA, errorB := api.AsError(a, api.OutcomeNotRun), api.AsError(b, api.OutcomeNotRun)
+	if errorB.RetryAfter > 0 && (errorA.RetryAfter == 0 || errorB.RetryAfter < errorA.RetryAfter) {
+		return errorB
 	}
-	return typedA
+	return errorA
 }
 
 // pools returns the pools of the request's model, those of the zone first. The
@@ -214,8 +215,8 @@
 	return ordered
 }
 
-// ownerMoveRetries is how often a pool's grant is requested again because its owner
-// has changed.
+// ownerMoveRetries is how often a grant is requested again because the owner of the
+// pool has changed.
 const ownerMoveRetries = 2
 
 func (r *run) requestPoolGrant(ctx context.Context, pool *api.Pool) (*grant, error) {
@@ -294,8 +295,8 @@
 	return result, ref.Engine.Address, err
 }
 
-// seed returns the sampling seed, equal for every attempt, and for every arrival of
-// a request with a key.
+// seed returns the sampling seed, which is the same for all attempts, and for all
+// arrivals of a request with a key.
 func (r *run) seed() uint64 {
 	if r.request.key != "" {
 		return xxhash.Sum64String(runKey(r.exchange.Tenant.Name, r.request.key))
@@ -333,7 +334,7 @@
 	r.lastToken = now
 }
 
-// finish ends the answer and counts whether it met both targets of its class.
+// finish ends the response and counts whether it met both targets of its class.
 func (r *run) finish() error {
 	class, set := r.request.class, r.service.options.Metrics
 	met := r.firstToken.Sub(r.exchange.Arrival) <= class.FirstToken.Std()
--- a/completion/service.go
+++ b/completion/service.go
@@ -77,7 +77,7 @@
 		}
 		started := s.newRun(exchange, request)
 		ident := identity{id: exchange.RequestID, model: request.class.Model, chat: chat}
-		started.sink = &wholeSink{identity: ident, w: w}
+		started.sink = &bufferedSink{identity: ident, w: w}
 		if request.stream {
 			started.sink = newStreamSink(w, ident)
 		}
@@ -113,7 +113,8 @@
 	return err
 }
 
-// Reconcile reports what the node holds to new pool owners and directory nodes.
+// Reconcile reports the grants and the runs of the node to new pool owners and
+// directory nodes.
 func (s *Service) Reconcile(ctx context.Context) {
 	s.grants.reconcile(ctx)
 	s.reconcileDirectory()
@@ -131,14 +132,14 @@
 	return engine.Holder{Node: self.Name, Incarnation: self.Incarnation}
 }
 
-// failure returns the API error of a run that has ended without an answer.
+// failure returns the API error of a run that has ended without a response.
 func (r *run) failure(ctx context.Context, err error) *api.Error {
 	if ctx.Err() != nil {
-		return api.NewError(statusClientClosedRequest, api.CodeCancelled, r.outcome(), "the caller has gone")
+		return api.NewError(statusClientClosedRequest, api.CodeCancelled, r.outcome(), "the caller has disconnected")
 	}
 	return api.AsError(err, r.outcome())
 }
 
-// statusClientClosedRequest is the customary status for a request whose caller has
-// disconnected; it appears in counters only.
+// statusClientClosedRequest is the conventional status for a request whose caller
+// has disconnected; it appears in counters only.
 const statusClientClosedRequest = 499
--- a/completion/sink.go
+++ b/completion/sink.go
@@ -20,18 +20,18 @@
 // errCallerDisconnected is returned when the caller's connection has failed.
 var errCallerDisconnected = errors.New("completion: caller disconnected")
 
-// sink receives the tokens of an answer in order.
+// sink receives the tokens of a response in order.
 type sink interface {
 	// token receives the token at the given offset.
 	token(offset int, text string) error
-	// finish ends a complete answer of the given length.
+	// finish ends a complete response with the given number of tokens.
 	finish(tokens int) error
-	// fail ends an answer that has started. It reports false if nothing has been
+	// fail ends a response that has started. It reports false if nothing has been
 	// sent, so that the error can still be the response.
 	fail(err *api.Error) bool
 }
 
-// identity holds the fields that every part of an answer repeats.
+// identity holds the fields that every part of a response repeats.
 type identity struct {
 	id    string
 	model string
@@ -45,7 +45,7 @@
 	return "text_completion"
 }
 
-// choice is the part of an OpenAI answer that carries text.
+// choice is the part of an OpenAI completion that carries text.
 type choice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text,omitempty"`
@@ -54,8 +54,9 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// answer is an OpenAI answer, or one chunk of it.
-type answer struct {
+// completionResponse is an OpenAI completion, or one chunk of a streamed
+// completion.
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Model   string   `json:"model"`
@@ -69,7 +70,7 @@
 
 const assistantRole = "assistant"
 
-// streamSink sends the answer as server-sent events.
+// streamSink sends the response as server-sent events.
 type streamSink struct {
 	identity
 	w       http.ResponseWriter
@@ -86,7 +87,7 @@
 	if s.chat {
 		part = choice{Delta: &Message{Role: assistantRole, Content: text}}
 	}
-	chunk := answer{ID: s.id, Object: s.object(), Model: s.model, Choices: []choice{part}}
+	chunk := completionResponse{ID: s.id, Object: s.object(), Model: s.model, Choices: []choice{part}}
 	data, err := json.Marshal(chunk)
 	if err != nil {
 		return errors.Wrap(err, "encode chunk")
@@ -131,30 +132,30 @@
 	return nil
 }
 
-// wholeSink collects a bounded answer and sends it as one JSON object.
-type wholeSink struct {
+// bufferedSink collects a bounded response and sends it as one JSON object.
+type bufferedSink struct {
 	identity
 	w    http.ResponseWriter
 	text strings.Builder
 }
 
-func (s *wholeSink) token(_ int, text string) error {
+func (s *bufferedSink) token(_ int, text string) error {
 	s.text.WriteString(text)
 	return nil
 }
 
-func (s *wholeSink) finish(tokens int) error {
+func (s *bufferedSink) finish(tokens int) error {
 	reason := "length"
 	part := choice{Text: s.text.String(), FinishReason: &reason}
 	if s.chat {
 		part = choice{Message: &Message{Role: assistantRole, Content: s.text.String()}, FinishReason: &reason}
 	}
 	s.w.Header().Set("Content-Type", "application/json")
-	complete := answer{ID: s.id, Object: s.object(), Model: s.model, Choices: []choice{part}, Usage: &usage{CompletionTokens: tokens}}
+	complete := completionResponse{ID: s.id, Object: s.object(), Model: s.model, Choices: []choice{part}, Usage: &usage{CompletionTokens: tokens}}
 	if err := json.NewEncoder(s.w).Encode(complete); err != nil {
 		return errors.CombineErrors(errCallerDisconnected, err)
 	}
 	return nil
 }
 
-func (s *wholeSink) fail(*api.Error) bool { return false }
+func (s *bufferedSink) fail(*api.Error) bool { return false }
--- a/completion/takeover.go
+++ b/completion/takeover.go
@@ -21,7 +21,8 @@
 	attempt uint32
 }
 
-// turnState lets a later arrival of the same request, a turn, take the stream over.
+// turnState coordinates the arrivals of one request, called turns: a later turn
+// takes over the stream of an earlier one.
 type turnState struct {
 	mu     sync.Mutex
 	number uint64
@@ -75,8 +76,7 @@
 	return t.yielding
 }
 
-// takeResume returns the stream left by an earlier turn, the first time that it is
-// called.
+// takeResume returns the stream left by an earlier turn. Later calls return nil.
 func (t *turnState) takeResume() *placement {
 	resumed := t.resume
 	t.resume = nil
@@ -101,7 +101,7 @@
 
 func runKey(tenant, key string) string { return tenant + "\x00" + key }
 
-// takeOver requests the earlier holder to yield. If it does not answer, the
+// takeOver requests the earlier holder to yield. If the holder does not answer, the
 // directory's record of the stream is used.
 func (s *Service) takeOver(ctx context.Context, started *run, previous *peerpb.Running) {
 	s.options.Metrics.Add("takeovers", 1)
@@ -120,7 +120,7 @@
 	}
 }
 
-// resumePrevious reads the stream left by an earlier turn, from the first token
+// resumePrevious continues the stream left by an earlier turn, from the first token
 // that the caller lacks.
 func (r *run) resumePrevious(ctx context.Context, previous *placement) error {
 	ref, err := r.engineOf(previous.engine)
