--- a/api/objects.go
+++ b/api/objects.go
@@ -65,8 +65,8 @@
 	Model string `json:"model"`
 	// Zone is the zone of its engines.
 	Zone string `json:"zone"`
-	// ChecksFence states that its engines reject an order with a stale fencing token.
-	ChecksFence bool `json:"checks_fence,omitempty"`
+	// ChecksFencingToken states that its engines reject an order with a stale fencing token.
+	ChecksFencingToken bool `json:"checks_fence,omitempty"`
 	// Hold is how long an engine keeps a prefill result. Default 5s.
 	Hold Duration `json:"hold,omitempty"`
 	// PrefillTokensPerSecond is the throughput of one prefill engine. Default 20000.
--- a/controller/engineorder/reconciler.go
+++ b/controller/engineorder/reconciler.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return controller.Result{}, err
 	}
-	if !pool.ChecksFence && !poolLease.TakeoverWaitOver(r.options.OrderTimeout) {
+	if !pool.ChecksFencingToken && !poolLease.TakeoverWaitOver(r.options.OrderTimeout) {
 		return controller.Result{RequeueAfter: busyRetryInterval}, nil
 	}
 	allSent, err := r.send(ctx, poolLease, fence, pending)
--- a/controller/engineorder/reconciler_test.go
+++ b/controller/engineorder/reconciler_test.go
@@ -62,7 +62,7 @@
 	f := &fixture{now: time.Unix(1000, 0), engines: &fakeEngines{load: engine.Load{Role: api.RoleDecode}}}
 	holder := configuration.NewHolder()
 	parts, err := configuration.Split(api.Configuration{Pools: []api.Pool{{
-		Name: "pool", Model: "m", Zone: "z", ChecksFence: checksFence, Engines: []api.Engine{{Name: "e", Address: "127.0.0.1:1", Role: api.RolePrefill}},
+		Name: "pool", Model: "m", Zone: "z", ChecksFencingToken: checksFence, Engines: []api.Engine{{Name: "e", Address: "127.0.0.1:1", Role: api.RolePrefill}},
 	}}})
 	if err != nil {
 		t.Fatal(err)
--- a/operator/plan.go
+++ b/operator/plan.go
@@ -228,7 +228,7 @@
 		for _, member := range pool.Engines {
 			previous, existed := old[member.Name]
 			add := func(kind engine.OrderKind, value string) {
-				orders = append(orders, PlannedOrder{Pool: pool.Name, Engine: member.Name, Kind: kind, Value: value, ChecksFence: pool.ChecksFence})
+				orders = append(orders, PlannedOrder{Pool: pool.Name, Engine: member.Name, Kind: kind, Value: value, ChecksFence: pool.ChecksFencingToken})
 			}
 			if existed && previous.Role != member.Role {
 				add(engine.OrderRole, string(member.Role))
--- a/processtest/fleet_test.go
+++ b/processtest/fleet_test.go
@@ -174,7 +174,7 @@
 	t.Helper()
 	f := &fleet{platformAddress: freeAddress(t), security: secured}
 	f.platform = start(t, "reelrun-sim", "platform", "-address", f.platformAddress, "-machine-lag", "100ms")
-	pool := api.Pool{Name: "pool", Model: "model", Zone: "zone", ChecksFence: true}
+	pool := api.Pool{Name: "pool", Model: "model", Zone: "zone", ChecksFencingToken: true}
 	for number := range 4 {
 		role := []api.Role{api.RolePrefill, api.RoleDecode}[number%2]
 		address := freeAddress(t)
