--- a/filter/chain.go
+++ b/filter/chain.go
@@ -31,7 +31,7 @@
 	RequestID string
 	// Arrival is when the request was accepted.
 	Arrival time.Time
-	// Snapshot is the configuration in force when it was accepted.
+	// Snapshot is the configuration that was active when the request was accepted.
 	Snapshot *configuration.Snapshot
 	// Tenant is set by the authentication filter.
 	Tenant *api.Tenant
--- a/filter/chain_test.go
+++ b/filter/chain_test.go
@@ -70,7 +70,7 @@
 		return recorder, failure
 	}
 
-	It("serves a known tenant and names the request", func() {
+	It("serves a known tenant and returns the request's identifier", func() {
 		recorder, _ := send(chain(), "token-a", "x")
 		Expect(recorder.Code).To(Equal(http.StatusOK))
 		Expect(recorder.Header().Get(HeaderRequestID)).NotTo(BeEmpty())
@@ -78,7 +78,7 @@
 		Expect(set.Count("requests_in_flight")).To(BeZero())
 	})
 
-	It("refuses a wrong or missing token as not run", func() {
+	It("rejects a wrong or missing token as not run", func() {
 		for _, token := range []string{"", "token-b"} {
 			recorder, failure := send(chain(), token, "x")
 			Expect(recorder.Code).To(Equal(http.StatusUnauthorized))
@@ -86,7 +86,7 @@
 		}
 	})
 
-	It("refuses new work while the node is cut off, with when to come back", func() {
+	It("rejects new work with a Retry-After while the node is disconnected", func() {
 		accepts = false
 		recorder, failure := send(chain(), "token-a", "x")
 		Expect(failure.Code).To(Equal(api.CodeNotReady))
@@ -118,7 +118,7 @@
 		Expect(failure.Message).NotTo(ContainSubstring("EOF"))
 	})
 
-	It("cuts the connection when an answer fails after its start", func() {
+	It("closes the connection if a response fails after its start", func() {
 		served = func(w http.ResponseWriter, _ *http.Request) error {
 			_, _ = io.WriteString(w, "half")
 			return io.ErrUnexpectedEOF
--- a/filter/identify.go
+++ b/filter/identify.go
@@ -16,7 +16,7 @@
 // HeaderRequestID carries the request's identifier in the response.
 const HeaderRequestID = "Reelrun-Request-Id"
 
-// Identify assigns each request its identifier and the configuration in force, and
+// Identify assigns each request its identifier and the active configuration, and
 // counts the outcome. It is the outermost filter.
 type Identify struct {
 	Configuration *configuration.Holder
@@ -29,7 +29,7 @@
 func (f *Identify) ServeHTTP(w http.ResponseWriter, r *http.Request, next Handler) error {
 	id, err := uuid.NewV7()
 	if err != nil {
-		return errors.Wrap(err, "make request identity")
+		return errors.Wrap(err, "generate request identifier")
 	}
 	exchange := &Exchange{RequestID: id.String(), Arrival: f.Now(), Snapshot: f.Configuration.Current()}
 	w.Header().Set(HeaderRequestID, exchange.RequestID)
