--- a/router/engines.go
+++ b/router/engines.go
@@ -66,8 +66,9 @@
 // considered: so many of the whole service, and so many in the zone of the request's node.
 const shortlistSize = 48
 
-// fullScanLimit is the number of engines of a role up to which all are considered. When they are full, a sample
-// would fail and all would be considered anyway, and a coordinator of a full service has the least time for that.
+// fullScanLimit is the number of engines of a role up to which all are considered instead of a sample. If the
+// engines are full, the sample fails and all are considered in addition, and the coordinator of a full service has
+// the least time for that.
 const fullScanLimit = 160
 
 // engines returns the engines of a service that accept new work.
@@ -77,17 +78,17 @@
 	})
 }
 
-// shortlist returns a sample of them for a node in a zone.
+// shortlist returns a sample of the engines of a service that accept new work, for a node in a zone.
 func (r *Router) shortlist(service, zone string) coordinator.Engines {
 	return r.describeEngines(service, func(role backend.Role) ([]*backend.Entry, bool) {
-		wanted := backend.SampleOptions{Service: service, Role: role, Count: shortlistSize, AllUpTo: fullScanLimit}
-		drawn, isComplete := r.backends.Sample(wanted, rand.IntN)
+		options := backend.SampleOptions{Service: service, Role: role, Count: shortlistSize, AllUpTo: fullScanLimit}
+		sampled, isComplete := r.backends.Sample(options, rand.IntN)
 		if isComplete || zone == "" {
-			return drawn, isComplete
+			return sampled, isComplete
 		}
-		wanted.Zone = zone
-		sameZone, _ := r.backends.Sample(wanted, rand.IntN)
-		return backend.Union(drawn, sameZone), false
+		options.Zone = zone
+		sameZone, _ := r.backends.Sample(options, rand.IntN)
+		return backend.Union(sampled, sameZone), false
 	})
 }
 
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -56,7 +56,7 @@
 // ownNode returns this start of this node, and whether its object is in the store.
 func (r *Router) ownNode() (knownNode, bool) {
 	own, found := r.nodes.named(r.options.Settings.Name)
-	return own, found && own.Incarnation == r.startName()
+	return own, found && own.Incarnation == r.incarnation()
 }
 
 // nodeCount returns the number of known nodes, including this one.
@@ -79,8 +79,8 @@
 }
 
 // nodeListTimeout is how long after its start a node waits for the list of nodes before it registers. The
-// list contains the version of the object that an earlier start of the node left, which saves two calls. On a
-// link of 20 Mbit/s, with a fifth of a core, a list of 350 nodes takes two nodes in three over 100 ms.
+// list contains the version of the object that an earlier start of the node left, which saves two calls. With
+// a link of 20 Mbit/s and a fifth of a core, two nodes in three need over 100 ms for a list of 350 nodes.
 const nodeListTimeout = time.Second
 
 // awaitNodes waits until this node knows some others, for a bounded time.
@@ -115,14 +115,14 @@
 }
 
 const (
-	// lostAfter is how long a node is silent before its object is removed.
+	// lostAfter is how long a node is unresponsive before its object is removed.
 	lostAfter = time.Minute
 	// removeInterval is the interval between checks for such nodes.
 	removeInterval = 10 * time.Second
 )
 
-// removeLost removes the objects of lost nodes until the context ends. A single watcher does so; a node that
-// is still live registers again.
+// removeLost removes the objects of lost nodes until the context ends. A single watcher does so; a removed node
+// that is still live registers again.
 func (r *Router) removeLost(ctx context.Context) {
 	periodic.Run(ctx, removeInterval, func(ctx context.Context) {
 		if !r.isFirst() {
--- a/router/fleetview.go
+++ b/router/fleetview.go
@@ -85,14 +85,14 @@
 	}
 }
 
-// insertRanked inserts a node into a ranked list that keeps at most the given number of nodes.
-func insertRanked(first []knownNode, node knownNode, limit int) []knownNode {
-	position, _ := slices.BinarySearchFunc(first, node, compareWatchers)
+// insertRanked inserts a node into a ranked list and drops the nodes beyond the limit.
+func insertRanked(ranked []knownNode, node knownNode, limit int) []knownNode {
+	position, _ := slices.BinarySearchFunc(ranked, node, compareWatchers)
 	if position >= limit {
-		return first
+		return ranked
 	}
-	first = slices.Insert(first, position, node)
-	return first[:min(len(first), limit)]
+	ranked = slices.Insert(ranked, position, node)
+	return ranked[:min(len(ranked), limit)]
 }
 
 // isZoneRelay reports whether a node is a zone relay of a zone.
--- a/router/fleetview_test.go
+++ b/router/fleetview_test.go
@@ -35,23 +35,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
 		own, others := nodes[0], nodes[1:]
-		silent := map[string]bool{}
+		unresponsive := map[string]bool{}
 		for _, node := range others {
-			silent[node.Address] = rapid.Bool().Draw(t, "silent")
+			unresponsive[node.Address] = rapid.Bool().Draw(t, "unresponsive")
 		}
 		view := newFleetView(fleetInputs{
 			own: own, registered: true, others: others, nodeCount: len(nodes),
-			isResponsive: func(address string) bool { return !silent[address] },
+			isResponsive: func(address string) bool { return !unresponsive[address] },
 		})
-		answering := slices.DeleteFunc(slices.Clone(nodes), func(node knownNode) bool { return silent[node.Address] })
-		slices.SortFunc(answering, compareWatchers)
-		position := slices.IndexFunc(answering, func(node knownNode) bool { return node.Address == own.Address })
-		if view.responsiveCount != len(answering) || view.position != position {
-			t.Fatalf("position %d of %d, want %d of %d", view.position, view.responsiveCount, position, len(answering))
+		responsive := slices.DeleteFunc(slices.Clone(nodes), func(node knownNode) bool { return unresponsive[node.Address] })
+		slices.SortFunc(responsive, compareWatchers)
+		position := slices.IndexFunc(responsive, func(node knownNode) bool { return node.Address == own.Address })
+		if view.responsiveCount != len(responsive) || view.position != position {
+			t.Fatalf("position %d of %d, want %d of %d", view.position, view.responsiveCount, position, len(responsive))
 		}
 		zones := map[string][]string{}
 		var watchers []string
-		for i, node := range answering {
+		for i, node := range responsive {
 			if len(zones[node.zone]) < relaysPerZone {
 				zones[node.zone] = append(zones[node.zone], node.Address)
 			}
@@ -67,21 +67,21 @@
 				t.Fatalf("zone relays %v, want %v", addressesOf(view.zoneRelays[zone]), zoneRelays)
 			}
 		}
-		checkCandidates(t, view, answering, len(nodes))
+		checkCandidates(t, view, responsive, len(nodes))
 	})
 }
 
 // checkCandidates checks that the candidates are the strong responsive nodes, provided that half of the
 // fleet is responsive.
-func checkCandidates(t *rapid.T, view *fleetView, answering []knownNode, known int) {
+func checkCandidates(t *rapid.T, view *fleetView, responsive []knownNode, known int) {
 	greatest := 0.0
-	for _, node := range answering {
+	for _, node := range responsive {
 		greatest = max(greatest, node.capacity)
 	}
-	for _, node := range answering {
-		isStrong := 2*len(answering) >= known && node.capacity >= minCapacityShare*greatest
+	for _, node := range responsive {
+		isStrong := 2*len(responsive) >= known && node.capacity >= minCapacityShare*greatest
 		if slices.Contains(view.candidates[capabilityServices], node.Node) != isStrong {
-			t.Fatalf("candidate %s is %v", node.Address, isStrong)
+			t.Fatalf("candidate %s: want %v", node.Address, isStrong)
 		}
 	}
 }
@@ -102,12 +102,12 @@
 				own: nodes[0], registered: true, others: nodes[1:], nodeCount: size, isResponsive: func(string) bool { return true },
 			})
 		}
-		var held cachedFleetView
+		var cached cachedFleetView
 		version := fleetViewVersion{nodes: 1}
-		g.Expect(testing.AllocsPerRun(100, func() { held.get(version, compute) })).To(BeZero())
+		g.Expect(testing.AllocsPerRun(100, func() { cached.get(version, compute) })).To(BeZero())
 		g.Expect(computed).To(Equal(1))
 		version.contacts++
-		held.get(version, compute)
-		g.Expect(computed).To(Equal(2), "a node has fallen silent")
+		cached.get(version, compute)
+		g.Expect(computed).To(Equal(2), "a node became unresponsive")
 	}
 }
--- a/router/follow.go
+++ b/router/follow.go
@@ -36,7 +36,7 @@
 	for _, object := range objects {
 		f.replica.Apply(replica.SourceStore, replica.Record{Object: object})
 	}
-	f.deferIfDisturbed(func() { f.replica.Replace(f.kind, objects, revision) })
+	f.deferIfStoreFailed(func() { f.replica.Replace(f.kind, objects, revision) })
 	if f.onListed != nil {
 		f.onListed()
 	}
@@ -49,23 +49,23 @@
 		f.replica.Apply(replica.SourceStore, record)
 		return
 	}
-	f.deferIfDisturbed(func() { f.replica.Apply(replica.SourceStore, record) })
+	f.deferIfStoreFailed(func() { f.replica.Apply(replica.SourceStore, record) })
 }
 
 const (
-	// lapseWindow is the time after a failed store call in which a missing entry may merely have expired because its
+	// expiryWindow is the time after a failed store call in which a missing entry may merely have expired because its
 	// backend could not renew it.
-	lapseWindow = 4 * time.Second
-	// lapseGrace is how long such an entry is still kept. Entries of live backends are back in the store about two
+	expiryWindow = 4 * time.Second
+	// expiryGrace is how long such an entry is still kept. Entries of live backends are back in the store about two
 	// seconds after the failure.
-	lapseGrace = 1800 * time.Millisecond
+	expiryGrace = 1800 * time.Millisecond
 )
 
-// deferIfDisturbed applies a deletion, at once or, if the entry may merely have expired, after lapseGrace: an entry
+// deferIfStoreFailed applies a deletion, at once or, if the entry may merely have expired, after expiryGrace: an entry
 // that was written again by then has a newer version and is kept.
-func (f *storeFeed) deferIfDisturbed(apply func()) {
-	if f.storeHealth.failedWithin(lapseWindow) {
-		time.AfterFunc(lapseGrace, apply)
+func (f *storeFeed) deferIfStoreFailed(apply func()) {
+	if f.storeHealth.failedWithin(expiryWindow) {
+		time.AfterFunc(expiryGrace, apply)
 		return
 	}
 	apply()
@@ -83,7 +83,7 @@
 }
 
 // longNodeList is the number of nodes that a starting node lists before it leaves the rest to others: if a thousand
-// nodes start together and each lists all, the answers take a quarter of a gigabyte. Lists of backends are left to
+// nodes start together and each lists all, the responses take a quarter of a gigabyte. Lists of backends are left to
 // others after the first page.
 const longNodeList = 150
 
@@ -152,8 +152,8 @@
 }
 
 // waitFor returns when a condition holds or the context has ended.
-func (r *Router) waitFor(ctx context.Context, ticker *time.Ticker, holds func() bool) {
-	for ctx.Err() == nil && !holds() {
+func (r *Router) waitFor(ctx context.Context, ticker *time.Ticker, condition func() bool) {
+	for ctx.Err() == nil && !condition() {
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
@@ -268,12 +268,12 @@
 	failing map[objectapi.Kind]bool
 	// lastFailure is when a call last failed.
 	lastFailure time.Time
-	// lastAnswer is when the store last answered.
-	lastAnswer time.Time
+	// lastResponse is when the store last answered.
+	lastResponse time.Time
 }
 
-func newStoreHealth(logger *slog.Logger, counting *clock.Clock) *storeHealth {
-	return &storeHealth{logger: logger, clock: counting, failing: map[objectapi.Kind]bool{}}
+func newStoreHealth(logger *slog.Logger, clk *clock.Clock) *storeHealth {
+	return &storeHealth{logger: logger, clock: clk, failing: map[objectapi.Kind]bool{}}
 }
 
 func (h *storeHealth) observe(kind objectapi.Kind, err error) {
@@ -287,7 +287,7 @@
 	}
 	h.failing[kind] = err != nil
 	if err == nil {
-		h.lastAnswer = h.clock.Now()
+		h.lastResponse = h.clock.Now()
 	}
 	if err != nil {
 		h.lastFailure = h.clock.Now()
@@ -301,12 +301,12 @@
 	return !h.lastFailure.IsZero() && h.clock.Since(h.lastFailure) < window
 }
 
-// sinceAnswer returns the time since the store's last answer, or zero if it has never answered.
-func (h *storeHealth) sinceAnswer() time.Duration {
+// sinceResponse returns the time since the store's last response, or zero if it has never answered.
+func (h *storeHealth) sinceResponse() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.lastAnswer.IsZero() {
+	if h.lastResponse.IsZero() {
 		return 0
 	}
-	return h.clock.Since(h.lastAnswer)
+	return h.clock.Since(h.lastResponse)
 }
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -9,7 +9,7 @@
 func (r *Router) freshness() gateway.Freshness {
 	status := r.syncer.SyncStatus()
 	return gateway.Freshness{
-		RevisionInForce: r.revisionInForce.Load(), RevisionKnown: r.revisionKnown(),
+		RevisionInForce: r.activeRevision.Load(), RevisionKnown: r.revisionKnown(),
 		SinceInSync: status.UrgentAge, Exchanges: status.Exchanges, OldestExchange: status.OldestExchange,
 	}
 }
@@ -25,11 +25,13 @@
 
 // publishFreshness registers the gauges of the configuration's age.
 func (r *Router) publishFreshness() {
-	r.metrics.Gauge("configuration_revision_in_force", func() float64 { return float64(r.revisionInForce.Load()) })
+	r.metrics.Gauge("configuration_revision_in_force", func() float64 { return float64(r.activeRevision.Load()) })
 	r.metrics.Gauge("configuration_revision_known", func() float64 { return float64(r.revisionKnown()) })
 	r.metrics.Gauge("copy_agreed_age_seconds", func() float64 { return r.syncer.SyncStatus().UrgentAge.Seconds() })
 	r.metrics.Gauge("copy_exchanges_under_way", func() float64 { return float64(r.syncer.SyncStatus().Exchanges) })
 }
 
-// noteInForce records the object whose configuration is now in force.
-func (r *Router) noteInForce(object objectapi.Object) { r.revisionInForce.Store(object.Version) }
+// recordActiveRevision records the object whose configuration is now active.
+func (r *Router) recordActiveRevision(object objectapi.Object) {
+	r.activeRevision.Store(object.Version)
+}
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -18,7 +18,7 @@
 		}
 		return 0
 	})
-	r.metrics.Gauge("store_answer_age_seconds", func() float64 { return r.storeHealth.sinceAnswer().Seconds() })
+	r.metrics.Gauge("store_answer_age_seconds", func() float64 { return r.storeHealth.sinceResponse().Seconds() })
 	r.metrics.Gauge("nodes_known", func() float64 { return float64(r.nodeCount()) })
 	r.metrics.Gauge("nodes_responsive", func() float64 { return float64(r.responsiveCount()) })
 	r.metrics.Gauge("nodes_of_other_builds", func() float64 { return float64(r.nodes.countOtherBuilds(buildName())) })
--- a/router/nodes.go
+++ b/router/nodes.go
@@ -67,8 +67,7 @@
 	}
 	spec, err := decodeNode(record.Object.Spec)
 	if err != nil {
-		// The object may have been written or corrupted by something other than a node: it describes no
-		// node.
+		// Another writer may have created or corrupted the object: it describes no node.
 		delete(l.byName, record.Object.Name)
 		return err
 	}
--- a/router/notices.go
+++ b/router/notices.go
@@ -2,7 +2,7 @@
 
 import "github.com/reelrun/reelrun/backend"
 
-// handleNotice records the notice in a backend's answer and logs what is new: one line when the backend
+// handleNotice records the notice in a backend's response and logs what is new: one line when the backend
 // first reports that it is leaving, and one each time that it requests backoff. A repeated notice means
 // that a request was sent to the backend in spite of the first one, and is counted for the next summary.
 func (r *Router) handleNotice(target backend.Backend, notice backend.Notice) {
@@ -26,6 +26,6 @@
 // logRepeatedNotices logs which backends have repeated a notice since the last summary, and how often.
 func (r *Router) logRepeatedNotices() {
 	if counts := r.repeatedNotices.take(); len(counts) > 0 {
-		r.options.Logger.Info("back ends sent to in spite of their word", "answers", counts)
+		r.options.Logger.Info("requests sent to backends in spite of their notices", "answers", counts)
 	}
 }
--- a/router/refused.go
+++ b/router/rejected.go
@@ -2,25 +2,26 @@
 
 import "sync"
 
-// maxRefused bounds the remembered names. Beyond it, entries are logged again.
-const maxRefused = 4096
+// maxRejected bounds the remembered names. Beyond it, all are forgotten and rejected entries are logged
+// again.
+const maxRejected = 4096
 
-// refusedEntries remembers the backend entries that were rejected, so that a writer that repeats
+// rejectedEntries remembers the backend entries that were rejected, so that a writer that repeats
 // itself causes a single log line. It is safe for concurrent use.
-type refusedEntries struct {
+type rejectedEntries struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
 // first records a rejection and reports whether it is the first since the entry was last
 // accepted.
-func (r *refusedEntries) first(name string) bool {
+func (r *rejectedEntries) first(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.names[name] {
 		return false
 	}
-	if r.names == nil || len(r.names) >= maxRefused {
+	if r.names == nil || len(r.names) >= maxRejected {
 		r.names = map[string]bool{}
 	}
 	r.names[name] = true
@@ -28,7 +29,7 @@
 }
 
 // accepted records that an entry is valid or was removed.
-func (r *refusedEntries) accepted(name string) {
+func (r *rejectedEntries) accepted(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.names, name)
--- a/router/reports.go
+++ b/router/reports.go
@@ -13,7 +13,7 @@
 	// reportInterval is the interval at which a coordinator polls its decode engines for their
 	// usage.
 	reportInterval = time.Second
-	// reportTimeout bounds the calls of one round.
+	// reportTimeout bounds the calls for one service in one round.
 	reportTimeout = 300 * time.Millisecond
 	// idleReports is the number of engines without a run that a coordinator polls in one round.
 	// Polling all of some thousand engines takes 800 calls a second, most of them across zones,
@@ -30,24 +30,24 @@
 // next returns the engines to poll: all for which isBusy holds, and some of the others in
 // rotation.
 func (t *reportRotation) next(engines []string, isBusy func(engine string) bool) []string {
-	var asked, idle []string
+	var polled, idle []string
 	for _, engine := range engines {
 		if isBusy(engine) {
-			asked = append(asked, engine)
+			polled = append(polled, engine)
 		} else {
 			idle = append(idle, engine)
 		}
 	}
 	count := min(idleReports, len(idle))
 	for i := range count {
-		asked = append(asked, idle[(t.offset+i)%len(idle)])
+		polled = append(polled, idle[(t.offset+i)%len(idle)])
 	}
 	t.offset += count
-	return asked
+	return polled
 }
 
 // pollReports polls the decode engines that this node coordinates for the memory they use,
-// until the context ends. It covers runs that were started by nodes that are lost.
+// until the context ends. Their reports include the runs that nodes started which are lost by now.
 func (r *Router) pollReports(ctx context.Context) {
 	var rotation reportRotation
 	periodic.Run(ctx, reportInterval, func(ctx context.Context) {
@@ -65,13 +65,13 @@
 		engines = append(engines, entry.Backend().ID)
 	}
 	inUse := r.coordinator.InUse(service)
-	var asked sync.WaitGroup
+	var polled sync.WaitGroup
 	for _, id := range rotation.next(engines, func(id string) bool { return inUse[id] }) {
 		entry := r.backends.Lookup(id)
 		if entry == nil || entry.BackoffRemaining() > 0 {
 			continue
 		}
-		asked.Go(func() {
+		polled.Go(func() {
 			report, err := r.options.Environment.Dialect.Report(ctx, entry.Backend())
 			if err != nil {
 				r.metrics.Add("report_errors", 1)
@@ -80,5 +80,5 @@
 			r.coordinator.ReportMemoryUse(service, entry.Backend().ID, report.UsedTokens)
 		})
 	}
-	asked.Wait()
+	polled.Wait()
 }
--- a/router/reports_test.go
+++ b/router/reports_test.go
@@ -22,9 +22,9 @@
 	counts := map[string]int{}
 	const rounds = 5
 	for range rounds {
-		asked := rotation.next(ids, func(id string) bool { return isBusy[id] })
-		g.Expect(asked).To(HaveLen(busy + idleReports))
-		for _, id := range asked {
+		polled := rotation.next(ids, func(id string) bool { return isBusy[id] })
+		g.Expect(polled).To(HaveLen(busy + idleReports))
+		for _, id := range polled {
 			counts[id]++
 		}
 	}
@@ -36,5 +36,5 @@
 		}
 	}
 	few := rotation.next(ids[:40], func(string) bool { return false })
-	g.Expect(few).To(ConsistOf(ids[:40]), "a small fleet is asked whole")
+	g.Expect(few).To(ConsistOf(ids[:40]), "all engines of a small fleet are polled")
 }
--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -36,7 +36,7 @@
 
 // retryConfirmationSpec is the content of such a record.
 type retryConfirmationSpec struct {
-	// Start identifies the start of the node, and Generation the newest shares that it has put into force.
+	// Start identifies the start of the node, and Generation the newest shares that it has applied.
 	Start      string `json:"start"`
 	Generation int64  `json:"generation"`
 }
@@ -50,7 +50,7 @@
 	version int64
 	// isolatedSince is when the node lost contact with most of the others; zero while it has contact.
 	isolatedSince time.Time
-	// missing is the time since which nodes with a share have had no object, by name.
+	// missing holds, by name of a node that has a share but no object, since when it has had none.
 	missing map[string]time.Time
 	// members is the number of nodes that could have a share at the last check, and writtenAt when this node last
 	// wrote the shares.
@@ -76,8 +76,7 @@
 		}
 		allocation, err := retrybudget.DecodeAllocation(record.Object.Spec, int(r.settings.Load().RetryBurst))
 		if err != nil {
-			// The object may have been corrupted by something other than a node. No node has a share until it is written
-			// again.
+			// Another writer may have corrupted the object. No node has a share until it is written again.
 			r.options.Logger.Error("retry shares rejected", "revision", record.Object.Version, "error", err.Error())
 			allocation = retrybudget.Allocation{Generation: r.retryShares.known.Generation}
 		}
@@ -85,10 +84,10 @@
 	}
 }
 
-// applyRetryShare puts the node's share into force, and confirms it if it has become smaller.
+// applyRetryShare applies the node's share, and confirms it if it has become smaller.
 func (r *Router) applyRetryShare() {
 	share := r.retryShares.known.Shares[r.options.Settings.Name]
-	if share.Incarnation != r.startName() || r.isIsolated() {
+	if share.Incarnation != r.incarnation() || r.isIsolated() {
 		r.retryShares.holder.SetShare(retrybudget.Share{})
 		return
 	}
@@ -98,10 +97,10 @@
 	}
 }
 
-// confirmRetryShare announces to the other nodes which generation is in force here.
+// confirmRetryShare announces to the other nodes which generation this node has applied.
 func (r *Router) confirmRetryShare() {
 	generation := r.retryShares.known.Generation
-	spec, err := json.Marshal(retryConfirmationSpec{Start: r.startName(), Generation: generation})
+	spec, err := json.Marshal(retryConfirmationSpec{Start: r.incarnation(), Generation: generation})
 	if err != nil {
 		r.options.Logger.Error("retry share not confirmed", "error", err.Error())
 		return
@@ -152,8 +151,8 @@
 	r.options.Logger.Info("retry budget divided", "generation", next.Generation, "nodes", len(next.Shares), "error", logging.ErrorText(err))
 }
 
-// allocatedRetries returns how many upstream retries, beside those of the ratio, are allocated to nodes. Nodes of
-// builds without shares use theirs without an allocation, by the number of nodes.
+// allocatedRetries returns how many upstream retries, in addition to those of the ratio, are allocated to nodes.
+// Nodes whose builds do not know shares each use an equal part of the budget without an allocation.
 func (r *Router) allocatedRetries() int {
 	total := r.settings.Load().RetryBurst * budgetShare
 	capable := len(r.nodes.withCapability(capabilityRetryShares))
@@ -169,7 +168,7 @@
 	object := objectapi.Object{Kind: kindRetryShares, Name: nameRetryShares, Version: r.retryShares.version, Spec: spec}
 	written, err := r.options.Environment.Store.Put(ctx, object)
 	if errors.Is(err, objectapi.ErrNotFound) {
-		// The object was removed; the nodes' shares stay in force.
+		// The object was removed; the nodes keep their shares.
 		object.Version = 0
 		written, err = r.options.Environment.Store.Put(ctx, object)
 	}
@@ -231,5 +230,5 @@
 	return members
 }
 
-// startName identifies this start of the node.
-func (r *Router) startName() string { return strconv.FormatInt(r.started.UnixNano(), 10) }
+// incarnation returns the identifier of this start of the node.
+func (r *Router) incarnation() string { return strconv.FormatInt(r.started.UnixNano(), 10) }
--- a/router/rolechange.go
+++ b/router/rolechange.go
@@ -64,14 +64,14 @@
 }
 
 // announceRole announces to all nodes that an engine is about to change its role.
-func (r *Router) announceRole(change roles.Change, fence uint64) {
+func (r *Router) announceRole(change roles.Change, fencingToken uint64) {
 	spec, err := json.Marshal(roleChangeSpec{Engine: change.Engine, Role: change.Role})
 	if err != nil {
 		r.options.Logger.Error("role change not announced", "error", err.Error())
 		return
 	}
 	record := replica.Record{Object: objectapi.Object{
-		Kind: kindRoleChange, Name: roleChangeName(change, fence), Version: versionAnnounced, Spec: spec,
+		Kind: kindRoleChange, Name: roleChangeName(change, fencingToken), Version: versionAnnounced, Spec: spec,
 	}}
 	r.replica.Apply(replica.SourceStore, record)
 }
@@ -83,13 +83,13 @@
 )
 
 // roleChangeName returns the name of an order's record, which is unique to the order.
-func roleChangeName(change roles.Change, fence uint64) string {
-	return change.Engine + "/" + strconv.FormatUint(fence, 10) + "/" + string(change.Role)
+func roleChangeName(change roles.Change, fencingToken uint64) string {
+	return change.Engine + "/" + strconv.FormatUint(fencingToken, 10) + "/" + string(change.Role)
 }
 
 // withdrawRole announces to all nodes that an announced order will not be given.
-func (r *Router) withdrawRole(change roles.Change, fence uint64) {
-	object := objectapi.Object{Kind: kindRoleChange, Name: roleChangeName(change, fence), Version: versionWithdrawn}
+func (r *Router) withdrawRole(change roles.Change, fencingToken uint64) {
+	object := objectapi.Object{Kind: kindRoleChange, Name: roleChangeName(change, fencingToken), Version: versionWithdrawn}
 	r.replica.Apply(replica.SourceStore, replica.Record{Object: object, Deleted: true})
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -32,7 +32,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// Environment is what the router needs from its surroundings.
+// Environment contains the router's external dependencies: the store, the protocols and the decoders of objects.
 type Environment struct {
 	Store   objectapi.Store
 	Dialect Dialect
@@ -49,7 +49,7 @@
 type Dialect interface {
 	gateway.Dialect
 	roles.EngineClient
-	// Observe sets a function that is called with the notices in the backends' answers. It is called once, before all
+	// Observe sets a function that is called with the notices in the backends' responses. It is called once, before all
 	// other calls.
 	Observe(observer backend.Observer)
 }
@@ -126,14 +126,14 @@
 	// repeatedNotices counts repeated notices by backend since the last summary.
 	repeatedNotices callCounts
 	// traffic counts the bytes of calls to other nodes.
-	traffic nodeTraffic
-	refused refusedEntries
+	traffic  nodeTraffic
+	rejected rejectedEntries
 	// watching is set while this node watches the store, and staleness decides whether it must without being
 	// selected.
 	watching  atomic.Bool
 	staleness *staleness
-	// revisionInForce is the revision of the object whose configuration is in force.
-	revisionInForce atomic.Int64
+	// activeRevision is the revision of the object whose configuration is active.
+	activeRevision atomic.Int64
 	// withdrawn is set once the node has removed its own object.
 	withdrawn atomic.Bool
 	// removed signals that another node has removed it.
@@ -254,7 +254,7 @@
 		address  string
 		listener *net.Listener
 	}{
-		{"callers", own.CallerAddress, &opened.callers}, {"the balancer", own.ReadyAddress, &opened.ready},
+		{"callers", own.CallerAddress, &opened.callers}, {"the load balancer", own.ReadyAddress, &opened.ready},
 		{"nodes", own.PeerAddress, &opened.peers}, {"metrics", own.MetricsAddress, &opened.metrics},
 	} {
 		listener, err := r.options.Listen(port.address)
--- a/router/storecalls.go
+++ b/router/storecalls.go
@@ -7,7 +7,7 @@
 )
 
 // callCounts counts events by name since the last summary: calls to the store by operation and kind, or
-// answers by backend. It is safe for concurrent use.
+// repeated notices by backend. It is safe for concurrent use.
 type callCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
--- a/router/summary.go
+++ b/router/summary.go
@@ -15,7 +15,7 @@
 // of tenants, which are only of interest as sums.
 const longSummaries = 5
 
-// logSummaries writes summaries until the context ends.
+// logSummaries logs summaries until the context ends.
 func (r *Router) logSummaries(ctx context.Context) {
 	summaries := 0
 	periodic.Run(ctx, summaryInterval, func(context.Context) {
--- a/router/tenants.go
+++ b/router/tenants.go
@@ -2,7 +2,7 @@
 
 import "github.com/reelrun/reelrun/tenant"
 
-// tenantNamed returns a tenant of the configuration in force, or nil.
+// tenantNamed returns a tenant of the active configuration, or nil.
 func (r *Router) tenantNamed(name string) *tenant.Tenant {
 	configuration := r.gateway.Configuration()
 	if configuration == nil || configuration.Tenants == nil {
@@ -11,7 +11,7 @@
 	return configuration.Tenants.Lookup(name)
 }
 
-// anyTenantLimited reports whether a tenant of the configuration in force has a limit.
+// anyTenantLimited reports whether a tenant of the active configuration has a limit.
 func (r *Router) anyTenantLimited() bool {
 	configuration := r.gateway.Configuration()
 	return configuration != nil && configuration.Tenants != nil && configuration.Tenants.AnyLimited()
--- a/router/view.go
+++ b/router/view.go
@@ -7,7 +7,7 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// changed puts a newer version of an object into force. The replica calls it, one change at a time.
+// changed applies a newer version of an object. The replica calls it, one change at a time.
 func (r *Router) changed(change replica.Change) {
 	switch change.Record.Object.Kind {
 	case r.options.Environment.ConfigurationKind:
@@ -33,9 +33,9 @@
 	}
 }
 
-// mustPush reports whether a change must be pushed to other nodes. They already have what a node applies while
-// it starts, or receive it at the same time: if all nodes start together, each would push each object to others.
-// The configuration and the node's own object are pushed in any case.
+// mustPush reports whether a change must be pushed to other nodes. The changes that a node applies while it starts
+// are not: the others already have them, or receive them at the same time, and if all nodes start together, each
+// would push each object to others. The configuration and the node's own object are always pushed.
 func (r *Router) mustPush(changed replica.Key) bool {
 	switch {
 	case r.syncer == nil:
@@ -61,7 +61,7 @@
 		return
 	}
 	if r.gateway.Configure(decoded) {
-		r.noteInForce(object)
+		r.recordActiveRevision(object)
 		r.options.Logger.Info("configuration in force", "version", decoded.Version, "revision", object.Version,
 			"routes", decoded.RouteCount(), "bytes", len(object.Spec), "decode_ms", time.Since(began).Milliseconds(),
 			"source", string(change.Source))
@@ -77,7 +77,7 @@
 func (r *Router) backendChanged(change replica.Change) {
 	object := change.Record.Object
 	if change.Record.Deleted {
-		r.refused.accepted(object.Name)
+		r.rejected.accepted(object.Name)
 		if r.backends.RemoveRegistered(object.Name) {
 			r.options.Logger.Info("back end gone", "backend", object.Name, "revision", object.Version, "source", string(change.Source))
 		}
@@ -88,12 +88,12 @@
 		// The entry may describe a known backend, which must receive no new work while its entry is invalid.
 		r.backends.RemoveRegistered(object.Name)
 		r.metrics.Add("backends_refused", 1)
-		if r.refused.first(object.Name) {
+		if r.rejected.first(object.Name) {
 			r.options.Logger.Error("back end refused", "backend", object.Name, "revision", object.Version, "error", err.Error())
 		}
 		return
 	}
-	r.refused.accepted(object.Name)
+	r.rejected.accepted(object.Name)
 	isNew := r.backends.Lookup(decoded.ID) == nil
 	if r.backends.Update(decoded) && r.isNotable(isNew, change.Source) {
 		r.options.Logger.Info("back end changed", "backend", decoded.ID, "service", decoded.Service, "state", string(decoded.State),
