--- a/antientropy/behind_test.go
+++ b/antientropy/behind_test.go
@@ -36,35 +36,35 @@
 // TestStalledTransferReadsFromStore offers a node a version whose chunks no node has. The node logs that it is
 // behind, and reads the object from the store, which ends the transfer.
 func TestStalledTransferReadsFromStore(t *testing.T) {
-	// patience is far above the time after which a node logs that it is behind.
-	const patience = 10 * behindAfter
+	// timeout is far above the time after which a node logs that it is behind.
+	const timeout = 10 * behindAfter
 	g := NewWithT(t)
 	empty, behind := newTestNode(t), newTestNode(t)
 	logged := make(messages, 100)
 	behind.syncer.options.Logger = slog.New(logged)
 	object := objectapi.Object{Kind: urgentKind, Name: "main", Version: 5, Spec: largeConfiguration(5000)}
-	asked := make(chan replica.Key, 1)
+	refetched := make(chan replica.Key, 1)
 	behind.syncer.options.Refetch = func(_ context.Context, key replica.Key) {
 		behind.replica.Apply(replica.SourceStore, replica.Record{Object: object})
-		asked <- key
+		refetched <- key
 	}
 	offered := replica.Record{Object: objectapi.Object{Kind: object.Kind, Name: object.Name, Version: object.Version}}
 	manifest := chunk.Split(object.Spec)
 	// Comparisons offer the object repeatedly, also after a source has timed out.
 	offer := func() chan replica.Key {
 		behind.syncer.transfers.offer(offered, manifest, empty.address)
-		return asked
+		return refetched
 	}
-	g.Eventually(offer).WithTimeout(patience).Should(Receive(Equal(offered.Key())))
-	g.Eventually(logged).WithTimeout(patience).Should(Receive(Equal("behind")))
+	g.Eventually(offer).WithTimeout(timeout).Should(Receive(Equal(offered.Key())))
+	g.Eventually(logged).WithTimeout(timeout).Should(Receive(Equal("behind")))
 	g.Expect(behind.replica.Live(urgentKind)).To(HaveLen(1))
-	g.Eventually(logged).WithTimeout(patience).Should(Receive(Equal("caught up")))
+	g.Eventually(logged).WithTimeout(timeout).Should(Receive(Equal("caught up")))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		behind.syncer.background.Wait()
 	}()
-	g.Eventually(done).WithTimeout(patience).Should(BeClosed(), "nothing is fetched any more")
+	g.Eventually(done).WithTimeout(timeout).Should(BeClosed(), "no transfer is left")
 }
 
 // TestTransferResumesFromAnotherSource loses the only source of an object during the transfer; the offer of
--- a/antientropy/benchmark_test.go
+++ b/antientropy/benchmark_test.go
@@ -41,7 +41,7 @@
 		}
 		version++
 		store(ahead, after)
-		ahead.answered = 0
+		ahead.responseBytes = 0
 		b.StartTimer()
 		if err := behind.compare(b.Context(), ahead.address); err != nil {
 			b.Fatal(err)
@@ -49,7 +49,7 @@
 		if behind.replica.Digest() != ahead.replica.Digest() {
 			b.Fatal("replicas differ")
 		}
-		received += ahead.answered
+		received += ahead.responseBytes
 	}
 	b.ReportMetric(float64(received)/float64(b.N), "received-B/op")
 }
--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -16,7 +16,8 @@
 	until time.Time
 }
 
-// Responsive reports whether a node counts as responsive: ReportFailure has not found the contrary.
+// Responsive reports whether a node counts as responsive: it does unless a call to it has failed as described at
+// ReportFailure.
 func (s *Syncer) Responsive(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/antientropy/exchange.go
+++ b/antientropy/exchange.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// exchangeAll reconciles the buckets that differ. Without comparing parts, one comparison is followed by the
-// exchange of a few buckets only, unless the other replica is complete and this one is not: a node that starts
-// would need as many comparisons as the fleet's objects fill messages.
+// exchangeAll reconciles the buckets that differ. If the other node cannot compare parts, only a few buckets are
+// exchanged after one comparison. All are if the other replica is complete and this one is not: otherwise a
+// starting node would need one comparison for each message that the fleet's objects fill.
 func (s *Syncer) exchangeAll(ctx context.Context, address string, compared comparison) error {
 	differing, batchSize := compared.differing, bucketsPerExchange
 	switch {
--- a/antientropy/handler.go
+++ b/antientropy/handler.go
@@ -39,9 +39,9 @@
 // handleCompareParts returns which parts of some buckets differ.
 func (s *Syncer) handleCompareParts(request *peerpb.CompareParts) *peerpb.Response {
 	differing := &peerpb.DifferingParts{}
-	for _, asked := range request.GetBuckets() {
-		parts := s.options.Replica.DifferingParts(int(asked.GetBucket()), asked.GetDigests())
-		differing.Buckets = append(differing.Buckets, &peerpb.PartSet{Bucket: asked.GetBucket(), Parts: uint32(parts)})
+	for _, requested := range request.GetBuckets() {
+		parts := s.options.Replica.DifferingParts(int(requested.GetBucket()), requested.GetDigests())
+		differing.Buckets = append(differing.Buckets, &peerpb.PartSet{Bucket: requested.GetBucket(), Parts: uint32(parts)})
 	}
 	return &peerpb.Response{Body: &peerpb.Response_DifferingParts{DifferingParts: differing}}
 }
@@ -53,9 +53,9 @@
 	}
 	s.applyReceived(received, request.GetAddress())
 	newerHere, newerThere := s.options.Replica.Compare(sectionsOf(request), recordsOf(request.GetVersions()))
-	answer := s.encodeNewer(s.options.Replica.Records(newerHere), request.GetReadsCompressed())
-	answer.Wanted = wantedVersions(newerThere)
-	return &peerpb.Response{Body: &peerpb.Response_StoredObjects{StoredObjects: answer}}
+	response := s.encodeNewer(s.options.Replica.Records(newerHere), request.GetReadsCompressed())
+	response.Wanted = wantedVersions(newerThere)
+	return &peerpb.Response{Body: &peerpb.Response_StoredObjects{StoredObjects: response}}
 }
 
 // sectionsOf returns the sections of an exchange: whole buckets where it names no parts, since older builds
--- a/antientropy/large_test.go
+++ b/antientropy/large_test.go
@@ -75,19 +75,19 @@
 func TestInvalidObjectsAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	node := newTestNode(t)
-	whole := storedObject(replica.Record{Object: objectapi.Object{
+	valid := storedObject(replica.Record{Object: objectapi.Object{
 		Kind: urgentKind, Name: "whole", Version: 1, Spec: largeConfiguration(100),
 	}})
-	g.Expect(whole.GetCompressedSpec()).NotTo(BeEmpty())
+	g.Expect(valid.GetCompressedSpec()).NotTo(BeEmpty())
 	damaged := &peerpb.StoredObject{
 		Version:        &peerpb.ObjectVersion{Kind: string(urgentKind), Name: "damaged", Version: 2},
-		CompressedSpec: whole.GetCompressedSpec()[:len(whole.GetCompressedSpec())/2],
+		CompressedSpec: valid.GetCompressedSpec()[:len(valid.GetCompressedSpec())/2],
 	}
 	huge := &peerpb.StoredObject{
 		Version:        &peerpb.ObjectVersion{Kind: string(urgentKind), Name: "huge", Version: 3},
 		CompressedSpec: []byte{0xff, 0xff, 0xff, 0xff, 0x0f},
 	}
-	node.syncer.applyReceived([]*peerpb.StoredObject{damaged, huge, whole}, "")
+	node.syncer.applyReceived([]*peerpb.StoredObject{damaged, huge, valid}, "")
 	live := node.replica.Live(urgentKind)
 	g.Expect(live).To(HaveLen(1))
 	g.Expect(live[0].Name).To(Equal("whole"))
--- a/antientropy/partners.go
+++ b/antientropy/partners.go
@@ -22,9 +22,10 @@
 // monitorPeriod is the time in which a node compares with most of its monitored nodes, however many there are.
 const monitorPeriod = 20 * time.Second
 
-// selectPeers returns the nodes for one round of periodic comparisons. Rounds alternate between the partners,
-// one a round, and the monitored nodes, so that these are known to be responsive or not whatever their zone.
-// Partners are in this node's zone unless it is a zone relay: it exchanges nothing with others.
+// selectPeers returns the nodes for one round of periodic comparisons. Rounds alternate between the partners, one
+// per round, and the monitored nodes, so that this node detects which of the latter are responsive, whatever their
+// zone. Partners are in this node's zone unless it is a zone relay: other nodes exchange no objects with other
+// zones.
 func (s *Syncer) selectPeers() []string {
 	now := time.Now()
 	if s.isMonitorRound() {
@@ -47,8 +48,8 @@
 // traffic between zones is charged.
 func (s *Syncer) pushTargets(count int) (zonePeers, relays []string) {
 	now := time.Now()
-	answering, unresponsive := s.available(s.options.Peers(), now)
-	candidates := append(s.partners(s.inZone(answering), now), unresponsive...)
+	responsive, unresponsive := s.available(s.options.Peers(), now)
+	candidates := append(s.partners(s.inZone(responsive), now), unresponsive...)
 	relays, _ = s.available(s.options.RemoteRelays(), now)
 	return s.sample(s.notPushing(candidates), count), s.notPushing(relays)
 }
@@ -82,20 +83,20 @@
 
 // available returns the responsive nodes, and a few of the unresponsive ones whose backoff has expired, which
 // are retried.
-func (s *Syncer) available(addresses []string, now time.Time) (answering, unresponsive []string) {
+func (s *Syncer) available(addresses []string, now time.Time) (responsive, unresponsive []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, address := range addresses {
 		known, isUnresponsive := s.unresponsive[address]
 		switch {
 		case !isUnresponsive:
-			answering = append(answering, address)
+			responsive = append(responsive, address)
 		case !now.Before(known.until):
 			unresponsive = append(unresponsive, address)
 		}
 	}
 	s.shuffle(unresponsive)
-	return answering, unresponsive[:min(retriedUnresponsive, len(unresponsive))]
+	return responsive, unresponsive[:min(retriedUnresponsive, len(unresponsive))]
 }
 
 // partners returns this node's partners for the current period.
--- a/antientropy/partners_test.go
+++ b/antientropy/partners_test.go
@@ -27,8 +27,8 @@
 
 // selectedForPush returns all nodes of one push round.
 func (s *Syncer) selectedForPush() []string {
-	zoneMember, relays := s.pushTargets(defaultFanout)
-	return append(zoneMember, relays...)
+	zonePeers, relays := s.pushTargets(defaultFanout)
+	return append(zonePeers, relays...)
 }
 
 func fleetOf(size int) []string {
@@ -54,7 +54,7 @@
 	return seen
 }
 
-// TestConnectionsDoNotGrowWithFleetSize counts the nodes that one of 400 calls in a period.
+// TestConnectionsDoNotGrowWithFleetSize counts the nodes that one of 400 nodes calls in a period.
 func TestConnectionsDoNotGrowWithFleetSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -64,7 +64,7 @@
 		g.Expect(first).To(HaveLen(partnerCount))
 		g.Expect(selected(s, 300, false)).To(HaveLen(len(union(first, fleet[:12]))))
 		time.Sleep(partnerPeriod)
-		g.Expect(selected(s, 300, true)).NotTo(Equal(first), "others in the next period")
+		g.Expect(selected(s, 300, true)).NotTo(Equal(first), "other partners are selected in the next period")
 	})
 }
 
@@ -79,14 +79,14 @@
 	return joined
 }
 
-// TestSmallFleetComparesWithAllNodes has each node call each other one.
+// TestSmallFleetComparesWithAllNodes checks that a node of a small fleet calls all nodes.
 func TestSmallFleetComparesWithAllNodes(t *testing.T) {
 	fleet := fleetOf(8)
 	NewWithT(t).Expect(selected(newSelector(fleet, fleet), 500, false)).To(HaveLen(len(fleet)))
 }
 
-// TestUpdatesReachAllNodes propagates an update from one node over the partners of 400: each node that receives
-// it pushes it to two.
+// TestUpdatesReachAllNodes propagates an update from one of 400 nodes: in each round, each node that has it pushes
+// it to defaultFanout of its partners.
 func TestUpdatesReachAllNodes(t *testing.T) {
 	g := NewWithT(t)
 	const rounds = 25
@@ -127,7 +127,7 @@
 		for address := range partners {
 			s.ReportFailure(address, peer.ErrNotSent)
 		}
-		g.Expect(len(selected(s, 200, true))).To(BeNumerically(">=", partnerCount), "others take their place")
+		g.Expect(len(selected(s, 200, true))).To(BeNumerically(">=", partnerCount), "other nodes replace unresponsive partners")
 	})
 }
 
@@ -210,7 +210,7 @@
 		g.Expect(across).To(BeNumerically("<=", 2*zonedWatchers))
 		g.Expect(calls).To(BeNumerically(">", 10*across))
 	}
-	g.Expect(reached).To(BeNumerically(">", fleets*size*3/4), "the rest hears at the next rounds without news")
+	g.Expect(reached).To(BeNumerically(">", fleets*size*3/4), "the rest receive the update by periodic comparisons")
 }
 
 // TestOnlyZoneRelaysExchangeAcrossZones checks with whom nodes of three zones exchange objects.
@@ -218,24 +218,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		fleet := newZonedFleet(300, 3, 1)
-		zoneMember, far := fleet.addresses[3], fleet.addresses[1]
+		zonePeer, otherZonePeer := fleet.addresses[3], fleet.addresses[1]
 		node := fleet.nodes[fleet.addresses[0]]
 		node.options.IsZoneRelay = func() bool { return false }
-		g.Expect(node.mayExchange(far)).To(BeTrue(), "it has heard of no neighbour yet")
-		node.noteContact(zoneMember, nil)
-		g.Expect(node.mayExchange(far)).To(BeFalse())
-		g.Expect(node.mayExchange(zoneMember)).To(BeTrue())
+		g.Expect(node.mayExchange(otherZonePeer)).To(BeTrue(), "it had no contact with its zone yet")
+		node.noteContact(zonePeer, nil)
+		g.Expect(node.mayExchange(otherZonePeer)).To(BeFalse())
+		g.Expect(node.mayExchange(zonePeer)).To(BeTrue())
 		for range 100 {
 			for _, address := range node.selectPeers() {
-				isSource := slices.Contains(fleet.addresses[:zonedWatchers], address)
-				g.Expect(isSource || fleet.zoneOf[address] == 0).To(BeTrue(), "%s", address)
+				isWatcher := slices.Contains(fleet.addresses[:zonedWatchers], address)
+				g.Expect(isWatcher || fleet.zoneOf[address] == 0).To(BeTrue(), "%s", address)
 			}
 		}
 		time.Sleep(zoneContactTimeout + time.Second)
-		g.Expect(node.mayExchange(far)).To(BeTrue(), "its neighbours have fallen silent")
-		node.noteContact(zoneMember, nil)
+		g.Expect(node.mayExchange(otherZonePeer)).To(BeTrue(), "its zone has become unresponsive")
+		node.noteContact(zonePeer, nil)
 		node.options.IsZoneRelay = func() bool { return true }
-		g.Expect(node.mayExchange(far)).To(BeTrue())
+		g.Expect(node.mayExchange(otherZonePeer)).To(BeTrue())
 	})
 }
 
--- a/antientropy/property_test.go
+++ b/antientropy/property_test.go
@@ -56,8 +56,8 @@
 func TestChunkedObjectsConverge(t *testing.T) {
 	const (
 		nodeCount = 3
-		// patience is far above what the nodes need, also on a busy machine.
-		patience = time.Minute
+		// timeout is far above what the nodes need, also on a busy machine.
+		timeout = time.Minute
 	)
 	nodes := make([]*testNode, nodeCount)
 	for i := range nodes {
@@ -99,7 +99,7 @@
 			}
 			compare(index.Draw(t, "from"), index.Draw(t, "to"))
 		}
-		for until := time.Now().Add(patience); !converged(nodes) && time.Now().Before(until); {
+		for until := time.Now().Add(timeout); !converged(nodes) && time.Now().Before(until); {
 			for from := range nodeCount {
 				compare(from, (from+1)%nodeCount)
 			}
--- a/antientropy/push.go
+++ b/antientropy/push.go
@@ -16,8 +16,8 @@
 const maxPending = 2048
 
 // pendingUpdates are the objects that changed since the last push round. They are pushed without a comparison:
-// while hundreds of backends change, replicas always differ, and each comparison would cost the digests of all
-// of them. The zero value is empty. It is safe for concurrent use.
+// while hundreds of backends change, replicas always differ, and each comparison would transfer the digests of
+// all of them. The zero value is empty. It is safe for concurrent use.
 type pendingUpdates struct {
 	mu sync.Mutex
 	// fromStore is true for an object that this node has from the store, or created itself.
@@ -91,8 +91,8 @@
 	}
 }
 
-// syncTargets returns the nodes for updates of which it is not known whether they came from the store. They
-// include the relays of other zones if this node is a zone relay.
+// syncTargets returns the nodes for updates that may or may not have come from the store. They include the relays
+// of other zones if this node is a zone relay.
 func (s *Syncer) syncTargets() []string {
 	zonePeers, relays := s.pushTargets(s.options.Fanout)
 	if !s.options.IsZoneRelay() {
@@ -112,7 +112,7 @@
 	// updateBurstGap is the time after a push in which more updates are expected to follow.
 	updateBurstGap = 400 * time.Millisecond
 	// repairInterval is the minimum time between two exchanges during a burst of updates. Exchanges deliver
-	// what the pushes missed; each costs the digests of all objects that changed meanwhile.
+	// what the pushes missed; each transfers the digests of all objects that changed in the meantime.
 	repairInterval = 800 * time.Millisecond
 )
 
@@ -185,7 +185,7 @@
 		defer s.setPushing(address, false)
 		for _, message := range messages {
 			if _, err := s.callExchange(ctx, address, message); err != nil {
-				s.logBulkFailure(ctx, "news not brought", address, err)
+				s.logBulkFailure(ctx, "updates not pushed", address, err)
 				s.ReportFailure(address, err)
 				return
 			}
--- a/antientropy/push_test.go
+++ b/antientropy/push_test.go
@@ -72,7 +72,7 @@
 		first.change(name, int64(i+1))
 		g.Eventually(other.has(name), 5*time.Second, time.Millisecond).Should(BeTrue())
 	}
-	g.Expect(time.Since(began)).To(BeNumerically("<", slow.exchangeDelay), "as long as one change takes to the slow node")
+	g.Expect(time.Since(began)).To(BeNumerically("<", slow.exchangeDelay), "pushes to the slow node delay the other one")
 	g.Eventually(slow.has("changed-2"), 10*time.Second).Should(BeTrue())
 }
 
--- a/antientropy/pushthrottle_test.go
+++ b/antientropy/pushthrottle_test.go
@@ -27,7 +27,7 @@
 			}
 			return count
 		}
-		g.Expect(rounds(10*time.Second)).To(BeNumerically("<=", 52), "each 200 ms, after the first ones")
+		g.Expect(rounds(10*time.Second)).To(BeNumerically("<=", 52), "one every 200 ms, after shorter intervals at first")
 		if throttle.expired != nil {
 			<-throttle.expired
 			throttle.release()
@@ -35,6 +35,6 @@
 		time.Sleep(time.Second)
 		began := time.Now()
 		g.Expect(rounds(time.Millisecond)).To(Equal(1))
-		g.Expect(time.Since(began)).To(Equal(minPushInterval), "the first ones follow soon")
+		g.Expect(time.Since(began)).To(Equal(minPushInterval), "the first interval after a quiet period is the shortest")
 	})
 }
--- a/antientropy/silent_test.go
+++ b/antientropy/stalled_test.go
@@ -17,9 +17,9 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// maxHopTime is how long a change may take from one node to the next where a connection has stalled: it has 3 s
-// to reach all nodes, and takes three hops in the largest supported fleet, in which most nodes do not watch the
-// store.
+// maxHopTime is how long a change may take from one node to the next if a connection has stalled. The change has
+// 3 s to reach all nodes, and takes three hops in the largest supported fleet, in which most nodes do not watch
+// the store.
 const maxHopTime = time.Second
 
 // peerPair is a node and another one to which it pushes changes, in virtual time.
--- a/antientropy/syncer_test.go
+++ b/antientropy/syncer_test.go
@@ -41,8 +41,8 @@
 	mu sync.Mutex
 	// largestCall is the size of the largest request or response of a call to it.
 	largestCall int
-	// answered is the number of bytes that it has sent in responses, and asked of those received in requests.
-	answered, asked int
+	// responseBytes is the number of bytes that it has sent in responses, and requestBytes of those received in requests.
+	responseBytes, requestBytes int
 }
 
 // handle answers a call and records its size.
@@ -56,8 +56,8 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.answered += proto.Size(response)
-	n.asked += proto.Size(request)
+	n.responseBytes += proto.Size(response)
+	n.requestBytes += proto.Size(request)
 	n.largestCall = max(n.largestCall, proto.Size(request), proto.Size(response))
 	return response, err
 }
@@ -190,7 +190,7 @@
 	}
 	third := newTestNode(t)
 	for !third.complete.Load() {
-		g.Expect(third.compare(t.Context(), late.address)).To(Succeed(), "it passes on")
+		g.Expect(third.compare(t.Context(), late.address)).To(Succeed(), "a replica that has become complete completes others")
 	}
 }
 
@@ -198,7 +198,7 @@
 func (n *testNode) exchanged() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.asked + n.answered
+	return n.requestBytes + n.responseBytes
 }
 
 // bytesOfOneDifference returns the number of bytes needed to transfer one change to a replica of this many
@@ -248,6 +248,6 @@
 	g.Expect(joining.compare(context.Background(), complete.address)).To(Succeed())
 	g.Expect(joining.replica.Digest()).To(Equal(complete.replica.Digest()))
 	g.Expect(joining.complete.Load()).To(BeTrue())
-	g.Expect(complete.answered).To(BeNumerically("<", objects*size/2))
+	g.Expect(complete.responseBytes).To(BeNumerically("<", objects*size/2))
 	g.Expect(complete.largestCall).To(BeNumerically("<", maxExchangedBytes+(16<<10)))
 }
--- a/antientropy/syncstatus_test.go
+++ b/antientropy/syncstatus_test.go
@@ -16,8 +16,8 @@
 		watchesStore bool
 		age          time.Duration
 	}{
-		"from a node that follows the store": {true, 0},
-		"from a node that heard of one":      {false, sinceConfirmed},
+		"from a node that watches the store":    {true, 0},
+		"from a node that was confirmed by one": {false, sinceConfirmed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/antientropy/transfer.go
+++ b/antientropy/transfer.go
@@ -34,7 +34,7 @@
 // source is a node that has some chunks of a transfer, or all of them.
 type source struct {
 	address string
-	// notBefore is when it is asked again after it had no chunks to send.
+	// notBefore is when chunks are requested from it again after it had none to send.
 	notBefore time.Time
 }
 
@@ -87,26 +87,26 @@
 	}
 }
 
-// pick returns a random node that may be asked now, or else the time until one may be; found is false if there
-// is no source left.
+// pick returns a random source that requests may be sent to now, or else the time until there is one; found is
+// false if no source is left.
 func (t *transfer) pick(now time.Time) (picked *source, wait time.Duration, found bool) {
 	if len(t.sources) == 0 {
 		return nil, 0, false
 	}
-	var askable []*source
+	var eligible []*source
 	earliest := t.sources[0].notBefore
 	for _, candidate := range t.sources {
 		if !candidate.notBefore.After(now) {
-			askable = append(askable, candidate)
+			eligible = append(eligible, candidate)
 		}
 		if candidate.notBefore.Before(earliest) {
 			earliest = candidate.notBefore
 		}
 	}
-	if len(askable) == 0 {
+	if len(eligible) == 0 {
 		return nil, earliest.Sub(now), true
 	}
-	return askable[rand.IntN(len(askable))], 0, true
+	return eligible[rand.IntN(len(eligible))], 0, true
 }
 
 // batch returns the chunks to request next, at least one and as many as fit into one message.
@@ -126,8 +126,8 @@
 func (t *transfer) addChunks(contents map[chunk.ID][]byte) int {
 	before := len(t.missing)
 	t.missing = slices.DeleteFunc(t.missing, func(reference chunk.Reference) bool {
-		content, came := contents[reference.ID]
-		if !came || len(content) != reference.Length {
+		content, received := contents[reference.ID]
+		if !received || len(content) != reference.Length {
 			return false
 		}
 		t.have[reference.ID] = content
@@ -136,7 +136,7 @@
 	return before - len(t.missing)
 }
 
-// rotate moves the first missing chunks to the end, because the node that was asked lacks them.
+// rotate moves the first missing chunks to the end, because the node from which they were requested lacks them.
 func (t *transfer) rotate(count int) {
 	count = min(count, len(t.missing))
 	t.missing = append(t.missing[count:], t.missing[:count]...)
--- a/antientropy/transfers.go
+++ b/antientropy/transfers.go
@@ -16,11 +16,11 @@
 	// chunksTimeout bounds one call for chunks. They take 26 ms on the slowest link that is supported, and so
 	// 0.8 s where thirty calls share it.
 	chunksTimeout = time.Second
-	// sourceRetryDelay is how long a node that had no chunks to send is not asked again: about the time in
+	// sourceRetryDelay is how long no chunks are requested from a node that had none to send: about the time in
 	// which it receives one more chunk.
 	sourceRetryDelay = 40 * time.Millisecond
 	// behindAfter is how long fetching a version may take before the node logs that it is behind. A
-	// configuration has to be in force 2 to 4 s after its acknowledgement.
+	// configuration has to be active 2 to 4 s after its acknowledgement.
 	behindAfter = 2 * time.Second
 	// stuckAfter is how long no chunk may arrive before the object is read from the store.
 	stuckAfter = 2 * time.Second
@@ -115,7 +115,7 @@
 		next := ts.next(t)
 		switch {
 		case ts.has(t.record):
-			// It has arrived from the store meanwhile, or a newer version has.
+			// The object, or a newer version of it, has arrived in another way, such as from the store.
 			ts.forget(t)
 			return
 		case next.complete:
@@ -231,7 +231,7 @@
 	}
 	stuck := now.Sub(t.progressedAt) > stuckAfter
 	if stuck {
-		// Reading from the store may take as long before it is repeated.
+		// The next read from the store follows after stuckAfter.
 		t.progressedAt = now
 	}
 	ts.mu.Unlock()
--- a/antientropy/wire.go
+++ b/antientropy/wire.go
@@ -78,8 +78,8 @@
 // objects of backends share their field names, and a single one is too short to be worth compressing.
 func (s *Syncer) encodeNewer(records []replica.Record, readsCompressed bool) *peerpb.StoredObjects {
 	if readsCompressed {
-		if answer, fits := s.encodeCompressed(records); fits {
-			return answer
+		if response, fits := s.encodeCompressed(records); fits {
+			return response
 		}
 	}
 	stored, truncated := s.storedObjects(records, maxExchangedBytes)
@@ -88,7 +88,7 @@
 
 // encodeCompressed encodes as many records as may be compressed together. It reports whether this makes them
 // shorter and the result fits into one message.
-func (s *Syncer) encodeCompressed(records []replica.Record) (answer *peerpb.StoredObjects, fits bool) {
+func (s *Syncer) encodeCompressed(records []replica.Record) (response *peerpb.StoredObjects, fits bool) {
 	stored, truncated := s.storedObjects(records, maxCompressedContent)
 	compressed, shorter := compressObjects(stored)
 	if !shorter || len(compressed) > maxExchangedBytes {
