--- a/chunk/chunk_test.go
+++ b/chunk/chunk_test.go
@@ -50,8 +50,8 @@
 	const (
 		length = 2 << 20
 		change = 200
-		// mostChanged counts the chunk that contains the change and its neighbours.
-		mostChanged = 4
+		// maxChanged counts the chunk that contains the change and its neighbours.
+		maxChanged = 4
 	)
 	g := NewWithT(t)
 	content := randomContent(1, length, 64)
@@ -68,7 +68,7 @@
 					differing++
 				}
 			}
-			g.Expect(differing).To(BeNumerically("<=", mostChanged), "%s at %d", name, at)
+			g.Expect(differing).To(BeNumerically("<=", maxChanged), "%s at %d", name, at)
 		}
 	}
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -15,8 +15,8 @@
 
 // refreshInterval is how long the runtime's clock is used between readings of the system clock. A
 // system call for each reading would take a coordinator of 1,800 requests a second 0.5 % of a
-// core; the runtime's clock takes none. For this long after a resume, decisions may use the time
-// before the suspension; leases are checked with Exact.
+// core; the runtime's clock takes none. For this long after the machine resumes, decisions may be
+// based on the time before the suspension; leases are checked with Exact.
 const refreshInterval = 20 * time.Millisecond
 
 // Clock measures the time since a fixed moment, including suspended time. Its times are only
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestSuspendedTimeCounts suspends the machine for five seconds, during which the runtime's clock
-// stops. The time never goes back.
+// stops. The clock must never go back.
 func TestSuspendedTimeCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -39,7 +39,7 @@
 	})
 }
 
-// BenchmarkNow measures a reading: 295 ns with a system call each time, 80 ns with a remembered
+// BenchmarkNow measures a call of Now: 295 ns with a system call each time, 80 ns with a cached
 // reading.
 func BenchmarkNow(b *testing.B) {
 	boot, err := Boot()
