--- a/replica/notify_test.go
+++ b/replica/notify_test.go
@@ -15,7 +15,7 @@
 }
 
 // TestSlowChangeDoesNotBlockExchange handles a change slowly, as a weak processor does with a
-// large configuration. Other nodes compare their replicas with this one meanwhile, and would
+// large configuration. Other nodes compare their replicas with this one in the meantime, and would
 // consider the node lost if it did not answer.
 func TestSlowChangeDoesNotBlockExchange(t *testing.T) {
 	g := NewWithT(t)
@@ -39,7 +39,7 @@
 		local.Compare(replica.WholeBuckets([]int{replica.UrgentBucket}), nil)
 	}()
 	g.Eventually(compared).WithTimeout(10 * time.Second).Should(BeClosed())
-	g.Consistently(applied).WithTimeout(10*time.Millisecond).ShouldNot(BeClosed(), "what is applied is in force")
+	g.Consistently(applied).WithTimeout(10*time.Millisecond).ShouldNot(BeClosed(), "Apply returns after the change was handled")
 	close(finish)
 	<-applied
 }
--- a/replica/property_test.go
+++ b/replica/property_test.go
@@ -16,7 +16,7 @@
 
 func ignoreChange(replica.Change) {}
 
-// drawRecords draws a history of a few objects with increasing versions.
+// drawRecords draws successive versions and deletions of a few objects.
 func drawRecords(t *rapid.T) []replica.Record {
 	count := rapid.IntRange(0, 30).Draw(t, "records")
 	records := make([]replica.Record, count)
@@ -41,7 +41,7 @@
 	return replica.WholeBuckets(buckets)
 }
 
-// TestOrderDoesNotMatter applies a history in two orders, one of them with duplicates.
+// TestOrderDoesNotMatter applies the same versions in two orders, one of them with duplicates.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawRecords(t)
@@ -132,7 +132,7 @@
 	// The list says nothing about versions after its revision.
 	g.Expect(names).To(Equal([]string{"kept", "newer"}))
 	local.Apply(replica.SourcePeer, replica.Record{Object: object("old", 1)})
-	g.Expect(local.Live(kind)).To(HaveLen(2), "a late message does not bring it back")
+	g.Expect(local.Live(kind)).To(HaveLen(2), "a late update does not restore a deleted object")
 }
 
 // TestInvalidBucketNumbersAreSkipped asks for buckets that do not exist, and for one bucket twice, as another
@@ -141,9 +141,9 @@
 	g := NewWithT(t)
 	local := replica.New("urgent", ignoreChange)
 	local.Apply(replica.SourceStore, replica.Record{Object: objectapi.Object{Kind: "urgent", Name: "only", Version: 1}})
-	asked := replica.WholeBuckets([]int{-1, replica.UrgentBucket, replica.BucketCount, replica.UrgentBucket})
-	g.Expect(local.Versions(asked)).To(HaveLen(1))
-	here, there := local.Compare(asked, nil)
+	sections := replica.WholeBuckets([]int{-1, replica.UrgentBucket, replica.BucketCount, replica.UrgentBucket})
+	g.Expect(local.Versions(sections)).To(HaveLen(1))
+	here, there := local.Compare(sections, nil)
 	g.Expect(here).To(HaveLen(1))
 	g.Expect(there).To(BeEmpty())
 }
@@ -155,6 +155,6 @@
 	local := replica.New("urgent", ignoreChange)
 	g.Expect(local.PartDigests(-1)).To(BeEmpty())
 	g.Expect(local.PartDigests(replica.BucketCount)).To(BeEmpty())
-	g.Expect(local.DifferingParts(1, make([]uint64, replica.PartCount))).To(BeZero(), "two empty buckets are alike")
+	g.Expect(local.DifferingParts(1, make([]uint64, replica.PartCount))).To(BeZero(), "empty buckets are equal")
 	g.Expect(local.DifferingParts(1, make([]uint64, 3))).To(Equal(replica.AllParts))
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -22,8 +22,8 @@
 const BucketCount = 64
 
 // PartCount is the number of parts of a bucket. Buckets that differ are compared by part before versions
-// are exchanged, so that one difference costs the versions of few objects even where a bucket holds
-// hundreds.
+// are exchanged, so that few versions are exchanged for one difference even where a bucket holds hundreds
+// of objects.
 const PartCount = 32
 
 // PartSet is a bit set of part numbers of a bucket.
@@ -189,8 +189,8 @@
 	return applied
 }
 
-// notify reports all pending changes. mu is not held meanwhile: a weak processor may take longer to apply a
-// large configuration than another node waits for the answer to a comparison.
+// notify reports all pending changes. mu is not held during the calls: a weak processor may take longer to
+// apply a large configuration than another node waits for the response to a comparison.
 func (r *Replica) notify() {
 	r.notifyMu.Lock()
 	defer r.notifyMu.Unlock()
