--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -27,12 +27,12 @@
 	g.Expect(table.IsTerminated(startTime.Add(2*time.Second), "b", 5)).To(BeFalse())
 	g.Expect(table.IsTerminated(startTime.Add(4*time.Second), "b", 5)).To(BeTrue())
 	g.Expect(table.ObserveMember(startTime, member("b", "zone", 6))).To(BeTrue())
-	g.Expect(table.IsTerminated(startTime, "b", 5)).To(BeTrue(), "a later start was seen")
-	g.Expect(table.ObserveMember(startTime, member("b", "zone", 5))).To(BeFalse(), "news of an earlier start")
+	g.Expect(table.IsTerminated(startTime, "b", 5)).To(BeTrue(), "a later start was observed")
+	g.Expect(table.ObserveMember(startTime, member("b", "zone", 5))).To(BeFalse(), "heartbeat of an earlier start")
 }
 
 // TestPauseDoesNotAgeContacts pauses the node itself: the pause must not count
-// as silence of others.
+// as missed heartbeats of others.
 func TestPauseDoesNotAgeContacts(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable("a", "zone")
@@ -54,9 +54,9 @@
 	table.ReplaceZone(startTime, "far", far, 0)
 	g.Expect(table.ObserveDigests(startTime.Add(time.Second), digest)).To(BeEmpty())
 	g.Expect(Names(table.Live(startTime.Add(time.Second)))).To(Equal([]string{"a", "x", "y"}))
-	g.Expect(Names(table.Live(startTime.Add(8*time.Second)))).To(Equal([]string{"a"}), "the zone was not heard of")
+	g.Expect(Names(table.Live(startTime.Add(8*time.Second)))).To(Equal([]string{"a"}), "the zone's report has expired")
 	older := []*peerpb.ZoneDigest{{Zone: "far", Digest: 7, AgeMs: 5000}}
-	g.Expect(table.ObserveDigests(startTime.Add(time.Second), older)).To(BeEmpty(), "an older report does not count")
+	g.Expect(table.ObserveDigests(startTime.Add(time.Second), older)).To(BeEmpty(), "an older report is ignored")
 }
 
 func TestMajority(t *testing.T) {
@@ -73,8 +73,9 @@
 	g.Expect(table.SeesMajority(later)).To(BeTrue())
 }
 
-// TestPairExchangesOnce lets two tables of a zone look for due heartbeats at
-// the same times: one call per interval and pair, whichever node makes it.
+// TestPairExchangesOnce lets two tables of a zone check for due heartbeats at
+// the same times: there must be about one call per interval, whichever node
+// makes it.
 func TestPairExchangesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newTable("a", "zone"), newTable("b", "zone")
--- a/membership/own_zone.go
+++ b/membership/own_zone.go
@@ -6,8 +6,8 @@
 )
 
 // ownZoneView is a node's view of its own zone. It is immutable: it is replaced
-// when a member joins, leaves or changes. Heartbeats that change nothing are
-// most of the work in a large zone, and need not look at the other members.
+// when a member joins, leaves or changes. Most heartbeats in a large zone change
+// nothing, and are handled without looking at the other members.
 type ownZoneView struct {
 	// members are the live members, including the node itself, sorted by name.
 	members []Member
--- a/membership/service.go
+++ b/membership/service.go
@@ -57,8 +57,7 @@
 	}
 }
 
-// ticksPerInterval is how many times per interval due heartbeats are looked
-// for.
+// ticksPerInterval is the number of checks for due heartbeats per interval.
 const ticksPerInterval = 4
 
 // Run exchanges heartbeats until the context ends.
@@ -111,8 +110,8 @@
 }
 
 // joinSeeds contacts the seeds that are not live contacts. Only the
-// representatives of a zone and a node without live contacts do so: the others
-// learn from these.
+// representatives of a zone and a node without live contacts do so: the other
+// nodes learn of other zones from them.
 func (s *Service) joinSeeds(ctx context.Context) {
 	self := s.table.Self()
 	if !s.table.IsRepresentative(s.now()) {
@@ -168,7 +167,7 @@
 	request := &peerpb.Request{Body: &peerpb.Request_FetchZone{FetchZone: &peerpb.FetchZone{Zone: s.table.Self().Zone, Representatives: true}}}
 	response, err := s.caller.Call(ctx, address, request)
 	if err != nil {
-		return // It is asked again after some intervals.
+		return // The request is repeated after zoneDiscoveryIntervals.
 	}
 	s.table.AddHints(s.now(), membersOf(response.GetZoneView()))
 }
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// retryIntervals is the number of intervals between attempts to contact a
-// silent node.
+// retryIntervals is the number of intervals between attempts to contact an
+// unresponsive node.
 const retryIntervals = 4
 
 // Target is a node to exchange a heartbeat with.
@@ -24,8 +24,8 @@
 // Targets returns the nodes whose heartbeat is due, and records the attempt to
 // contact them.
 //
-// Of each pair in a zone the node with the lower name calls; the other one
-// calls only if it has had no heartbeat for longer.
+// In each pair of a zone the node with the lower name calls; the other one calls
+// only if it has received no heartbeat for half an interval longer.
 func (t *Table) Targets(now time.Time) []Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
