--- a/peer/client.go
+++ b/peer/client.go
@@ -47,7 +47,7 @@
 
 // The lanes.
 const (
-	// LaneControl carries short calls, by which nodes detect that others are live.
+	// LaneControl carries short calls, by which nodes detect which others are live.
 	LaneControl Lane = "control"
 	// LaneBulk carries calls with long contents.
 	LaneBulk Lane = "bulk"
@@ -93,8 +93,8 @@
 	c.observe(CallSize{Address: address, Kind: string(kind.Name()), Sent: proto.Size(request), Received: proto.Size(response)})
 }
 
-// Call sends a short request to the node at address. An error of type *api.Error is the receiver's answer; any
-// other error leaves it unknown whether the call took effect, except ErrNotSent.
+// Call sends a short request to the node at address. An error of type *api.Error is the receiver's response; any
+// other error except ErrNotSent leaves it unknown whether the call took effect.
 func (c *Client) Call(ctx context.Context, address string, request *peerpb.Request) (*peerpb.Response, error) {
 	return c.CallOn(ctx, LaneControl, address, request)
 }
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -26,30 +26,30 @@
 	goldenDepth = 4
 )
 
-// goldenMessage is one kind of call or answer: a request or a response with one body.
+// goldenMessage is one kind of message: a request or a response with one kind of body.
 type goldenMessage struct {
-	name string
-	body protoreflect.FieldDescriptor
-	of   proto.Message
+	name  string
+	body  protoreflect.FieldDescriptor
+	empty proto.Message
 }
 
 // goldenMessages returns an empty message for each kind of body of requests and responses.
 func goldenMessages() []goldenMessage {
 	var all []goldenMessage
-	for _, of := range []proto.Message{&peerpb.Request{}, &peerpb.Response{}} {
-		bodies := of.ProtoReflect().Descriptor().Oneofs().ByName("body").Fields()
+	for _, empty := range []proto.Message{&peerpb.Request{}, &peerpb.Response{}} {
+		bodies := empty.ProtoReflect().Descriptor().Oneofs().ByName("body").Fields()
 		for i := range bodies.Len() {
-			name := fmt.Sprintf("%s.%s", of.ProtoReflect().Descriptor().Name(), bodies.Get(i).Name())
-			all = append(all, goldenMessage{name, bodies.Get(i), of.ProtoReflect().New().Interface()})
+			name := fmt.Sprintf("%s.%s", empty.ProtoReflect().Descriptor().Name(), bodies.Get(i).Name())
+			all = append(all, goldenMessage{name, bodies.Get(i), empty.ProtoReflect().New().Interface()})
 		}
 	}
 	return all
 }
 
-// filled returns the message with each field set to a value derived from the field's name: a field that
-// changes its number, type or name reads as another value, or as none.
+// filled returns the message with each field set to a value derived from the field's name: a field whose
+// number, type or name has changed is decoded with another value, or with none.
 func (g goldenMessage) filled() proto.Message {
-	message := proto.Clone(g.of)
+	message := proto.Clone(g.empty)
 	reflected := message.ProtoReflect()
 	body := reflected.NewField(g.body)
 	fill(body.Message(), goldenDepth)
@@ -148,7 +148,7 @@
 			continue
 		}
 		delete(written, kind.name)
-		read := proto.Clone(kind.of)
+		read := proto.Clone(kind.empty)
 		if err := proto.Unmarshal(encoded, read); err != nil {
 			t.Errorf("%s: %v", kind.name, err)
 			continue
@@ -221,11 +221,11 @@
 		if proto.Unmarshal(encoded, &first) != nil {
 			return
 		}
-		again, err := proto.Marshal(&first)
+		reencoded, err := proto.Marshal(&first)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := proto.Unmarshal(again, &second); err != nil || !proto.Equal(&first, &second) {
+		if err := proto.Unmarshal(reencoded, &second); err != nil || !proto.Equal(&first, &second) {
 			t.Fatalf("message changed when encoded and decoded again: %v", err)
 		}
 	})
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -247,9 +247,9 @@
 	<-entered
 	client.CloseIdle(0)
 	close(leave)
-	g.Expect(<-result).To(Succeed(), "a session in use stays")
+	g.Expect(<-result).To(Succeed(), "a session with a call in progress stays open")
 	client.CloseIdle(time.Hour)
-	g.Expect(client.lookup(sessionKey{address, LaneControl})).NotTo(BeNil(), "one used lately stays")
+	g.Expect(client.lookup(sessionKey{address, LaneControl})).NotTo(BeNil(), "a recently used session stays open")
 	first := client.lookup(sessionKey{address, LaneControl})
 	client.CloseIdle(0)
 	g.Expect(first.mux.IsClosed()).To(BeTrue())
--- a/peer/server.go
+++ b/peer/server.go
@@ -151,5 +151,5 @@
 	s.done.Wait()
 }
 
-// ErrUnknownCall is the answer to a request with an unknown body.
+// ErrUnknownCall is the response to a request with an unknown body.
 var ErrUnknownCall = api.NewError(http.StatusBadRequest, api.CodeInvalidRequest, api.OutcomeNotRun, "unknown call")
--- a/peer/session.go
+++ b/peer/session.go
@@ -22,10 +22,10 @@
 	streamReadBuffer = 512
 	// writeTimeout closes a session whose peer does not read.
 	writeTimeout = 5 * time.Second
-	// suspectAfter is how long after the last answer a session is suspect: an established connection may fail
-	// without a reset while new ones work.
+	// suspectAfter is how long after the last response a session is suspect: an established connection may stop
+	// delivering permanently, without a reset, while new ones work.
 	suspectAfter = 2 * time.Second
-	// pingTimeout bounds the wait for a ping's answer. It equals the timeout of an anti-entropy comparison.
+	// pingTimeout bounds the wait for the response to a ping. It equals the timeout of an anti-entropy comparison.
 	pingTimeout = 300 * time.Millisecond
 )
 
@@ -59,8 +59,8 @@
 	// calls counts the calls in progress; usedAt is when the last one began or ended.
 	calls  int
 	usedAt time.Time
-	// lastAnswer is when the other node last answered on this session.
-	lastAnswer time.Time
+	// lastResponse is when the other node last answered on this session.
+	lastResponse time.Time
 }
 
 func newClientSession(conn net.Conn) (*clientSession, error) {
@@ -69,7 +69,7 @@
 		return nil, errors.Wrap(err, "open session")
 	}
 	now := time.Now()
-	return &clientSession{mux: mux, openedAt: now, usedAt: now, lastAnswer: now}, nil
+	return &clientSession{mux: mux, openedAt: now, usedAt: now, lastResponse: now}, nil
 }
 
 func (s *clientSession) takeStream() (*stream, error) {
@@ -136,19 +136,19 @@
 	return time.Since(s.usedAt)
 }
 
-// noteAnswer records that the other node has answered.
-func (s *clientSession) noteAnswer() {
+// noteResponse records that the other node has answered.
+func (s *clientSession) noteResponse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastAnswer = time.Now()
+	s.lastResponse = time.Now()
 }
 
-// isSuspect reports whether the session must be checked before long contents are sent on it. During calls their
-// own timeouts apply.
+// isSuspect reports whether the session must be checked before long contents are sent on it. While calls are in
+// progress it need not be: their timeouts detect a failed connection.
 func (s *clientSession) isSuspect() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls == 0 && time.Since(s.lastAnswer) > suspectAfter
+	return s.calls == 0 && time.Since(s.lastResponse) > suspectAfter
 }
 
 // answersPing reports whether the other node answers a ping in time.
@@ -163,7 +163,7 @@
 	select {
 	case err := <-answered:
 		if err == nil {
-			s.noteAnswer()
+			s.noteResponse()
 		}
 		return err == nil
 	case <-timer.C:
@@ -214,7 +214,7 @@
 		_ = taken.Close()
 		return nil, err
 	}
-	s.noteAnswer()
+	s.noteResponse()
 	s.putStream(taken)
 	return response, nil
 }
