--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -168,7 +168,8 @@
 // CallOwnerOrSuccessor sends a request to the owner of a key and, if it does
 // not answer in time, to its successor. It is meant for calls that any node can
 // serve and that go to the owner only by convention. The request is built for
-// each attempt, numbered from zero. It returns the node that answered.
+// each attempt; attempts are numbered from zero. It returns the node that
+// answered.
 func (c *Cluster) CallOwnerOrSuccessor(ctx context.Context, key string, timeout time.Duration, build func(attempt int) *peerpb.Request) (*peerpb.Response, membership.Member, error) {
 	var last error = ErrNoOwner
 	for attempt, member := range c.ranked("", key, successorAttempts) {
