--- a/configuration/holder.go
+++ b/configuration/holder.go
@@ -17,8 +17,7 @@
 // FetchPart fetches a part by its digest.
 type FetchPart func(ctx context.Context, digest string) ([]byte, error)
 
-// Holder holds the configuration in force at a node. Its version never decreases. It is safe for concurrent
-// use.
+// Holder holds the active configuration of a node. Its version never decreases. It is safe for concurrent use.
 type Holder struct {
 	// advancing is a semaphore with one token, so that one version is fetched at a time.
 	advancing chan struct{}
@@ -41,7 +40,7 @@
 	h.changed = append(h.changed, call)
 }
 
-// Current returns the configuration in force.
+// Current returns the active configuration.
 func (h *Holder) Current() *Snapshot {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,8 +61,8 @@
 	decoded *api.Configuration
 }
 
-// Advance puts a newer head in force, and calls fetch for missing parts. An older or equal head changes
-// nothing.
+// Advance makes the configuration of a newer head active, and calls fetch for missing parts. An older or equal
+// head changes nothing.
 func (h *Holder) Advance(ctx context.Context, head Head, fetch FetchPart) error {
 	select {
 	case h.advancing <- struct{}{}:
--- a/configuration/property_test.go
+++ b/configuration/property_test.go
@@ -35,8 +35,8 @@
 }
 
 // oneWinnerAVersion runs concurrent changes against a platform that rejects calls and loses responses: each
-// version has at most one change that was reported as accepted, versions increase one by one, and the version
-// of a holder that follows never decreases.
+// version must have at most one change that was reported as accepted, versions must increase one by one, and the
+// version of a holder that follows the head must never decrease.
 func oneWinnerAVersion(outer *testing.T) func(*rapid.T) {
 	return func(t *rapid.T) {
 		changes := rapid.SliceOfN(rapid.Custom(drawChange), 2, 15).Draw(t, "changes")
@@ -119,7 +119,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) { rapid.MakeFuzz(oneWinnerAVersion(t))(t, data) })
 }
 
-func TestConflictNamesWhatMoved(t *testing.T) {
+func TestConflictListsChangedObjects(t *testing.T) {
 	store := platformsim.NewStore(platformsim.Options{})
 	ctx := context.Background()
 	if _, err := Publish(ctx, store, 0, "first", []string{"tenants/a"}, api.Configuration{}); err != nil {
--- a/configuration/snapshot.go
+++ b/configuration/snapshot.go
@@ -17,7 +17,7 @@
 }
 
 // Snapshot is one version of the configuration with its indexes. It is immutable. Versions share the decoded
-// parts that they have in common: the tenants of a large fleet are in memory once, and not once for each
+// parts that they have in common, so that the tenants of a large fleet are in memory once and not once per
 // version.
 type Snapshot struct {
 	Head Head
@@ -82,8 +82,8 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// TenantByToken returns the tenant of a bearer token. The lookup uses the token's digest, so its timing reveals
-// nothing about a stored token, and the digests are then compared in constant time.
+// TenantByToken returns the tenant of a bearer token. The lookup uses the token's digest, so that its timing
+// reveals nothing about stored tokens. The digests are then compared in constant time.
 func (s *Snapshot) TenantByToken(token string) (*api.Tenant, bool) {
 	digest := HashToken(token)
 	tenant, ok := s.tokens[digest]
--- a/configuration/syncer.go
+++ b/configuration/syncer.go
@@ -179,7 +179,7 @@
 	return s.confirmed && s.holder.Current().Version() >= s.newest
 }
 
-// Observe processes the version that a heartbeat's sender has in force, and fetches it if it is newer.
+// Observe processes the version that is active at a heartbeat's sender, and fetches it if it is newer.
 func (s *Syncer) Observe(address string, version uint64) {
 	s.noteVersion(version)
 	if version <= s.holder.Current().Version() {
@@ -231,7 +231,7 @@
 	s.confirmFromPeer(head.Version)
 }
 
-// fromPeer fetches parts from a peer, and from the platform if the peer has replaced them meanwhile.
+// fromPeer fetches parts from a peer, and from the platform if the peer no longer has them.
 func (s *Syncer) fromPeer(address string) FetchPart {
 	return func(ctx context.Context, digest string) ([]byte, error) {
 		data, err := s.partFrom(ctx, address, digest)
