--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -81,14 +81,14 @@
 	g.Expect(<-ended).To(HaveOccurred())
 }
 
-// TestModifyResolvesLostReplies sets a counter with a Mutate that recognizes its own change.
-func TestModifyResolvesLostReplies(t *testing.T) {
+// TestModifyResolvesLostResponses sets a counter with a Mutate that recognizes its own change.
+func TestModifyResolvesLostResponses(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, platformsim.Options{})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	for number := range 4 {
-		// The replies of the read, and then of the write, are lost.
+		// The responses to the read, and then to the write, are lost.
 		f.faults.Set(fault.Faults{LostReplies: number})
 		wanted, err := json.Marshal(number)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/objectapi/follow.go
+++ b/objectapi/listwatch.go
@@ -16,8 +16,8 @@
 	Apply(event Event)
 	// StoreAnswered is called with nil after each response of the store, and with the error of each failed call.
 	StoreAnswered(err error)
-	// PageListed is called after each page of a list except the last. It may block until the context ends, since
-	// the remaining objects may become known by other means.
+	// PageListed is called after each page of a list except the last. It may block, up to the end of the context, to
+	// delay the next page: the remaining objects may become known by other means.
 	PageListed(ctx context.Context, page []Object)
 	// BeforeWatch is called after Replace, before the first watch from that list. It may block until
 	// the context ends; the handler then works with the list alone.
--- a/objectapi/modify.go
+++ b/objectapi/modify.go
@@ -16,7 +16,7 @@
 	// Mutate receives the current value (nil if the object does not exist) and
 	// returns the new one. A nil result without an error means that the object
 	// already has the desired value, either from the start or because an earlier
-	// attempt took effect although its reply was lost; nothing is written then.
+	// attempt took effect although its response was lost; nothing is written then.
 	// Mutate runs again after a conflict and after a call whose effect is unknown.
 	Mutate func(current json.RawMessage) (json.RawMessage, error)
 }
@@ -29,8 +29,8 @@
 
 // Modify reads, changes and conditionally writes an object until the change has
 // been made, Mutate fails, or the context ends. It returns the object that
-// contains the change. Since a lost reply leads to another read, Mutate must
-// recognize its own change.
+// contains the change. Since the object is read again after a lost response,
+// Mutate must recognize its own change.
 func Modify(ctx context.Context, store Store, change Change) (Object, error) {
 	var result Object
 	attempt := func() error {
--- a/objectapi/pages_test.go
+++ b/objectapi/pages_test.go
@@ -25,11 +25,11 @@
 // discardHandler discards all objects and keeps the last error.
 type discardHandler struct{ lastErr error }
 
-func (f *discardHandler) Replace([]Object, int64)              {}
-func (f *discardHandler) Apply(Event)                          {}
-func (f *discardHandler) StoreAnswered(err error)              { f.lastErr = err }
-func (f *discardHandler) PageListed(context.Context, []Object) {}
-func (f *discardHandler) BeforeWatch(context.Context)          {}
+func (h *discardHandler) Replace([]Object, int64)              {}
+func (h *discardHandler) Apply(Event)                          {}
+func (h *discardHandler) StoreAnswered(err error)              { h.lastErr = err }
+func (h *discardHandler) PageListed(context.Context, []Object) {}
+func (h *discardHandler) BeforeWatch(context.Context)          {}
 
 // TestEndlessListIsAborted lists a store that always reports another page.
 func TestEndlessListIsAborted(t *testing.T) {
--- a/objectapi/store.go
+++ b/objectapi/store.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors that state that the call did not take effect. After any other error of a
+// Errors after which the call certainly had no effect. After any other error of a
 // write, its effect is unknown.
 var (
 	ErrNotFound  = errors.New("objectapi: object not found")
@@ -17,8 +17,8 @@
 	ErrTooLarge  = errors.New("objectapi: value too large")
 )
 
-// ErrUnavailable means that the platform did not respond. The effect of a write is
-// unknown.
+// ErrUnavailable means that the platform did not respond, or not as expected. The
+// effect of a write is unknown.
 var ErrUnavailable = errors.New("objectapi: unavailable")
 
 // MaxValueBytes is the size limit of a value at the platform.
