--- a/placement/rendezvous_test.go
+++ b/placement/rendezvous_test.go
@@ -22,7 +22,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := members(rapid.IntRange(2, 60).Draw(t, "members"))
 		key := rapid.String().Draw(t, "key")
-		removed := rapid.IntRange(0, len(all)-1).Draw(t, "leaver")
+		removed := rapid.IntRange(0, len(all)-1).Draw(t, "removed")
 		before := Top(key, all, 2)
 		if Owner(key, all) != before[0] {
 			t.Fatalf("owner %q, first %q", Owner(key, all), before[0])
