--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -206,7 +206,7 @@
 // failRequests has a backend fail in several ways.
 func (h *harness) failRequests(b *backend, count int) {
 	if b.engine != nil {
-		b.engine.SetFaults(standin.EngineFaults{RejectHandles: count, TruncateAfter: count, Truncations: count, FailPrefills: count, SilentPrefills: 1, LateOrders: 1})
+		b.engine.SetFaults(standin.EngineFaults{RejectHandles: count, TruncateAfter: count, Truncations: count, FailPrefills: count, UnresponsivePrefills: 1, LateOrders: 1})
 		return
 	}
 	b.server.SetFaults(standin.ServerFaults{
