--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -196,7 +196,7 @@
 
 // dropWatches has the store drop its watches and its history while objects change.
 func (h *harness) dropWatches(faultDuration time.Duration) {
-	h.store.SetFaults(standin.StoreFaults{DropWatches: true, DropAnswers: 1})
+	h.store.SetFaults(standin.StoreFaults{DropWatches: true, DropResponses: 1})
 	h.configure()
 	time.Sleep(min(faultDuration, time.Second))
 	h.store.Compact()
