--- a/node/core.go
+++ b/node/core.go
@@ -46,8 +46,8 @@
 	// ResumeWindow is how long the stream of a failed node is kept for another node
 	// to take over.
 	ResumeWindow time.Duration
-	// Scheduler selects the routing policy. The zero value is the policy that
-	// measured best.
+	// Scheduler selects the routing policy. The zero value is the policy with
+	// the best measured results.
 	Scheduler scheduler.Options
 	// ReconcileInterval is the time between two checks of the engines. Default 1s.
 	ReconcileInterval time.Duration
@@ -132,7 +132,7 @@
 
 // assembleSync builds the components that synchronize with the platform and the other nodes.
 func (c *Core) assembleSync() {
-	store := &observedStore{Store: c.options.Store, onAnswer: c.recordPlatformAnswer}
+	store := &observedStore{Store: c.options.Store, onResponse: c.recordPlatformResponse}
 	c.syncer = configuration.NewSyncer(c.Configuration, store, c.Cluster, c.client, c.Metrics, c.options.Now)
 	c.Machines = machines.NewList(c.options.Now)
 	c.members = membership.NewService(membership.ServiceOptions{
@@ -226,7 +226,7 @@
 	return nil
 }
 
-func (c *Core) recordPlatformAnswer() { c.platformAnsweredAt.Store(c.options.Now().UnixNano()) }
+func (c *Core) recordPlatformResponse() { c.platformAnsweredAt.Store(c.options.Now().UnixNano()) }
 
 // status is the status report of a node.
 type status struct {
@@ -250,8 +250,8 @@
 	})
 }
 
-// fillHeartbeat adds the versions of the configuration and the machine list, which peers compare
-// with their own.
+// fillHeartbeat adds the version of the configuration, and the revision and age of the machine list.
+// Peers compare them with their own.
 func (c *Core) fillHeartbeat(heartbeat *peerpb.Heartbeat) {
 	heartbeat.ConfigurationVersion = c.Configuration.Current().Version()
 	heartbeat.MachinesRevision = c.Machines.Revision()
--- a/node/node.go
+++ b/node/node.go
@@ -44,7 +44,7 @@
 	logger         *slog.Logger
 	callerServer   *http.Server
 	operatorServer *http.Server
-	// peerTLS and callerTLS are nil without TLS. Operators are served with callerTLS, too.
+	// peerTLS and callerTLS are nil without TLS. The operators' listener uses callerTLS as well.
 	peerTLS   *tlsfiles.Source
 	callerTLS *tlsfiles.Source
 }
@@ -208,7 +208,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.DrainTimeout)
 	defer cancel()
 	if err := n.callerServer.Shutdown(ctx); err != nil {
-		n.logger.Warn("requests were cut off", "error", err)
+		n.logger.Warn("drain timeout reached with requests in flight; closing their connections", "error", err)
 		_ = n.callerServer.Close()
 	}
 	n.core.Completions.WaitCancels()
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -25,7 +25,7 @@
 	c.quarantineArchive = quarantine.NewArchive(c.options.Store, local, slog.Default(), c.options.Now)
 }
 
-// announceQuarantine sends a request's quarantine status to all live nodes. A node that misses it requests
+// announceQuarantine sends a request's quarantine status to all live nodes. A node that misses the call requests
 // all announcements when another coordinator is chosen, or receives the status at the next crash.
 func (c *Core) announceQuarantine(announcement quarantine.Announcement) {
 	c.Events.Record(timeline.Event{Kind: "request-standing", Detail: announcement.Request.String()})
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// isolationLimit is the greatest age of the platform's last answer at which a
+	// isolationLimit is the maximum age of the platform's last response at which a
 	// node without contact to most of the fleet still accepts new requests. Together
 	// with the time until the loss of contact is detected and a probe of the platform
-	// it stays below the 6 s within which a configuration is in force everywhere.
+	// it stays below the 6 s within which a configuration is active everywhere.
 	isolationLimit = 1500 * time.Millisecond
 	// probeTimeout bounds one probe of the platform.
 	probeTimeout = time.Second
@@ -49,7 +49,7 @@
 
 // reconcileIsolation makes the node reject new requests while it neither is in
 // contact with most of the fleet nor reaches the platform: a newer configuration
-// may be in force elsewhere. An outage of the platform alone does not isolate it.
+// may be active elsewhere. An outage of the platform alone does not isolate it.
 func (c *Core) reconcileIsolation(ctx context.Context) {
 	if c.hasEnoughContact() {
 		c.setIsolated(false)
@@ -58,8 +58,8 @@
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	c.syncer.Probe(probeCtx)
-	answerAge := c.options.Now().UnixNano() - c.platformAnsweredAt.Load()
-	c.setIsolated(answerAge > isolationLimit.Nanoseconds())
+	responseAge := c.options.Now().UnixNano() - c.platformAnsweredAt.Load()
+	c.setIsolated(responseAge > isolationLimit.Nanoseconds())
 }
 
 func (c *Core) setIsolated(isolated bool) {
--- a/node/store.go
+++ b/node/store.go
@@ -10,15 +10,15 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// observedStore calls onAnswer whenever the platform answers a read.
+// observedStore calls onResponse whenever the platform answers a read.
 type observedStore struct {
 	objectapi.Store
-	onAnswer func()
+	onResponse func()
 }
 
 func (s *observedStore) observe(err error) {
 	if err == nil || errors.Is(err, objectapi.ErrNotFound) {
-		s.onAnswer()
+		s.onResponse()
 	}
 }
 
