--- a/settings/router.go
+++ b/settings/router.go
@@ -31,15 +31,14 @@
 	RetryRatio  float64
 	RetryBurst  float64
 	RetryWindow time.Duration
-	// LeaseDuration is the lease duration that engines require: how long they accept orders of one
-	// holder before those of another.
+	// LeaseDuration is the lease duration that engines require: they accept the orders of one holder for
+	// this time before those of another.
 	LeaseDuration time.Duration
-	// QuotaTolerance is by how much a tenant may exceed its limit; zero if the settings leave it
-	// out.
+	// QuotaTolerance is by how much a tenant may exceed its limit; zero if the settings do not state it.
 	QuotaTolerance QuotaTolerance
 }
 
-// QuotaTolerance is by how much the limits of tenants may be exceeded.
+// QuotaTolerance bounds the use of tenants beyond their limits.
 type QuotaTolerance struct {
 	// Window is the time over which use is compared with the limit.
 	Window time.Duration
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -96,9 +96,9 @@
 	flags.BoolVar(&parsed.PlainText, "plain-text", false, "allow connections without TLS")
 	flags.StringVar(&parsed.PeerCertificate, "peer-certificate", "", "PEM file with the node's certificate")
 	flags.StringVar(&parsed.PeerKey, "peer-key", "", "PEM file with the node's key")
-	flags.StringVar(&parsed.PeerAuthority, "peer-authority", "", "PEM file with the authority of all nodes")
-	flags.StringVar(&parsed.CallerCertificate, "caller-certificate", "", "PEM file with the certificate shown to callers and operators")
-	flags.StringVar(&parsed.CallerKey, "caller-key", "", "PEM file with its key")
+	flags.StringVar(&parsed.PeerAuthority, "peer-authority", "", "PEM file with the certificate authority of all nodes")
+	flags.StringVar(&parsed.CallerCertificate, "caller-certificate", "", "PEM file with the certificate presented to callers and operators")
+	flags.StringVar(&parsed.CallerKey, "caller-key", "", "PEM file with the key of the callers' certificate")
 	flags.Int64Var(&parsed.MaxBodyBytes, "max-body-bytes", defaultMaxBodyBytes, "largest request body in bytes")
 	flags.DurationVar(&parsed.DrainDelay, "drain-delay", defaultDrainDelay, "time between becoming unready and closing the listeners")
 	flags.DurationVar(&parsed.DrainTimeout, "drain-timeout", defaultDrainTimeout, "longest wait for requests in flight at a planned stop")
@@ -143,7 +143,7 @@
 		findings.Addf(place("resume-window"), "must be above zero")
 	}
 	if s.DrainDelay < 0 || s.DrainTimeout <= 0 {
-		findings.Addf(place("drain-timeout"), "drain times must not be negative, and the timeout above zero")
+		findings.Addf(place("drain-timeout"), "the drain delay must not be negative, and the drain timeout must be above zero")
 	}
 	return findings
 }
@@ -171,7 +171,7 @@
 	}
 	for _, file := range files {
 		if file.path == "" && !s.PlainText {
-			findings.Addf(place(file.name), "is needed unless -plain-text is set")
+			findings.Addf(place(file.name), "is required unless -plain-text is set")
 			continue
 		}
 		if file.path == "" {
