--- a/cmd/reelrun-router/main.go
+++ b/cmd/reelrun-router/main.go
@@ -46,7 +46,7 @@
 func run(arguments []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// Registered first and kept until the process ends, so that a hangup during start or stop
+	// Registered first and kept until the process ends, so that a SIGHUP during start or stop
 	// does not terminate it.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -88,14 +88,14 @@
 	return 0
 }
 
-// flagValues are the values of the command line's flags.
+// flagValues holds the values of the command-line flags.
 type flagValues struct {
 	check     bool
 	placement router.Placement
 	keepRoles bool
 }
 
-// parseFlags parses the command line. The flag package prints errors.
+// parseFlags parses the command line. The flag package prints its errors.
 func parseFlags(arguments []string) (flagValues, error) {
 	var values flagValues
 	flags := flag.NewFlagSet("reelrun-router", flag.ContinueOnError)
@@ -105,7 +105,7 @@
 	}
 	flags.BoolVar(&values.check, "check", false, "check the settings file and exit")
 	flags.StringVar((*string)(&values.placement), "placement", string(router.PlacementCoordinator),
-		"who chooses engines: coordinator (one node a service), or reservation (each node asks the engines)")
+		"how engines are chosen: coordinator (by one node per service), or reservation (each node asks the engines)")
 	flags.BoolVar(&values.keepRoles, "keep-roles", false, "leave the roles of engines as they are")
 	return values, flags.Parse(arguments)
 }
@@ -118,7 +118,7 @@
 		findings.Addf("-placement", "%q is neither coordinator nor reservation", values.placement)
 	}
 	if path == "" {
-		findings.Addf(platform.SettingsVariable, "names no settings file")
+		findings.Addf(platform.SettingsVariable, "is not set")
 		return nil, findingsError(findings)
 	}
 	parsed, found, err := platform.ReadSettings(path)
--- a/cmd/reelrun-sim/compare.go
+++ b/cmd/reelrun-sim/compare.go
@@ -22,14 +22,14 @@
 func compareCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("compare", flag.ContinueOnError)
 	options := model.Options{Parameters: model.DefaultParameters()}
-	flags.StringVar(&options.Workload, "workload", "fisio-xela", "fisio-xela, amrc or fleet; "+strings.Join(sitemodel.Sites(), " or ")+" for the engines of the users' sites")
+	flags.StringVar(&options.Workload, "workload", "fisio-xela", "fisio-xela, amrc or fleet; "+strings.Join(sitemodel.Sites(), " or ")+" for the engines of the supported deployments")
 	flags.Uint64Var(&options.Seed, "seed", 1, "first seed")
 	seeds := flags.Int("seeds", 1, "number of seeds, from the first one up")
 	flags.Float64Var(&options.Load, "load", 1, "offered load; 1 fills the decode pool on average")
 	policy := flags.String("policy", "all", "a policy, all, or ablations")
 	flags.DurationVar(&options.Length, "length", 120*time.Second, "virtual time over which requests arrive")
-	flags.BoolVar(&options.Flood, "flood", false, "add a tenant that floods")
-	flags.BoolVar(&options.Fail, "fail", false, "take a decode engine away at the peak")
+	flags.BoolVar(&options.Flood, "flood", false, "add a tenant that floods the fleet with requests")
+	flags.BoolVar(&options.Fail, "fail", false, "remove a decode engine at peak load")
 	format := flags.String("format", "table", "table or json")
 	check := flags.Bool("check", false, "compare the model with stand-in engines behind real nodes on one trace, in real time")
 	plot := flags.String("plot", "", "folder for plots over a load sweep, instead of one load")
--- a/cmd/reelrun-sim/hollow.go
+++ b/cmd/reelrun-sim/hollow.go
@@ -21,16 +21,16 @@
 	var options hollow.Options
 	flags.IntVar(&options.Nodes, "nodes", 8, "number of nodes, rounded up to the same number in each zone")
 	flags.IntVar(&options.Zones, "zones", 2, "number of zones")
-	flags.IntVar(&options.Servers, "servers", 16, "number of engines, about")
+	flags.IntVar(&options.Servers, "servers", 16, "approximate number of engines")
 	flags.IntVar(&options.Tenants, "tenants", 250, "number of tenants")
 	flags.IntVar(&options.Models, "models", 1, "number of models")
 	flags.DurationVar(&options.Window, "window", 10*time.Second, "time for which the settled fleet is measured")
-	flags.IntVar(&options.Trials, "trials", 5, "configuration changes and deaths for each figure")
-	memory := flags.Int64("memory-limit", 10<<30, "bytes from which the garbage collector works harder")
-	series := flags.String("series", "", "numbers of nodes to measure one after the other, with the users' other figures in proportion")
+	flags.IntVar(&options.Trials, "trials", 5, "configuration changes and node failures for each figure")
+	memory := flags.Int64("memory-limit", 10<<30, "soft memory limit of the Go runtime in bytes")
+	series := flags.String("series", "", "numbers of nodes to measure one after the other, with engines, tenants and models in proportion")
 	out := flags.String("out", "out", "folder for the results of a series")
-	flags.BoolVar(&options.Failures, "failures", false, "also measure churn, a cut zone, deaths and the loss of a zone")
-	flags.DurationVar(&options.PartitionDuration, "parting", 0, "also measure two regions that lose each other for this time")
+	flags.BoolVar(&options.Failures, "failures", false, "also measure churn, an isolated zone, node failures and the loss of a zone")
+	flags.DurationVar(&options.PartitionDuration, "parting", 0, "also measure a partition between two regions that lasts for this time")
 	flags.IntVar(&options.Restarts, "restarts", 0, "also measure this number of restarts under load")
 	return &ffcli.Command{
 		Name: "hollow", ShortUsage: "reelrun-sim hollow [flags]", ShortHelp: "Measure a fleet of hollow nodes in one process.", FlagSet: flags,
--- a/cmd/reelrun-sim/load.go
+++ b/cmd/reelrun-sim/load.go
@@ -16,23 +16,23 @@
 	"github.com/reelrun/reelrun/tlsfiles"
 )
 
-// errViolations is returned if answers violated guarantees, so that the command exits with a failure.
-var errViolations = errors.New("answers violated guarantees")
+// errViolations is returned if responses violated guarantees, so that the command exits with a failure.
+var errViolations = errors.New("responses violated guarantees")
 
 func loadCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("load", flag.ContinueOnError)
 	nodes := flags.String("nodes", "", "callers' addresses of the nodes, separated by commas; https:// before an address means TLS")
-	authority := flags.String("authority", "", "PEM file with the authority of the nodes' certificates; default those of the machine")
+	authority := flags.String("authority", "", "PEM file with the authority of the nodes' certificates; default: the authorities of the system")
 	workloads := flags.String("workloads", "", "workload files, separated by commas")
 	engines := flags.String("engines", "", "addresses of the stand-in engines, for their ledgers")
 	services := flags.String("services", "", "addresses of the stand-in services, for their ledgers")
 	requests := flags.Int("requests", 600, "number of requests")
-	rate := flags.Float64("rate", 40, "requests a second")
+	rate := flags.Float64("rate", 40, "requests per second")
 	seed := flags.Uint64("seed", 1, "seed of arrivals, kinds and prompts")
-	settle := flags.Duration("settle", 3*time.Second, "time after the last answer until the ledgers are read")
+	settle := flags.Duration("settle", 3*time.Second, "time after the last response until the ledgers are read")
 	report := flags.String("report", "", "file for the verdict as JSON")
 	return &ffcli.Command{
-		Name: "load", ShortUsage: "reelrun-sim load [flags]", ShortHelp: "Send a workload and judge the answers.", FlagSet: flags,
+		Name: "load", ShortUsage: "reelrun-sim load [flags]", ShortHelp: "Send a workload and verify the responses.", FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			workload, err := load.Read(split(*workloads)...)
 			if err != nil {
--- a/cmd/reelrun-sim/standins.go
+++ b/cmd/reelrun-sim/standins.go
@@ -20,7 +20,7 @@
 
 const stopTimeout = 2 * time.Second
 
-// serve serves the handler, with injectable faults, until the context ends.
+// serve serves the handler, with injectable faults, until the context is done.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -36,9 +36,9 @@
 		return err
 	case <-ctx.Done():
 	}
-	stopping, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	if err := server.Shutdown(stopping); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		return server.Close()
 	}
 	return nil
@@ -47,10 +47,10 @@
 func platformCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("platform", flag.ContinueOnError)
 	address := flags.String("address", "127.0.0.1:7000", "address to listen on")
-	writes := flags.Float64("writes", 300, "writes a second")
-	reads := flags.Float64("reads", 2000, "reads a second, a waiting watch counted as one")
+	writes := flags.Float64("writes", 300, "writes per second")
+	reads := flags.Float64("reads", 2000, "reads per second; a waiting watch counts as one")
 	lag := flags.Duration("machine-lag", time.Second, "lag of the machine list")
-	weightRate := flags.Float64("weight-rate", 4<<20, "bytes a second of the weight store")
+	weightRate := flags.Float64("weight-rate", 4<<20, "bandwidth of the weight store in bytes per second")
 	weightBytes := flags.Int("weight-bytes", 1<<20, "bytes of a model's weights")
 	return &ffcli.Command{
 		Name: "platform", ShortUsage: "reelrun-sim platform [flags]", ShortHelp: "Stand in for the platform.", FlagSet: flags,
@@ -67,20 +67,20 @@
 	platformAddress := flags.String("platform", "127.0.0.1:7000", "address of the platform, for its weight store")
 	var options enginesim.Options
 	flags.StringVar(&options.Name, "name", "engine", "name of the engine")
-	flags.StringVar(&options.Model, "model", "model", "model it holds")
+	flags.StringVar(&options.Model, "model", "model", "model that the engine serves")
 	role := flags.String("role", "prefill", "prefill or decode")
-	flags.IntVar(&options.Slots, "slots", api.DefaultSlots, "requests decoded at once")
+	flags.IntVar(&options.Slots, "slots", api.DefaultSlots, "requests decoded concurrently")
 	flags.IntVar(&options.KVTokens, "kv-tokens", api.DefaultKVTokens, "KV-cache memory in tokens")
-	flags.Float64Var(&options.PrefillTokensPerSecond, "prefill-rate", api.DefaultPrefillTokensPerSecond, "prefill tokens a second")
+	flags.Float64Var(&options.PrefillTokensPerSecond, "prefill-rate", api.DefaultPrefillTokensPerSecond, "prefill tokens per second")
 	flags.DurationVar(&options.StepTime, "step", api.DefaultStepTime, "time between tokens with a full batch")
-	flags.Float64Var(&options.LinkTokensPerSecond, "link-rate", api.DefaultLinkTokensPerSecond, "KV tokens exported a second")
+	flags.Float64Var(&options.LinkTokensPerSecond, "link-rate", api.DefaultLinkTokensPerSecond, "KV tokens exported per second")
 	flags.DurationVar(&options.Hold, "hold", api.DefaultHold, "time for which a prefill result is kept")
 	flags.DurationVar(&options.StreamRetention, "linger", 5*time.Second, "time for which an ended stream can be read again")
 	flags.DurationVar(&options.LoadLag, "load-lag", 500*time.Millisecond, "age of load reports")
-	flags.BoolVar(&options.ChecksFence, "checks-fence", false, "reject orders with a stale fence")
+	flags.BoolVar(&options.ChecksFence, "checks-fence", false, "reject orders with a stale fencing token")
 	flags.IntVar(&options.CacheBlocks, "cache-blocks", 4096, "blocks of the prefix cache")
 	flags.DurationVar(&options.CacheDelay, "cache-delay", time.Second, "delay of cache events")
-	flags.Uint64Var(&options.CacheGapEvery, "cache-gap-every", 17, "leave out each event with a number divisible by this; 0 for none")
+	flags.Uint64Var(&options.CacheGapEvery, "cache-gap-every", 17, "omit each cache event whose number is divisible by this; 0 omits none")
 	return &ffcli.Command{
 		Name: "engine", ShortUsage: "reelrun-sim engine [flags]", ShortHelp: "Stand in for a model engine.", FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
--- a/cmd/reelrunctl/account.go
+++ b/cmd/reelrunctl/account.go
@@ -13,7 +13,7 @@
 // accountCommand reads logs and calls no node.
 func accountCommand(shared *command) *ffcli.Command {
 	flags := flag.NewFlagSet("account", flag.ContinueOnError)
-	plotFile := flags.String("plot", "", "file for a picture of the time, svg or png; default none")
+	plotFile := flags.String("plot", "", "file for a plot over time, svg or png; default none")
 	return &ffcli.Command{
 		Name:       "account",
 		ShortUsage: "reelrunctl account [-plot FILE] [LOG ...]",
--- a/cmd/reelrunctl/main.go
+++ b/cmd/reelrunctl/main.go
@@ -59,7 +59,7 @@
 	flags.SetOutput(errOut)
 	flags.StringVar(&shared.node, "node", "http://127.0.0.1:7301", "operators' address of any node")
 	flags.StringVar(&shared.token, "token", "", "operators' token")
-	authority := flags.String("authority", "", "PEM file with the authority of the node's certificate; default those of the machine")
+	authority := flags.String("authority", "", "PEM file with the authority of the node's certificate; default: the authorities of the system")
 	flags.StringVar(&shared.output, "output", "table", "table or json")
 	root := &ffcli.Command{
 		ShortUsage: "reelrunctl [flags] <subcommand>",
--- a/cmd/reelrunctl/show.go
+++ b/cmd/reelrunctl/show.go
@@ -64,7 +64,7 @@
 
 func getCommand(shared *command) *ffcli.Command {
 	return &ffcli.Command{
-		Name: "get", ShortUsage: "reelrunctl get [tenants|classes|pools|services|engines]", ShortHelp: "Show the configuration in force.",
+		Name: "get", ShortUsage: "reelrunctl get [tenants|classes|pools|services|engines]", ShortHelp: "Show the active configuration.",
 		Exec: func(ctx context.Context, kinds []string) error {
 			current, err := shared.client().Configuration(ctx)
 			if err != nil {
@@ -190,9 +190,9 @@
 	}
 }
 
-// withProcesses adds the events of processes that are not nodes.
+// withProcesses adds the events of other processes than nodes, such as stand-ins.
 func withProcesses(ctx context.Context, events []timeline.Event, selected timeline.Filter, list string) ([]timeline.Event, error) {
-	rings := [][]timeline.Event{events}
+	eventLists := [][]timeline.Event{events}
 	for address := range strings.SplitSeq(list, ",") {
 		if address == "" {
 			continue
@@ -201,9 +201,9 @@
 		if err != nil {
 			return nil, err
 		}
-		rings = append(rings, slices.DeleteFunc(added, func(event timeline.Event) bool { return !selected.Matches(event) }))
+		eventLists = append(eventLists, slices.DeleteFunc(added, func(event timeline.Event) bool { return !selected.Matches(event) }))
 	}
-	return timeline.Merge(rings...), nil
+	return timeline.Merge(eventLists...), nil
 }
 
 func fetchEvents(ctx context.Context, address string) ([]timeline.Event, error) {
