--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -196,7 +196,7 @@
 
 // dropWatches has the store drop its watches and its history while objects change.
 func (h *harness) dropWatches(faultDuration time.Duration) {
-	h.store.SetFaults(standin.StoreFaults{DropWatches: true, DropAnswers: 1})
+	h.store.SetFaults(standin.StoreFaults{DropWatches: true, DropResponses: 1})
 	h.configure()
 	time.Sleep(min(faultDuration, time.Second))
 	h.store.Compact()
@@ -206,11 +206,11 @@
 // failRequests has a backend fail in several ways.
 func (h *harness) failRequests(b *backend, count int) {
 	if b.engine != nil {
-		b.engine.SetFaults(standin.EngineFaults{RefuseHandles: count, TruncateAfter: count, Truncations: count, FailPrefills: count, SilentPrefills: 1, LateOrders: 1})
+		b.engine.SetFaults(standin.EngineFaults{RejectHandles: count, TruncateAfter: count, Truncations: count, FailPrefills: count, UnresponsivePrefills: 1, LateOrders: 1})
 		return
 	}
 	b.server.SetFaults(standin.ServerFaults{
-		Fail: count, Reject: count, Unavailable: 1, Truncate: count, Drop: count, Misattribute: 1, Unsigned: 1, Silent: 1,
+		Fail: count, Reject: count, Unavailable: 1, Truncate: count, Drop: count, Misattribute: 1, Unsigned: 1, Unresponsive: 1,
 	})
 }
 
