--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -43,8 +43,8 @@
 				now += 50 * time.Millisecond
 				submit(number)
 				number++
-				if made, ok := pool.scheduleOne(now); ok && made.Kind == KindPrefill {
-					pool.Finished(now, made.RequestID, 10)
+				if decision, ok := pool.scheduleOne(now); ok && decision.Kind == KindPrefill {
+					pool.Finished(now, decision.RequestID, 10)
 				}
 			}
 		})
--- a/scheduler/decide.go
+++ b/scheduler/decide.go
@@ -11,22 +11,22 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// Decide grants a prefill engine to the request, leaves it waiting, or refuses it. It is
+// Decide grants a prefill engine to the request, leaves it waiting, or rejects it. It is
 // deterministic: the same snapshot and request give the same decision.
 func Decide(snapshot *Snapshot, request *Request, options Options) Decision {
 	options.setDefaults()
 	candidates := prefillCandidates(snapshot, request, &options)
 	if len(candidates) == 0 {
-		return refuse(snapshot, request, ReasonNoEngine)
+		return reject(snapshot, request, ReasonNoEngine)
 	}
 	if !request.IsPrefillOnly() && !canEverDecode(snapshot, request) {
-		return refuseDecode(snapshot, request)
+		return rejectDecode(snapshot, request)
 	}
 	best := pick(snapshot, candidates)
 	firstToken := best.transferEnd + slack(snapshot, request, &options)
 	late := firstToken > request.Deadline()
 	if late && !request.LateAllowed && !options.NoAdmission {
-		return refuse(snapshot, request, ReasonDeadline)
+		return reject(snapshot, request, ReasonDeadline)
 	}
 	backlogged := best.start-snapshot.Now > options.MaxBacklog
 	if backlogged || !hasSlot(snapshot, request, &options, best) {
@@ -76,17 +76,17 @@
 	return freeSlots(snapshot, request, options, best.prefillEnd, ahead) > snapshot.Reserved
 }
 
-func refuseDecode(snapshot *Snapshot, request *Request) Decision {
+func rejectDecode(snapshot *Snapshot, request *Request) Decision {
 	for i := range snapshot.Decode {
 		if snapshot.Decode[i].Ready && !request.excludes(snapshot.Decode[i].Name) {
 			return Decision{Kind: KindReject, RequestID: request.ID, Reason: ReasonTooLarge}
 		}
 	}
-	return refuse(snapshot, request, ReasonNoEngine)
+	return reject(snapshot, request, ReasonNoEngine)
 }
 
-// refuse refuses the request and predicts when the pool will have finished its current work.
-func refuse(snapshot *Snapshot, request *Request, reason Reason) Decision {
+// reject rejects the request and predicts when the pool will have finished its current work.
+func reject(snapshot *Snapshot, request *Request, reason Reason) Decision {
 	after := minRetryAfter
 	if reason == ReasonNoEngine {
 		after = time.Second
@@ -95,7 +95,7 @@
 	return Decision{Kind: KindReject, RequestID: request.ID, Reason: reason, RetryAfter: min(after, maxRetryAfter)}
 }
 
-// drainTime predicts how long the granted and waiting prefills take.
+// drainTime predicts how long the granted and waiting prefills still take.
 func drainTime(snapshot *Snapshot) time.Duration {
 	rate := 0.0
 	var busy []time.Duration
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,5 +1,5 @@
 // Package scheduler decides which engine takes each prefill and each decode,
-// and which request waits or is refused.
+// and which request waits or is rejected.
 //
 // Decide is a pure function of a Snapshot and a Request: it filters the engines
 // that can take the request, scores them by the predicted time of the first
--- a/scheduler/filter.go
+++ b/scheduler/filter.go
@@ -53,8 +53,8 @@
 	if options.NoBatchLimit || interval <= 0 || engine.Step.PerRequest <= 0 {
 		return engine.Slots
 	}
-	left := interval - engine.Step.Time(0, engine.KVUsed)
-	return min(engine.Slots, max(int(left/engine.Step.PerRequest), 0))
+	remaining := interval - engine.Step.Time(0, engine.KVUsed)
+	return min(engine.Slots, max(int(remaining/engine.Step.PerRequest), 0))
 }
 
 // canEverDecode reports whether an idle decode engine could hold the request.
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -40,7 +40,7 @@
 	Ordering    Ordering
 	Reservation Reservation
 	// MaxBacklog is how much prefill work an engine is granted in advance. Default 30ms. Further
-	// work waits in the pool's queue, where it can be reordered or refused without waste.
+	// work waits in the pool's queue, where it can be reordered or rejected without waste.
 	MaxBacklog time.Duration
 	// AheadShare is the share of the expected decode completions on which ReserveAhead relies.
 	// Default 0.5.
@@ -48,14 +48,14 @@
 	// Stretch orders the requests of OrderDeficit by their deadline plus this many times their
 	// prefill time, so that short requests pass long ones, but not indefinitely. Default 4.
 	Stretch float64
-	// NoForecast refuses a request only if it would be late even with an idle queue, and does not
+	// NoForecast rejects a request only if it would be late even with an empty queue, and does not
 	// consider the work queued before it.
 	NoForecast bool
 	// MaxScan is how many waiting tenants are considered if the first cannot be granted. Default 8.
 	MaxScan int
 	// Quantum is the credit in tokens that a refill adds. Default 4096.
 	Quantum float64
-	// NoAdmission disables refusals for the deadline.
+	// NoAdmission disables rejections for the deadline.
 	NoAdmission bool
 	// NoAffinity ignores cached prefixes.
 	NoAffinity bool
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// RecheckInterval is how often Schedule should run while requests wait: a wait can turn into a
-// grant or a refusal with time alone.
+// RecheckInterval is how often Schedule should run while requests wait: passing time alone can turn
+// a wait into a grant or a rejection.
 const RecheckInterval = 10 * time.Millisecond
 
 // phase is the state of a granted request.
@@ -19,14 +19,14 @@
 	phaseDecode
 )
 
-// active is a granted request.
-type active struct {
+// activeRequest is a granted request.
+type activeRequest struct {
 	request *Request
 	phase   phase
 	prefill string
 	decode  string
 	cached  int
-	// completionRate is its part in the completion rate of its decode engine.
+	// completionRate is its share of the completion rate of its decode engine.
 	completionRate float64
 	charged        float64
 }
@@ -44,9 +44,9 @@
 	// decode slot: a lack of slots must not delay the former.
 	prefillOnly *fairQueue
 	withDecode  *fairQueue
-	active      map[string]*active
+	active      map[string]*activeRequest
 	// pending are the active requests that wait for a decode engine, in order.
-	pending []*active
+	pending []*activeRequest
 	// reserved is the number of active requests that will need a decode slot.
 	reserved int
 	// outputRatio is the moving average of output tokens over MaxTokens.
@@ -59,7 +59,7 @@
 	options.setDefaults()
 	return &Pool{
 		options: options, linkRate: linkTokensPerSecond, index: NewPrefixIndex(),
-		prefillOnly: newFairQueue(&options), withDecode: newFairQueue(&options), active: map[string]*active{}, outputRatio: 1,
+		prefillOnly: newFairQueue(&options), withDecode: newFairQueue(&options), active: map[string]*activeRequest{}, outputRatio: 1,
 	}
 }
 
@@ -85,18 +85,18 @@
 	}
 }
 
-// minDecodeTime keeps the completion rate of a short answer finite, in seconds.
+// minDecodeTime keeps the completion rate of a short output finite, in seconds.
 const minDecodeTime = 0.001
 
 // add accounts for a request at a decode engine.
-func (s *DecodeState) add(granted *active) {
+func (s *DecodeState) add(granted *activeRequest) {
 	s.SlotsUsed++
 	s.KVUsed += requestKV(granted.request)
 	s.CompletionRate += granted.completionRate
 }
 
 // remove undoes add.
-func (s *DecodeState) remove(granted *active) {
+func (s *DecodeState) remove(granted *activeRequest) {
 	s.SlotsUsed--
 	s.KVUsed -= requestKV(granted.request)
 	s.CompletionRate -= granted.completionRate
@@ -148,7 +148,7 @@
 // Active returns the number of granted requests.
 func (p *Pool) Active() int { return len(p.active) }
 
-// Submit queues a request, or refuses it at once if the work ahead of it makes its deadline
+// Submit queues a request, or rejects it at once if the work ahead of it makes its deadline
 // unreachable.
 func (p *Pool) Submit(now time.Duration, request *Request) *Decision {
 	snapshot := p.Snapshot(now)
@@ -161,8 +161,8 @@
 	expected := decision.FirstToken + drainTime(&Snapshot{Now: now, Prefill: p.idlePrefill(), Ahead: snapshot.Ahead})
 	forecast := !p.options.NoForecast && !p.options.NoAdmission
 	if expected > request.Deadline() && !request.LateAllowed && forecast {
-		refused := refuse(snapshot, request, ReasonDeadline)
-		return &refused
+		rejected := reject(snapshot, request, ReasonDeadline)
+		return &rejected
 	}
 	p.queueOf(request).push(request)
 	return nil
@@ -195,15 +195,15 @@
 	return idle
 }
 
-// Schedule returns the grants and refusals that are due now.
+// Schedule returns the grants and rejections that are due now.
 func (p *Pool) Schedule(now time.Duration) []Decision {
 	decisions := p.scheduleDecode(now)
 	for {
-		made, ok := p.scheduleOne(now)
+		decision, ok := p.scheduleOne(now)
 		if !ok {
 			return decisions
 		}
-		decisions = append(decisions, made)
+		decisions = append(decisions, decision)
 	}
 }
 
@@ -224,7 +224,7 @@
 	return decisions
 }
 
-// scheduleOne grants or refuses one waiting request. It reports false if none is due.
+// scheduleOne grants or rejects one waiting request. It reports false if none is due.
 func (p *Pool) scheduleOne(now time.Duration) (Decision, bool) {
 	for _, request := range headsOf(p.prefillOnly, p.withDecode, p.options.MaxScan) {
 		decision := Decide(p.Snapshot(now), request, p.options)
@@ -245,7 +245,7 @@
 	state := p.findPrefill(decision.Prefill)
 	uncached := request.PromptTokens - decision.CachedTokens
 	state.FreeAt = max(now, state.FreeAt) + seconds(float64(uncached)/state.TokensPerSecond)
-	granted := &active{request: request, prefill: decision.Prefill, cached: decision.CachedTokens}
+	granted := &activeRequest{request: request, prefill: decision.Prefill, cached: decision.CachedTokens}
 	p.active[request.ID] = granted
 	if !request.IsPrefillOnly() {
 		p.reserved++
@@ -279,7 +279,7 @@
 
 // endPrefill corrects the predicted time at which the engine is free: the prefills still granted to
 // it start now.
-func (p *Pool) endPrefill(now time.Duration, ended *active) {
+func (p *Pool) endPrefill(now time.Duration, ended *activeRequest) {
 	state := p.findPrefill(ended.prefill)
 	if state == nil {
 		return
@@ -293,7 +293,7 @@
 	state.FreeAt = free
 }
 
-func (p *Pool) startDecode(granted *active, name string) {
+func (p *Pool) startDecode(granted *activeRequest, name string) {
 	p.reserved--
 	state := p.findDecode(name)
 	granted.phase = phaseDecode
@@ -323,7 +323,7 @@
 // outputRatioWeight is the weight of one request in the moving average of output ratios.
 const outputRatioWeight = 0.02
 
-// Finished releases the resources of a request. outputTokens is the length of its answer, or
+// Finished releases the resources of a request. outputTokens is the length of its output, or
 // negative if it did not complete.
 func (p *Pool) Finished(now time.Duration, id string, outputTokens int) {
 	granted, ok := p.active[id]
@@ -342,7 +342,7 @@
 	p.release(now, granted)
 }
 
-func (p *Pool) release(now time.Duration, granted *active) {
+func (p *Pool) release(now time.Duration, granted *activeRequest) {
 	switch granted.phase {
 	case phasePrefill:
 		p.endPrefill(now, granted)
@@ -351,7 +351,7 @@
 		}
 	case phasePending:
 		p.reserved--
-		p.pending = slices.DeleteFunc(p.pending, func(other *active) bool { return other == granted })
+		p.pending = slices.DeleteFunc(p.pending, func(other *activeRequest) bool { return other == granted })
 	case phaseDecode:
 		if state := p.findDecode(granted.decode); state != nil {
 			state.remove(granted)
@@ -367,7 +367,7 @@
 	if _, known := p.active[request.ID]; known {
 		return
 	}
-	granted := &active{request: request, prefill: prefill}
+	granted := &activeRequest{request: request, prefill: prefill}
 	p.active[request.ID] = granted
 	if !request.IsPrefillOnly() {
 		p.reserved++
--- a/scheduler/prefix.go
+++ b/scheduler/prefix.go
@@ -7,7 +7,7 @@
 const BlockTokens = 64
 
 // PrefixIndex tracks which engine caches which prompt blocks. It is built from the engines' events,
-// which arrive late and with gaps, so it is approximate; errors cost time only.
+// which arrive late and with gaps, so it is approximate; a wrong entry only costs time.
 type PrefixIndex struct {
 	engines map[string]*blockSet
 }
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestEmptySnapshotIsARefusal(t *testing.T) {
+func TestEmptySnapshotIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		decision := Decide(&Snapshot{}, drawRequest(t, 1, 0), drawOptions(t))
 		if decision.Kind != KindReject || decision.RetryAfter <= 0 {
@@ -159,17 +159,17 @@
 	}
 }
 
-func TestRefusalComesBeforeAnyPrefill(t *testing.T) {
+func TestRejectionPrecedesPrefill(t *testing.T) {
 	pool := NewPool(Options{}, 200000)
 	pool.SetEngines(testEngines(1, 1))
 	late := &Request{ID: "late", Tenant: "a", Weight: 1, PromptTokens: 40000, MaxTokens: 10, FirstToken: time.Second, TokenInterval: 50 * time.Millisecond}
-	refused := pool.Submit(0, late)
-	if refused == nil || refused.Kind != KindReject || refused.Reason != ReasonDeadline || refused.RetryAfter <= 0 {
-		t.Fatalf("got %+v", refused)
+	rejected := pool.Submit(0, late)
+	if rejected == nil || rejected.Kind != KindReject || rejected.Reason != ReasonDeadline || rejected.RetryAfter <= 0 {
+		t.Fatalf("got %+v", rejected)
 	}
 	late.LateAllowed = true
-	if refused := pool.Submit(0, late); refused != nil {
-		t.Fatalf("a class that may be late was refused: %+v", refused)
+	if rejected := pool.Submit(0, late); rejected != nil {
+		t.Fatalf("a class that may be late was rejected: %+v", rejected)
 	}
 }
 
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -18,8 +18,8 @@
 	counter float64
 	// position is the index in the heap, or -1.
 	position int
-	// idleSince is the arrival of the request that left the queue last. It is meant for dropping
-	// idle tenants, but nothing reads it.
+	// idleSince is the arrival time of the request that left the queue last. It is meant for
+	// dropping idle tenants, but nothing reads it.
 	idleSince time.Duration
 }
 
@@ -66,7 +66,7 @@
 }
 
 // headKey is the key of the tenant's first request.
-func (w *tenantQueue) headKey() time.Duration { return w.keys[0] }
+func (t *tenantQueue) headKey() time.Duration { return t.keys[0] }
 
 // Len implements heap.Interface.
 func (h *tenantHeap) Len() int { return len(h.tenants) }
@@ -145,7 +145,8 @@
 	q.updateHeap(tenant)
 }
 
-// raiseCounter keeps a tenant that was idle from using its idle time as credit.
+// raiseCounter raises the counter of a tenant that was idle, so that it cannot use its idle time as
+// credit.
 func (q *fairQueue) raiseCounter(tenant *tenantQueue) {
 	if q.ordering != OrderVTC || q.order.Len() == 0 {
 		return
--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -113,21 +113,21 @@
 	KindPrefill
 	// KindDecode grants a decode engine to a request whose prefill has ended.
 	KindDecode
-	// KindReject refuses the request.
+	// KindReject rejects the request.
 	KindReject
 )
 
-// Reason is why a request was refused.
+// Reason is why a request was rejected.
 type Reason string
 
-// Reasons for a refusal.
+// Reasons for a rejection.
 const (
 	ReasonNoEngine Reason = "no engine can take the request"
 	ReasonTooLarge Reason = "no decode engine has the memory for the request"
 	ReasonDeadline Reason = "the first token cannot be in time"
 )
 
-// Decision is the answer to one request.
+// Decision is the scheduling decision for one request.
 type Decision struct {
 	Kind      Kind
 	RequestID string
@@ -138,7 +138,7 @@
 	CachedTokens int
 	// FirstToken is the predicted time of the first token.
 	FirstToken time.Duration
-	// RetryAfter and Reason are set for a refusal.
+	// RetryAfter and Reason are set for a rejection.
 	RetryAfter time.Duration
 	Reason     Reason
 }
