--- a/owner/inspect.go
+++ b/owner/inspect.go
@@ -31,36 +31,37 @@
 	seesMajority bool
 }
 
-// inspect books streams without a booking, drops lost bookings, and returns the streams to cancel.
+// inspect adopts streams without a booking, drops lost bookings, and returns the streams to cancel.
 func (p *pool) inspect(reports []engineReport, holders holderState, window time.Duration, suspects map[orphan]time.Time) []orphan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	listed, silent := map[string]bool{}, map[string]bool{}
+	listed, unresponsive := map[string]bool{}, map[string]bool{}
 	var cancels []orphan
-	for _, listing := range reports {
-		if listing.role != "" {
-			p.reported[listing.engine] = listing.role
+	for _, report := range reports {
+		if report.role != "" {
+			p.reported[report.engine] = report.role
 		}
-		p.scheduler.SetReady(listing.engine, listing.err == nil && p.isInRole(listing.engine))
-		silent[listing.engine] = listing.err != nil
-		for _, status := range listing.streams {
+		p.scheduler.SetReady(report.engine, report.err == nil && p.isInRole(report.engine))
+		unresponsive[report.engine] = report.err != nil
+		for _, status := range report.streams {
 			id := grantID(status.RequestID, status.Number)
 			listed[id] = true
-			p.book(now, id, listing.engine, status)
-			suspect := orphan{engine: listing.engine, attempt: status.Attempt}
+			p.adopt(now, id, report.engine, status)
+			suspect := orphan{engine: report.engine, attempt: status.Attempt}
 			if p.isOrphan(suspect, status, holders, window, suspects, now) {
 				cancels = append(cancels, suspect)
 			}
 		}
 	}
-	p.dropLost(now, listed, silent, holders, window)
+	p.dropLost(now, listed, unresponsive, holders, window)
 	p.schedule()
 	return cancels
 }
 
-// book books a decode stream that no entry node has reported.
-func (p *pool) book(now time.Time, id, engineName string, status engine.StreamStatus) {
+// adopt books a decode stream that no entry node has reported. If the stream has a booking, adopt
+// confirms that booking.
+func (p *pool) adopt(now time.Time, id, engineName string, status engine.StreamStatus) {
 	if known, ok := p.bookings[id]; ok {
 		known.lastSeen = now
 		return
@@ -104,9 +105,9 @@
 
 // dropLost frees bookings that no engine holds: those whose holder has terminated, adopted ones
 // that have ended, and those that were never returned.
-func (p *pool) dropLost(now time.Time, listed, silent map[string]bool, holders holderState, window time.Duration) {
+func (p *pool) dropLost(now time.Time, listed, unresponsive map[string]bool, holders holderState, window time.Duration) {
 	for id, booked := range p.bookings {
-		if listed[id] || silent[booked.prefill] || silent[booked.decode] {
+		if listed[id] || unresponsive[booked.prefill] || unresponsive[booked.decode] {
 			booked.lastSeen = now
 			continue
 		}
@@ -129,7 +130,7 @@
 	case holders.isTerminated(b.holder):
 		return window
 	case b.prefill == "" && b.decode == "":
-		// The request waits in the queue, which refuses it once it is late.
+		// The request waits in the queue, which rejects it once it is late.
 		return time.Hour
 	default:
 		return unreturnedTimeout
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -122,12 +122,12 @@
 		return nil, err
 	}
 	if decision.Kind == scheduler.KindReject {
-		return nil, refusal(decision)
+		return nil, rejectionError(decision)
 	}
 	return &peerpb.Granted{PrefillEngine: decision.Prefill, Epoch: o.options.Epoch}, nil
 }
 
-func refusal(decision scheduler.Decision) error {
+func rejectionError(decision scheduler.Decision) error {
 	code := api.CodeNoCapacity
 	status := http.StatusServiceUnavailable
 	switch decision.Reason {
@@ -142,7 +142,7 @@
 	return api.NewError(status, code, api.OutcomeNotRun, "%s", decision.Reason).WithRetryAfter(decision.RetryAfter)
 }
 
-// errOwnerChanged tells the entry node to ask the pool's new owner.
+// errOwnerChanged tells the entry node to call the pool's new owner.
 var errOwnerChanged = api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun, "pool has another owner")
 
 // HandleProgress serves a Progress and returns the decode engine.
--- a/owner/pool.go
+++ b/owner/pool.go
@@ -44,7 +44,7 @@
 	closed       bool
 	// configured are the configured roles of the engines, and reported those that the engines
 	// reported last. An engine whose role is being changed gets no work until it has the new role:
-	// it still serves the old one, and refuses work of the new one.
+	// it still serves the old one, and rejects work of the new one.
 	configured map[string]api.Role
 	reported   map[string]api.Role
 }
@@ -130,10 +130,10 @@
 	}
 }
 
-// decisionBuffer holds a grant, a decode engine and a few replacements of it.
+// decisionBuffer is enough for a grant, a decode engine and a few replacements of that engine.
 const decisionBuffer = 8
 
-// grant waits until the request is granted or refused.
+// grant waits until the request is granted or rejected.
 func (p *pool) grant(ctx context.Context, grant *peerpb.Grant) (scheduler.Decision, error) {
 	p.mu.Lock()
 	request := requestOf(p.elapsed(), grant)
@@ -142,10 +142,10 @@
 		return scheduler.Decision{}, api.NewError(http.StatusConflict, api.CodeConflict, api.OutcomeNotRun, "attempt is booked already")
 	}
 	p.lastUsed = p.now()
-	if refused := p.scheduler.Submit(p.elapsed(), request); refused != nil {
+	if rejected := p.scheduler.Submit(p.elapsed(), request); rejected != nil {
 		p.mu.Unlock()
 		p.metrics.Add("refusals", 1)
-		return *refused, nil
+		return *rejected, nil
 	}
 	booked := &booking{request: request, holder: holderOf(grant.GetHolder()), decisions: make(chan scheduler.Decision, decisionBuffer), lastSeen: p.now()}
 	p.bookings[request.ID] = booked
@@ -250,7 +250,7 @@
 	p.schedule()
 }
 
-// close answers all waiting calls, so that the entry nodes ask the new owner.
+// close answers all waiting calls, so that the entry nodes call the new owner.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -266,5 +266,5 @@
 	}
 }
 
-// reasonOwnerChanged marks a refusal that only means that the pool has another owner.
+// reasonOwnerChanged marks a rejection that only means that the pool has another owner.
 const reasonOwnerChanged scheduler.Reason = "pool has moved"
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -20,27 +20,27 @@
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	reports := make([]engineReport, len(configured.Engines))
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, member := range configured.Engines {
-		asked.Add(1)
+		calls.Add(1)
 		go func() {
-			defer asked.Done()
+			defer calls.Done()
 			reports[i] = o.listEngine(ctx, member, confirmed(member.Name))
 		}()
 	}
-	asked.Wait()
+	calls.Wait()
 	return reports
 }
 
 func (o *Owner) listEngine(ctx context.Context, member api.Engine, confirmed bool) engineReport {
-	listing := engineReport{engine: member.Name}
-	listing.streams, listing.err = o.options.Engines.Streams(ctx, member.Address)
-	if confirmed || listing.err != nil {
-		return listing
+	report := engineReport{engine: member.Name}
+	report.streams, report.err = o.options.Engines.Streams(ctx, member.Address)
+	if confirmed || report.err != nil {
+		return report
 	}
 	load, err := o.options.Engines.Load(ctx, member.Address)
-	listing.role, listing.err = load.Role, err
-	return listing
+	report.role, report.err = load.Role, err
+	return report
 }
 
 func (o *Owner) holders() holderState {
