--- a/controller/engineorder/reconciler.go
+++ b/controller/engineorder/reconciler.go
@@ -197,7 +197,7 @@
 	}
 	order := pending.order
 	order.ID = id.String()
-	order.Fence = fence
+	order.FencingToken = fence
 	ctx, cancel := context.WithTimeout(ctx, r.options.OrderTimeout)
 	defer cancel()
 	guard := func() error { return poolLease.Check(r.options.OrderTimeout) }
--- a/controller/engineorder/reconciler_test.go
+++ b/controller/engineorder/reconciler_test.go
@@ -106,7 +106,7 @@
 	f.engines.load.Role = api.RoleDecode
 	reconcile(t, f.second)
 	g.Expect(f.engines.received).To(HaveLen(2), "a lease that was given back need not be waited for")
-	g.Expect(f.engines.received[1].Fence).To(BeNumerically(">", f.engines.received[0].Fence))
+	g.Expect(f.engines.received[1].FencingToken).To(BeNumerically(">", f.engines.received[0].FencingToken))
 }
 
 func TestOrderWaitsUntilEngineIsDrained(t *testing.T) {
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -155,13 +155,13 @@
 
 // Order changes an engine's role, model version or adapters.
 type Order struct {
-	// Fence increases with each holder of the pool's lease. An engine that checks
+	// FencingToken increases with each holder of the pool's lease. An engine that checks
 	// fences rejects an order with a fence below the highest one it has seen.
-	Fence uint64    `json:"fence"`
-	ID    string    `json:"id"`
-	Kind  OrderKind `json:"kind"`
-	Role  api.Role  `json:"role,omitempty"`
-	Value string    `json:"value,omitempty"`
+	FencingToken uint64    `json:"fence"`
+	ID           string    `json:"id"`
+	Kind         OrderKind `json:"kind"`
+	Role         api.Role  `json:"role,omitempty"`
+	Value        string    `json:"value,omitempty"`
 }
 
 // bytesPerToken is the usual estimate for text in Latin script.
--- a/sim/enginesim/orders.go
+++ b/sim/enginesim/orders.go
@@ -42,10 +42,10 @@
 func (e *Engine) verifyFence(order engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.ChecksFence && order.Fence < e.fence {
+	if e.options.ChecksFence && order.FencingToken < e.fence {
 		e.ledger.add(Entry{Kind: EntryOrderRefused, Order: &order})
 		return notRunError(http.StatusConflict, api.CodeConflict, "fence is stale")
 	}
-	e.fence = max(e.fence, order.Fence)
+	e.fence = max(e.fence, order.FencingToken)
 	return nil
 }
