--- a/engine/client.go
+++ b/engine/client.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	maxReplyBytes  = 4 << 20
-	maxErrorBytes  = 64 << 10
-	controlTimeout = 2 * time.Second
+	maxResponseBytes = 4 << 20
+	maxErrorBytes    = 64 << 10
+	controlTimeout   = 2 * time.Second
 )
 
 // Client calls engines. It is safe for concurrent use.
@@ -77,9 +77,9 @@
 	return streams, err
 }
 
-// Ended reports whether the engine's process is known to have terminated: nothing
-// listens at its address any more. It is false if that cannot be determined before
-// the context ends.
+// Ended reports whether the engine's process is known to have terminated: the
+// connection to its address is refused. It is false if that cannot be determined
+// before the context ends.
 func (c *Client) Ended(ctx context.Context, address string) bool {
 	target := url.URL{Scheme: "http", Host: address, Path: PathLoad}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), http.NoBody)
@@ -108,9 +108,9 @@
 	return events, err
 }
 
-// Order sends a fenced order. The context bounds the time that it can be in flight.
-// Guard is called when the connection is established, right before the order is
-// written; its error prevents the order from being sent.
+// Order sends an order with a fencing token. The context bounds the time that it can
+// be in flight. Guard is called when the connection is established, right before the
+// order is written; its error prevents the order from being sent.
 func (c *Client) Order(ctx context.Context, address string, order Order, guard func() error) error {
 	encoded, err := json.Marshal(order)
 	if err != nil {
@@ -118,8 +118,8 @@
 	}
 	body := &guardedReader{reader: bytes.NewReader(encoded), guard: guard}
 	response, err := c.sendBody(ctx, http.MethodPost, address, PathOrders, nil, body)
-	if body.refused != nil {
-		return body.refused
+	if body.guardErr != nil {
+		return body.guardErr
 	}
 	if err != nil {
 		return err
@@ -129,20 +129,20 @@
 
 // guardedReader calls its guard before the first byte is read.
 type guardedReader struct {
-	reader  io.Reader
-	guard   func() error
-	checked bool
-	refused error
+	reader   io.Reader
+	guard    func() error
+	checked  bool
+	guardErr error
 }
 
 // Read implements io.Reader.
 func (r *guardedReader) Read(buffer []byte) (int, error) {
 	if !r.checked {
 		r.checked = true
-		r.refused = r.guard()
+		r.guardErr = r.guard()
 	}
-	if r.refused != nil {
-		return 0, r.refused
+	if r.guardErr != nil {
+		return 0, r.guardErr
 	}
 	return r.reader.Read(buffer)
 }
@@ -164,10 +164,10 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if result == nil {
-		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes))
-		return errors.Wrap(err, "read reply")
+		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes))
+		return errors.Wrap(err, "read response")
 	}
-	decoder := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes))
+	decoder := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes))
 	if err := decoder.Decode(result); err != nil {
 		return unknownOutcome(err)
 	}
@@ -208,7 +208,7 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		defer func() { _ = response.Body.Close() }()
-		return nil, errorReply(response)
+		return nil, errorResponse(response)
 	}
 	return response, nil
 }
@@ -220,7 +220,7 @@
 	return errors.WithSecondaryError(apiErr, cause)
 }
 
-func errorReply(response *http.Response) error {
+func errorResponse(response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	if err != nil {
 		return unknownOutcome(err)
--- a/engine/dialect/dialect.go
+++ b/engine/dialect/dialect.go
@@ -144,7 +144,7 @@
 	outgoing.Header = request.Header.Clone()
 	outgoing.Header.Set(HeaderRequestID, request.ID)
 	outgoing.Header.Set(HeaderWait, strconv.FormatInt(max(0, left.Milliseconds()), 10))
-	response, _, err := d.options.Services.Exchange(outgoing) //nolint:bodyclose // the answer's reader closes it
+	response, _, err := d.options.Services.Exchange(outgoing) //nolint:bodyclose // the reader of the response closes it
 	if err != nil {
 		return nil, err
 	}
@@ -154,8 +154,8 @@
 	return &gateway.Answer{Status: response.StatusCode, Header: httpheader.EndToEnd(response.Header), Body: response.Body}, nil
 }
 
-// Reserve implements gateway.Dialect. These engines have no reservations: whether there is
-// capacity is known when the answer starts.
+// Reserve implements gateway.Dialect. These engines have no reservations: whether they have
+// capacity is known only when they respond to the call.
 func (d *Dialect) Reserve(context.Context, backend.Backend, int, time.Duration) (*gateway.Reservation, error) {
 	return &gateway.Reservation{}, nil
 }
@@ -177,8 +177,8 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	go func() {
 		defer cancel()
-		// If the call is lost, the engine drops a prefill result after a while; a stream
-		// without a reader is found by the name of its holder.
+		// If the call is lost, the engine drops a prefill result after a while, and a
+		// stream without a reader is found by the name of its holder.
 		_ = d.options.Engines.Cancel(ctx, address, attempt)
 	}()
 }
--- a/engine/dialect/dialect_test.go
+++ b/engine/dialect/dialect_test.go
@@ -40,7 +40,7 @@
 	eventuallyTimeout = 5 * time.Second
 )
 
-// fixture is a gateway with simulated engines of the product's own protocol.
+// fixture is a gateway with simulated engines that use this project's own protocol.
 type fixture struct {
 	caller   *httptest.Server
 	backends *backend.Registry
@@ -110,7 +110,7 @@
 	})
 }
 
-// send sends a request on a path and returns the answer with its body unread.
+// send sends a request on a path and returns the response with its body unread.
 func (f *fixture) send(ctx context.Context, t *testing.T, path, body, lastEvent string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.caller.URL+path, strings.NewReader(body))
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestCompleteOutput(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, time.Millisecond)
 	response := f.send(t.Context(), t, "/plan/draft", generation(20), "")
@@ -169,7 +169,7 @@
 	g.Expect(ids[19]).To(Equal("19"))
 }
 
-func TestAnswerResumesAfterLastEvent(t *testing.T) {
+func TestOutputResumesAfterLastEvent(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, time.Millisecond)
 	response := f.send(t.Context(), t, "/plan/draft", generation(20), "11")
@@ -180,8 +180,8 @@
 	g.Expect(ids[0]).To(Equal("12"))
 }
 
-// TestEngineFailsMidStream breaks the connections of the decode engine in the middle of an
-// answer: it must continue at another engine, with each token once.
+// TestEngineFailsMidStream breaks the connections of the decode engine in the middle of a
+// stream. The stream must continue at another engine, with each token once.
 func TestEngineFailsMidStream(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, 2*time.Millisecond)
@@ -209,8 +209,8 @@
 	f.expectNothingHeld(g)
 }
 
-// TestFullEngineRejects requests more than an engine holds: nothing has run, the caller
-// gets a Retry-After, and no prefill result is kept.
+// TestFullEngineRejects requests more tokens than an engine's memory holds. The caller must
+// get a Retry-After header, and no prefill result may be kept.
 func TestFullEngineRejects(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, time.Millisecond)
--- a/engine/dialect/generate.go
+++ b/engine/dialect/generate.go
@@ -16,8 +16,8 @@
 	"github.com/reelrun/reelrun/gateway"
 )
 
-// minPrefillOnlyTokens is the least number of tokens for which a prefill engine only
-// prefills the prompt; asked for one token, it answers the request without a decode engine.
+// minPrefillOnlyTokens is the smallest MaxTokens for which a prefill engine only prefills the
+// prompt; with one token, it answers the request without a decode engine.
 const minPrefillOnlyTokens = 2
 
 // handle identifies a prefilled prompt: the number of its attempt and the engine's result.
@@ -49,7 +49,7 @@
 	result, err := d.options.Engines.Prefill(limited, target.Address, engine.PrefillRequest{
 		Attempt: attempt, Holder: d.holder(), Model: body.Model, Salt: request.Host, Prompt: body.Prompt,
 		MaxTokens: max(minPrefillOnlyTokens, body.MaxTokens),
-		// All attempts have the same seed, so that one can continue another one's answer.
+		// All attempts have the same seed, so that one can continue another one's output.
 		Seed: xxhash.Sum64String(request.Host + "\x00" + request.ID),
 	})
 	if err == nil {
@@ -77,7 +77,7 @@
 	return &gateway.Answer{Status: apiErr.Status, NotRun: true, Body: http.NoBody}, nil
 }
 
-// Decode implements gateway.Dialect. An answer that resumes after an event is generated
+// Decode implements gateway.Dialect. To resume after an event, the whole output is generated
 // again with the same seed, and the tokens that the caller has are omitted.
 func (d *Dialect) Decode(ctx context.Context, target backend.Backend, request *gateway.Request, _ time.Duration, options gateway.DecodeOptions) (*gateway.Answer, error) {
 	body, err := parseBody(request)
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -55,11 +55,11 @@
 	// MaxTokens is one if the engine is to answer the request without a decode
 	// engine.
 	MaxTokens int `json:"max_tokens"`
-	// Generated is the part of the answer that an earlier attempt generated, and
+	// Generated is the part of the output that an earlier attempt generated, and
 	// Offset its length in tokens. The attempt continues from there.
 	Generated string `json:"generated,omitempty"`
 	Offset    int    `json:"offset,omitempty"`
-	// Seed fixes the sampling, so that another attempt generates the same answer.
+	// Seed fixes the sampling, so that another attempt generates the same output.
 	Seed uint64 `json:"seed"`
 }
 
@@ -85,7 +85,7 @@
 	SourceAddress string `json:"source_address"`
 	ResultID      string `json:"result_id"`
 	Model         string `json:"model"`
-	// MaxTokens bounds the whole answer, including the Offset tokens before this
+	// MaxTokens bounds the whole output, including the Offset tokens before this
 	// attempt.
 	MaxTokens int `json:"max_tokens"`
 	Offset    int `json:"offset,omitempty"`
@@ -103,7 +103,7 @@
 // Done ends a complete stream.
 type Done struct {
 	Attempt
-	// Tokens is the length of the whole answer.
+	// Tokens is the length of the whole output.
 	Tokens int    `json:"tokens"`
 	Reason string `json:"reason"`
 }
@@ -120,7 +120,7 @@
 	KVTokens int `json:"kv_tokens"`
 	// Offset is the number of tokens generated.
 	Offset int `json:"offset"`
-	// MaxTokens is the limit of the answer.
+	// MaxTokens bounds the whole output.
 	MaxTokens int `json:"max_tokens"`
 }
 
@@ -155,8 +155,9 @@
 
 // Order changes an engine's role, model version or adapters.
 type Order struct {
-	// FencingToken increases with each holder of the pool's lease. An engine that checks
-	// fences rejects an order with a fence below the highest one it has seen.
+	// FencingToken increases with each holder of the pool's lease. An engine that
+	// checks fencing tokens rejects an order whose token is below the highest one that
+	// it has seen.
 	FencingToken uint64    `json:"fence"`
 	ID           string    `json:"id"`
 	Kind         OrderKind `json:"kind"`
@@ -164,7 +165,7 @@
 	Value        string    `json:"value,omitempty"`
 }
 
-// bytesPerToken is the usual estimate for text in Latin script.
+// bytesPerToken is the usual estimate of the bytes per token of text in Latin script.
 const bytesPerToken = 4
 
 // CountTokens estimates the tokens of a text, rounded up.
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -45,7 +45,7 @@
 
 // TestStreamYieldsEachTokenOnce generates a stream with duplicate and missing
 // tokens and tokens of another request, and truncates it. A reader must get a
-// prefix of the answer, in order, and io.EOF only after all of it.
+// prefix of the output, in order, and io.EOF only after all of it.
 func TestStreamYieldsEachTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(0, 20).Draw(t, "length")
@@ -67,11 +67,11 @@
 		offsets, err := read(whole[:cut])
 		for i, offset := range offsets {
 			if i != offset {
-				t.Fatalf("token %d came as number %d", offset, i)
+				t.Fatalf("token %d was read at position %d", offset, i)
 			}
 		}
 		if errors.Is(err, io.EOF) && len(offsets) != length {
-			t.Fatalf("a stream of %d tokens passed for whole with %d", length, len(offsets))
+			t.Fatalf("a stream of %d tokens was reported as complete after %d", length, len(offsets))
 		}
 	})
 }
@@ -100,7 +100,7 @@
 		offsets, _ := read(text)
 		for i, offset := range offsets {
 			if i != offset {
-				t.Fatalf("token %d came as number %d", offset, i)
+				t.Fatalf("token %d was read at position %d", offset, i)
 			}
 		}
 	})
