--- a/controller/engineorder/doc.go
+++ b/controller/engineorder/doc.go
@@ -1,6 +1,6 @@
 // Package engineorder brings engines to the role, model version and adapters
-// that the configuration specifies, by fenced orders under a lease of their
-// pool.
+// that the configuration specifies, by orders with fencing tokens under a lease
+// of their pool.
 //
 // The lease is acquired only while orders are pending. An engine that checks
 // fencing tokens is protected by them. For any other engine, a new holder waits
--- a/controller/engineorder/reconciler.go
+++ b/controller/engineorder/reconciler.go
@@ -96,7 +96,7 @@
 		return controller.Result{}, nil
 	}
 	poolLease := r.lease(pool.Name)
-	fence, err := poolLease.Acquire(ctx)
+	fencingToken, err := poolLease.Acquire(ctx)
 	if errors.Is(err, lease.ErrHeld) {
 		return controller.Result{RequeueAfter: busyRetryInterval}, nil
 	}
@@ -106,7 +106,7 @@
 	if !pool.ChecksFence && !poolLease.TakeoverWaitOver(r.options.OrderTimeout) {
 		return controller.Result{RequeueAfter: busyRetryInterval}, nil
 	}
-	allSent, err := r.send(ctx, poolLease, fence, pending)
+	allSent, err := r.send(ctx, poolLease, fencingToken, pending)
 	if err != nil || !allSent {
 		return controller.Result{RequeueAfter: busyRetryInterval}, err
 	}
@@ -127,7 +127,7 @@
 	return known
 }
 
-// pendingOrder is an order that has yet to be sent to an engine.
+// pendingOrder is an order that is still to be sent to an engine.
 type pendingOrder struct {
 	member *api.Engine
 	order  engine.Order
@@ -169,14 +169,14 @@
 }
 
 // send sends the orders whose engines are drained. It reports whether it sent all of them.
-func (r *Reconciler) send(ctx context.Context, poolLease *lease.Lease, fence uint64, orders []pendingOrder) (bool, error) {
+func (r *Reconciler) send(ctx context.Context, poolLease *lease.Lease, fencingToken uint64, orders []pendingOrder) (bool, error) {
 	allSent := true
 	for _, pending := range orders {
 		if pending.order.Kind != engine.OrderAdapter && !r.isDrained(ctx, pending.member) {
 			allSent = false
 			continue
 		}
-		if err := r.sendOne(ctx, poolLease, fence, pending); err != nil {
+		if err := r.sendOne(ctx, poolLease, fencingToken, pending); err != nil {
 			return false, err
 		}
 	}
@@ -190,14 +190,14 @@
 	return err == nil && len(streams) == 0
 }
 
-func (r *Reconciler) sendOne(ctx context.Context, poolLease *lease.Lease, fence uint64, pending pendingOrder) error {
+func (r *Reconciler) sendOne(ctx context.Context, poolLease *lease.Lease, fencingToken uint64, pending pendingOrder) error {
 	id, err := uuid.NewV7()
 	if err != nil {
 		return errors.Wrap(err, "generate order ID")
 	}
 	order := pending.order
 	order.ID = id.String()
-	order.FencingToken = fence
+	order.FencingToken = fencingToken
 	ctx, cancel := context.WithTimeout(ctx, r.options.OrderTimeout)
 	defer cancel()
 	guard := func() error { return poolLease.Check(r.options.OrderTimeout) }
--- a/controller/engineorder/reconciler_test.go
+++ b/controller/engineorder/reconciler_test.go
@@ -16,7 +16,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
-// fakeEngines is a single engine that executes every order.
+// fakeEngines simulates a single engine that executes every order.
 type fakeEngines struct {
 	load     engine.Load
 	streams  []engine.StreamStatus
@@ -105,7 +105,7 @@
 	g.Expect(f.engines.received).To(HaveLen(1))
 	f.engines.load.Role = api.RoleDecode
 	reconcile(t, f.second)
-	g.Expect(f.engines.received).To(HaveLen(2), "a lease that was given back need not be waited for")
+	g.Expect(f.engines.received).To(HaveLen(2), "a released lease is acquired without waiting")
 	g.Expect(f.engines.received[1].FencingToken).To(BeNumerically(">", f.engines.received[0].FencingToken))
 }
 
@@ -120,9 +120,9 @@
 	g.Expect(f.engines.received).To(HaveLen(1))
 }
 
-// TestThawedHolderSendsNothing suspends the first holder between the check of its
+// TestSuspendedHolderSendsNothing suspends the first holder between the check of its
 // lease and the sending of the order, until the second holder has taken over.
-func TestThawedHolderSendsNothing(t *testing.T) {
+func TestSuspendedHolderSendsNothing(t *testing.T) {
 	for _, checksFence := range []bool{true, false} {
 		g := NewWithT(t)
 		f := newFixture(t, checksFence)
@@ -140,10 +140,10 @@
 	}
 }
 
-// TestUnfencedEngineWaitsTheOrderOut takes a lease over while no order is in flight. For an
-// engine that does not check fencing tokens, the new holder still waits for the longest
+// TestTakeoverWaitsForOrdersInFlight takes over a lease while no order is in flight. For an
+// engine that does not check fencing tokens, the new holder must still wait for the longest
 // time that an order can be in flight.
-func TestUnfencedEngineWaitsTheOrderOut(t *testing.T) {
+func TestTakeoverWaitsForOrdersInFlight(t *testing.T) {
 	for _, checksFence := range []bool{true, false} {
 		g := NewWithT(t)
 		f := newFixture(t, checksFence)
--- a/controller/manager.go
+++ b/controller/manager.go
@@ -96,35 +96,35 @@
 	running.Wait()
 }
 
-func (m *Manager) loop(ctx context.Context, run Controller) {
-	timer := time.NewTimer(run.Interval)
+func (m *Manager) loop(ctx context.Context, c Controller) {
+	timer := time.NewTimer(c.Interval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			timer.Reset(m.round(ctx, run))
+			timer.Reset(m.round(ctx, c))
 		}
 	}
 }
 
 // round reconciles every object once and returns the time until the next round.
-func (m *Manager) round(ctx context.Context, run Controller) time.Duration {
+func (m *Manager) round(ctx context.Context, c Controller) time.Duration {
 	var mu sync.Mutex
-	next := run.Interval
-	slots := make(chan struct{}, run.Concurrency)
+	next := c.Interval
+	slots := make(chan struct{}, c.Concurrency)
 	var running sync.WaitGroup
-	for _, request := range run.Requests() {
+	for _, request := range c.Requests() {
 		slots <- struct{}{}
 		running.Add(1)
 		go func() {
 			defer running.Done()
 			defer func() { <-slots }()
-			result, err := run.Reconciler.Reconcile(ctx, request)
-			m.metrics.Add("reconciles_"+run.Name, 1)
+			result, err := c.Reconciler.Reconcile(ctx, request)
+			m.metrics.Add("reconciles_"+c.Name, 1)
 			if err != nil {
-				m.metrics.Add("reconcile_errors_"+run.Name, 1)
+				m.metrics.Add("reconcile_errors_"+c.Name, 1)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/controller/rolechange/reconciler.go
+++ b/controller/rolechange/reconciler.go
@@ -34,7 +34,7 @@
 	Acceptor      Acceptor
 	Metrics       *metrics.Set
 	Events        *timeline.Ring
-	// Rebalance are the thresholds. The zero value selects the measured defaults.
+	// Rebalance holds the thresholds. The zero value selects the measured defaults.
 	Rebalance rebalance.Options
 	// Now returns the current time. Default time.Now.
 	Now func() time.Time
