--- a/claim/client.go
+++ b/claim/client.go
@@ -11,8 +11,8 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// callTimeout bounds the wait for a claim shard's owner, and then for its successor. It is above the time after
-// which an owner gives up a write.
+// callTimeout bounds the wait for a claim shard's owner, and then for its successor. It is longer than
+// writeTimeout, after which an owner gives up a write.
 const callTimeout = writeTimeout + 200*time.Millisecond
 
 // OwnerCaller calls the owner of a key, or its successor.
@@ -27,8 +27,8 @@
 func NewClient(owners OwnerCaller) *Client { return &Client{owners: owners} }
 
 // Claim returns the identifier of the claim under which the call may run. On any error the caller must not run
-// it. Each node that is asked gets an identifier of its own: one that answers too late must not undo the claim
-// that another one has made.
+// the call. Each owner that is called gets a claim identifier of its own: one that answers too late must not
+// undo the claim that another one has made.
 func (c *Client) Claim(ctx context.Context, key Key, requestID string, body []byte) (string, error) {
 	var claimID string
 	_, _, err := c.owners.CallOwnerOrSuccessor(ctx, OwnerKey(key.shard()), callTimeout, func(attempt int) *peerpb.Request {
@@ -40,11 +40,11 @@
 	if err == nil {
 		return claimID, nil
 	}
-	var typed *api.Error
-	if errors.As(err, &typed) {
-		return "", typed
+	var apiErr *api.Error
+	if errors.As(err, &apiErr) {
+		return "", apiErr
 	}
-	// The claim may have been recorded, but this node does not use it.
+	// The claim may have been recorded, but this node does not run the call under it.
 	return "", ErrUnavailable
 }
 
--- a/claim/property_test.go
+++ b/claim/property_test.go
@@ -20,15 +20,15 @@
 	"github.com/reelrun/reelrun/sim/platformsim"
 )
 
-// attempt is one arrival of a call at an entry node.
+// attempt is the arrival of a call at an entry node, which is the node that received it from the caller.
 type attempt struct {
 	key   int
 	pause time.Duration
-	// owners are the writers that the entry node takes for owner and successor.
+	// owners are the writers that the entry node considers the owner and its successor.
 	owners [2]int
-	// slow is the delay of the first owner's answer.
+	// slow is the delay of the first owner's response.
 	slow time.Duration
-	// effects are the platform's reactions to the next calls.
+	// effects determine what the platform does with its next calls.
 	effects []platformsim.Effect
 }
 
@@ -42,19 +42,19 @@
 	}
 }
 
-// script returns the drawn effects and then passes everything.
-type script struct {
+// effectQueue returns the drawn effects, and then lets all calls pass.
+type effectQueue struct {
 	mu      sync.Mutex
 	effects []platformsim.Effect
 }
 
-func (s *script) add(effects []platformsim.Effect) {
+func (s *effectQueue) add(effects []platformsim.Effect) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.effects = append(s.effects, effects...)
 }
 
-func (s *script) next(bool) platformsim.Effect {
+func (s *effectQueue) next(bool) platformsim.Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.effects) == 0 {
@@ -80,38 +80,38 @@
 		if number == 0 {
 			slow = o.attempt.slow
 		}
-		answer := make(chan error, 1)
+		response := make(chan error, 1)
 		o.running.Add(1)
 		go func() {
 			defer o.running.Done()
 			key, err := ParseKey(claim.GetTenant(), claim.GetKey())
 			if err != nil {
-				answer <- err
+				response <- err
 				return
 			}
 			// Half of the delay is on the way to the owner, half on the way back.
 			time.Sleep(slow / 2)
 			err = o.writers[index].Claim(context.Background(), key, claim.GetClaimId(), claim.GetBodyDigest())
 			time.Sleep(slow / 2)
-			answer <- err
+			response <- err
 		}()
 		select {
-		case err := <-answer:
+		case err := <-response:
 			return nil, membership.Member{}, err
 		case <-time.After(timeout):
 		case <-ctx.Done():
 			return nil, membership.Member{}, ctx.Err()
 		}
 	}
-	return nil, membership.Member{}, errors.New("no answer")
+	return nil, membership.Member{}, errors.New("no response")
 }
 
-// atMostOnce plays arrivals of a few keys at several owners over a platform that refuses calls and loses
-// replies. A key must be granted at most once.
+// atMostOnce runs attempts for a few keys at several owners over a platform that rejects calls and loses
+// responses. A key must be granted at most once.
 func atMostOnce(outer *testing.T, newWriter func(*platformsim.FaultyStore) *Writer) func(*rapid.T) {
 	return func(t *rapid.T) {
 		attempts := rapid.SliceOfN(rapid.Custom(drawAttempt), 2, 25).Draw(t, "tries")
-		for key, count := range playAttempts(outer, attempts, newWriter) {
+		for key, count := range runAttempts(outer, attempts, newWriter) {
 			if count > 1 {
 				t.Errorf("key %d was granted %d times", key, count)
 			}
@@ -119,10 +119,10 @@
 	}
 }
 
-func playAttempts(t *testing.T, attempts []attempt, newWriter func(*platformsim.FaultyStore) *Writer) (granted map[int]int) {
+func runAttempts(t *testing.T, attempts []attempt, newWriter func(*platformsim.FaultyStore) *Writer) (granted map[int]int) {
 	granted = map[int]int{}
 	synctest.Test(t, func(t *testing.T) {
-		effects := &script{}
+		effects := &effectQueue{}
 		flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), effects.next)
 		writers := []*Writer{newWriter(flaky), newWriter(flaky), newWriter(flaky)}
 		var keys [3]Key
@@ -174,20 +174,20 @@
 	})
 }
 
-// TestOracleDetectsUndoneClaim has a late owner undo the claim of another attempt, by letting all attempts
-// share an identifier.
+// TestOracleDetectsUndoneClaim verifies the check of atMostOnce. A late owner that works must not undo the claim
+// that its successor made; a faulty writer that removes the claims of other attempts must be detected.
 func TestOracleDetectsUndoneClaim(t *testing.T) {
 	attempts := []attempt{
 		// The first owner writes the claim and answers too late; the successor grants.
 		{key: 0, owners: [2]int{0, 1}, slow: 1800 * time.Millisecond, pause: 6 * time.Second},
 		{key: 0, owners: [2]int{0, 1}},
 	}
-	if granted := playAttempts(t, attempts, newTestWriter); granted[0] != 1 {
+	if granted := runAttempts(t, attempts, newTestWriter); granted[0] != 1 {
 		t.Fatalf("granted %d times", granted[0])
 	}
 	forgetful := func(flaky *platformsim.FaultyStore) *Writer {
 		writer := newTestWriter(flaky)
-		// This writer takes every claim for an abandoned one.
+		// This writer considers every claim abandoned.
 		for number := range 2 {
 			for attempt := range 2 {
 				writer.abandoned[attemptID(fmt.Sprintf("request-%d", number), attempt)] = time.Now()
@@ -210,8 +210,8 @@
 		{key: 0, owners: [2]int{0, 0}, pause: 3 * time.Second},
 		{key: 0, owners: [2]int{2, 1}, pause: time.Second},
 	}
-	if granted := playAttempts(t, attempts, broken); granted[0] < 2 {
-		t.Fatalf("the broken writer granted the key %d times, so the oracle was not tried", granted[0])
+	if granted := runAttempts(t, attempts, broken); granted[0] < 2 {
+		t.Fatalf("the broken writer granted the key %d times, so the check was not exercised", granted[0])
 	}
 }
 
@@ -270,9 +270,9 @@
 			t.Fatal(err)
 		}
 		err = writer.Claim(context.Background(), Key{Tenant: "tenant", ID: id}, "first#0", nil)
-		typed := api.AsError(err, api.OutcomeUnknown)
-		if typed.Code != api.CodeClaimUnavailable || typed.Outcome != api.OutcomeNotRun || typed.RetryAfter == 0 {
-			t.Fatalf("got %v", typed)
+		apiErr := api.AsError(err, api.OutcomeUnknown)
+		if apiErr.Code != api.CodeClaimUnavailable || apiErr.Outcome != api.OutcomeNotRun || apiErr.RetryAfter == 0 {
+			t.Fatalf("got %v", apiErr)
 		}
 		writer.Wait()
 	})
--- a/claim/writer.go
+++ b/claim/writer.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// writeInterval is the least time between two writes of a shard, which bounds the fleet's writes to
+	// writeInterval is the minimum time between two writes of a shard, which bounds the fleet's writes to
 	// Shards/writeInterval a second.
 	writeInterval = 150 * time.Millisecond
-	// writeTimeout is when the claims of a write are given up.
+	// writeTimeout bounds one write. The claims of a write that takes longer are abandoned.
 	writeTimeout = 1500 * time.Millisecond
 	// RetryAfter is when a caller may retry after an outage.
 	RetryAfter = 2 * time.Second
@@ -49,8 +49,9 @@
 	mu      sync.Mutex
 	pending map[string][]*operation
 	running map[int]bool
-	// abandoned are attempts that were answered as failed although their claim may have been recorded. Nothing
-	// was sent under them, so their claims are removed with the next write.
+	// abandoned are the identifiers of claims that were reported as failed although they may have been
+	// recorded, with the times of the reports. No call was sent under them, so they are removed with the next
+	// write.
 	abandoned map[string]time.Time
 	writes    tasks.Group
 }
@@ -77,10 +78,10 @@
 	return w.submit(ctx, &operation{key: key, claimID: claimID, withdraw: true, done: make(chan error, 1)})
 }
 
-func (w *Writer) submit(ctx context.Context, added *operation) error {
-	object, shard := added.key.object(), added.key.shard()
+func (w *Writer) submit(ctx context.Context, op *operation) error {
+	object, shard := op.key.object(), op.key.shard()
 	w.mu.Lock()
-	w.pending[object] = append(w.pending[object], added)
+	w.pending[object] = append(w.pending[object], op)
 	start := !w.running[shard]
 	w.running[shard] = true
 	w.mu.Unlock()
@@ -88,21 +89,21 @@
 		w.writes.Go(func() { w.drain(shard) })
 	}
 	select {
-	case err := <-added.done:
+	case err := <-op.done:
 		return err
 	case <-ctx.Done():
-		w.abandon(added)
+		w.abandon(op)
 		return ErrUnavailable
 	}
 }
 
-func (w *Writer) abandon(abandoned *operation) {
-	if abandoned.withdraw {
+func (w *Writer) abandon(op *operation) {
+	if op.withdraw {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.abandoned[abandoned.claimID] = w.now()
+	w.abandoned[op.claimID] = w.now()
 }
 
 // drain writes the pending operations of a shard, one object at a time, until none is left.
@@ -152,34 +153,34 @@
 	})
 	w.metrics.Add("claim_writes", 1)
 	w.metrics.Add("claim_operations", int64(len(batch)))
-	for i, done := range batch {
+	for i, op := range batch {
 		if err != nil {
 			w.metrics.Add("claim_failures", 1)
-			w.abandon(done)
-			done.done <- ErrUnavailable
+			w.abandon(op)
+			op.done <- ErrUnavailable
 			continue
 		}
-		done.done <- w.settle(done, results[i])
+		op.done <- w.settle(op, results[i])
 	}
 }
 
-// settle checks the key's age again: a node that was paused during the write may have recorded the claim in
-// place of a deleted one.
-func (w *Writer) settle(done *operation, result error) error {
-	if result != nil || done.withdraw {
+// settle returns the result of an operation. It checks the key's age again: a node that was paused during the
+// write may have recorded the claim in place of a deleted one.
+func (w *Writer) settle(op *operation, result error) error {
+	if result != nil || op.withdraw {
 		return result
 	}
-	return done.key.CheckAge(w.now())
+	return op.key.CheckAge(w.now())
 }
 
 // applyAll applies the operations to a bucket. It reports whether the bucket changed.
 func (w *Writer) applyAll(stored *bucket, batch []*operation) ([]error, bool) {
 	changed := w.removeAbandoned(stored)
 	results := make([]error, len(batch))
-	for i, applied := range batch {
-		var touched bool
-		touched, results[i] = w.apply(stored, applied)
-		changed = changed || touched
+	for i, op := range batch {
+		var applied bool
+		applied, results[i] = w.apply(stored, op)
+		changed = changed || applied
 	}
 	return results, changed
 }
@@ -202,28 +203,28 @@
 	return changed
 }
 
-func (w *Writer) apply(stored *bucket, applied *operation) (bool, error) {
-	field := applied.key.field()
+func (w *Writer) apply(stored *bucket, op *operation) (bool, error) {
+	field := op.key.field()
 	existing, exists := stored.Claims[field]
-	if applied.withdraw {
-		if exists && existing.ClaimID == applied.claimID {
+	if op.withdraw {
+		if exists && existing.ClaimID == op.claimID {
 			delete(stored.Claims, field)
 			return true, nil
 		}
 		return false, nil
 	}
-	if err := applied.key.CheckAge(w.now()); err != nil {
+	if err := op.key.CheckAge(w.now()); err != nil {
 		return false, err
 	}
 	switch {
-	case w.isAbandoned(applied.claimID):
+	case w.isAbandoned(op.claimID):
 		return false, ErrUnavailable
-	case !exists, supersedes(applied.claimID, existing.ClaimID):
-		stored.Claims[field] = record{ClaimID: applied.claimID, Body: applied.body}
+	case !exists, supersedes(op.claimID, existing.ClaimID):
+		stored.Claims[field] = record{ClaimID: op.claimID, Body: op.body}
 		return true, nil
-	case existing.ClaimID == applied.claimID:
+	case existing.ClaimID == op.claimID:
 		return false, nil
-	case !bytes.Equal(existing.Body, applied.body):
+	case !bytes.Equal(existing.Body, op.body):
 		return false, api.NewError(http.StatusConflict, api.CodeKeyConflict, api.OutcomeNotRun, "the key belongs to a call with another body")
 	default:
 		return false, api.NewError(http.StatusConflict, api.CodeAlreadyClaimed, api.OutcomeUnknown, "a call with this key has been started before")
@@ -240,7 +241,7 @@
 // Wait blocks until no write is in progress.
 func (w *Writer) Wait() { w.writes.Wait() }
 
-// sweepDepth is how many expired buckets a sweep looks for.
+// sweepDepth is how many of the newest expired buckets of a shard a sweep deletes.
 const sweepDepth = 5
 
 // Sweep deletes the expired buckets of the shards for which owns is true.
