--- a/machines/list.go
+++ b/machines/list.go
@@ -40,7 +40,7 @@
 	mu       sync.Mutex
 	revision int64
 	machines map[string]Machine
-	// fresh is when the view was last known to be the newest.
+	// fresh is the latest time at which the view was known to be the newest.
 	fresh time.Time
 }
 
--- a/machines/syncer.go
+++ b/machines/syncer.go
@@ -39,7 +39,7 @@
 	Call(ctx context.Context, address string, request *peerpb.Request) (*peerpb.Response, error)
 }
 
-// Syncer keeps a List at the newest view.
+// Syncer keeps a List up to date.
 type Syncer struct {
 	list      *List
 	store     objectapi.Store
