--- a/cmd/reelrun-sim/compare.go
+++ b/cmd/reelrun-sim/compare.go
@@ -137,7 +137,7 @@
 	_, _ = fmt.Fprintln(table, "workload\tseed\tload\tpolicy\tgoodput\twasted\trefused\tlate\tjain\tttft p95\ttbt p95\tvictims\t")
 	for _, o := range outcomes {
 		_, _ = fmt.Fprintf(table, "%s\t%d\t%.2f\t%s\t%.3f\t%.4f\t%.3f\t%.3f\t%.3f\t%.2f\t%.4f\t%.3f\t\n",
-			o.Workload, o.Seed, o.Load, o.Policy, o.Goodput, o.WastedPrefill, o.Refused, o.Late, o.Jain, o.TTFTP95, o.TBTP95, o.VictimGoodput)
+			o.Workload, o.Seed, o.Load, o.Policy, o.Goodput, o.WastedPrefill, o.Rejected, o.Late, o.Jain, o.TTFTP95, o.TBTP95, o.VictimGoodput)
 	}
 	return errors.Wrap(table.Flush(), "write table")
 }
--- a/sim/model/compare.go
+++ b/sim/model/compare.go
@@ -37,7 +37,7 @@
 	Goodput float64 `json:"goodput"`
 	// WastedPrefill is the share of prefilled tokens whose result was never used.
 	WastedPrefill float64 `json:"wasted_prefill"`
-	Refused       float64 `json:"refused"`
+	Rejected      float64 `json:"refused"`
 	Late          float64 `json:"late"`
 	// Jain is the fairness index of the tenants' goodput.
 	Jain    float64 `json:"jain"`
@@ -173,7 +173,7 @@
 	}
 	offered := float64(max(result.Offered, 1))
 	result.Goodput = round(float64(met) / offered)
-	result.Refused = round(float64(refused) / offered)
+	result.Rejected = round(float64(refused) / offered)
 	result.Late = round(float64(late) / offered)
 	result.VictimGoodput = round(float64(victimsMet) / float64(max(victimsOffered, 1)))
 	result.WastedPrefill = round(float64(s.wastedTokens) / float64(max(s.prefilledTokens, 1)))
--- a/sim/model/model_test.go
+++ b/sim/model/model_test.go
@@ -37,7 +37,7 @@
 		}
 		bound := outcomes[len(outcomes)-1].Goodput
 		for _, outcome := range outcomes[:len(outcomes)-1] {
-			sum := outcome.Goodput + outcome.Refused + outcome.Late
+			sum := outcome.Goodput + outcome.Rejected + outcome.Late
 			if sum < 0.999 || sum > 1.001 {
 				t.Errorf("%s %s: goodput, refused and late add up to %f", name, outcome.Policy, sum)
 			}
--- a/sim/model/trace.go
+++ b/sim/model/trace.go
@@ -20,7 +20,7 @@
 // Timing is the result of one request.
 type Timing struct {
 	Answered bool
-	Refused  bool
+	Rejected bool
 	// FirstToken is the time to the first token, Interval the mean time between tokens.
 	FirstToken time.Duration
 	Interval   time.Duration
@@ -57,7 +57,7 @@
 	s.RunUntil(end)
 	timings := make([]Timing, len(jobs))
 	for i, j := range jobs {
-		timings[i] = Timing{Answered: j.state.answered, Refused: j.state.refused}
+		timings[i] = Timing{Answered: j.state.answered, Rejected: j.state.refused}
 		if j.state.answered {
 			timings[i].FirstToken, timings[i].Interval = j.state.firstTokenAt-j.arrival, j.interval()
 		}
--- a/sim/modelcheck/check.go
+++ b/sim/modelcheck/check.go
@@ -48,7 +48,7 @@
 // in seconds; Answered, Refused and Goodput are shares of all requests.
 type Summary struct {
 	Answered    float64 `json:"answered"`
-	Refused     float64 `json:"refused"`
+	Rejected    float64 `json:"refused"`
 	Goodput     float64 `json:"goodput"`
 	TTFTMedian  float64 `json:"ttft_median_s"`
 	TTFTP95     float64 `json:"ttft_p95_s"`
@@ -143,7 +143,7 @@
 			defer calls.Done()
 			result := load.Send(ctx, call)
 			timings[i] = model.Timing{
-				Answered: result.Ending == load.EndingAnswered, Refused: result.Ending == load.EndingRefused,
+				Answered: result.Ending == load.EndingAnswered, Rejected: result.Ending == load.EndingRefused,
 				FirstToken: result.FirstToken, Interval: result.Interval,
 			}
 		}()
@@ -187,12 +187,12 @@
 			if timing.FirstToken <= firstToken && timing.Interval <= tokenInterval {
 				summary.Goodput++
 			}
-		case timing.Refused:
-			summary.Refused++
+		case timing.Rejected:
+			summary.Rejected++
 		}
 	}
 	total := float64(max(len(timings), 1))
-	summary.Answered, summary.Refused, summary.Goodput = summary.Answered/total, summary.Refused/total, summary.Goodput/total
+	summary.Answered, summary.Rejected, summary.Goodput = summary.Answered/total, summary.Rejected/total, summary.Goodput/total
 	summary.TTFTMedian, summary.TTFTP95, summary.IntervalP95 = quantile.Of(first, 0.5), quantile.P95(first), quantile.P95(intervals)
 	return summary
 }
