--- a/cmd/reelrun-sim/standins.go
+++ b/cmd/reelrun-sim/standins.go
@@ -77,7 +77,7 @@
 	flags.DurationVar(&options.Hold, "hold", api.DefaultHold, "time for which a prefill result is kept")
 	flags.DurationVar(&options.StreamRetention, "linger", 5*time.Second, "time for which an ended stream can be read again")
 	flags.DurationVar(&options.LoadLag, "load-lag", 500*time.Millisecond, "age of load reports")
-	flags.BoolVar(&options.ChecksFence, "checks-fence", false, "reject orders with a stale fence")
+	flags.BoolVar(&options.ChecksFencingToken, "checks-fence", false, "reject orders with a stale fence")
 	flags.IntVar(&options.CacheBlocks, "cache-blocks", 4096, "blocks of the prefix cache")
 	flags.DurationVar(&options.CacheDelay, "cache-delay", time.Second, "delay of cache events")
 	flags.Uint64Var(&options.CacheGapEvery, "cache-gap-every", 17, "leave out each event with a number divisible by this; 0 for none")
--- a/sim/enginesim/decode.go
+++ b/sim/enginesim/decode.go
@@ -77,7 +77,7 @@
 		phase: phaseImporting, maxTokens: request.MaxTokens, produced: request.Offset,
 	}
 	if err := e.reserve(s); err != nil {
-		e.record(s, EntryRefused, 0)
+		e.record(s, EntryRejected, 0)
 		return nil, err
 	}
 	header, err := e.importKVCache(ctx, s, request)
@@ -87,7 +87,7 @@
 		if s.phase == phaseImporting {
 			e.remove(s, phaseEnded)
 		}
-		e.record(s, EntryRefused, 0)
+		e.record(s, EntryRejected, 0)
 		return nil, notRunError(http.StatusFailedDependency, api.CodeBackendFailed, "KV transfer failed")
 	}
 	e.mu.Lock()
--- a/sim/enginesim/engine.go
+++ b/sim/enginesim/engine.go
@@ -36,8 +36,8 @@
 	StreamRetention time.Duration
 	// LoadLag is the age of load reports.
 	LoadLag time.Duration
-	// ChecksFence makes the engine reject orders with a stale fencing token.
-	ChecksFence bool
+	// ChecksFencingToken makes the engine reject orders with a stale fencing token.
+	ChecksFencingToken bool
 	// CacheBlocks is the size of the prefix cache. Its events become visible after
 	// CacheDelay, without those whose sequence number is divisible by CacheGapEvery.
 	CacheBlocks   int
--- a/sim/enginesim/ledger.go
+++ b/sim/enginesim/ledger.go
@@ -20,9 +20,9 @@
 	EntryDecodeStart      EntryKind = "decode-start"
 	EntryDecodeDone       EntryKind = "decode-done"
 	EntryDecodeCancelled  EntryKind = "decode-cancelled"
-	EntryRefused          EntryKind = "refused"
+	EntryRejected         EntryKind = "refused"
 	EntryOrderExecuted    EntryKind = "order-taken"
-	EntryOrderRefused     EntryKind = "order-refused"
+	EntryOrderRejected    EntryKind = "order-refused"
 )
 
 // maxEntries bounds the number of entries. Later entries are discarded, but counted in
--- a/sim/enginesim/orders.go
+++ b/sim/enginesim/orders.go
@@ -42,8 +42,8 @@
 func (e *Engine) verifyFence(order engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.ChecksFence && order.FencingToken < e.fence {
-		e.ledger.add(Entry{Kind: EntryOrderRefused, Order: &order})
+	if e.options.ChecksFencingToken && order.FencingToken < e.fence {
+		e.ledger.add(Entry{Kind: EntryOrderRejected, Order: &order})
 		return notRunError(http.StatusConflict, api.CodeConflict, "fence is stale")
 	}
 	e.fence = max(e.fence, order.FencingToken)
--- a/sim/enginesim/prefill.go
+++ b/sim/enginesim/prefill.go
@@ -25,7 +25,7 @@
 	}
 	e.mu.Lock()
 	if err := e.admit(s); err != nil {
-		e.record(s, EntryRefused, 0)
+		e.record(s, EntryRejected, 0)
 		e.mu.Unlock()
 		return engine.PrefillResult{}, err
 	}
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -155,7 +155,7 @@
 
 func (f *Fleet) addEngine(pool api.Pool, member api.Engine) {
 	options := f.Options.Engine
-	options.Name, options.Model, options.Role, options.ChecksFence = member.Name, pool.Model, member.Role, pool.ChecksFence
+	options.Name, options.Model, options.Role, options.ChecksFencingToken = member.Name, pool.Model, member.Role, pool.ChecksFence
 	host, _, _ := net.SplitHostPort(member.Address)
 	options.HTTP = &http.Client{Transport: f.HTTP.Transport(host)}
 	started := &Engine{Engine: enginesim.New(options), Faults: fault.NewInjector(), Host: host}
--- a/sim/rehearsal/roles_test.go
+++ b/sim/rehearsal/roles_test.go
@@ -39,7 +39,7 @@
 				t.Errorf("%s after %d attempts: %v", result.Ending, result.Attempts, result.Failure)
 			}
 		}
-		if refused := countEntries(fleet, enginesim.EntryRefused); refused != 0 {
+		if refused := countEntries(fleet, enginesim.EntryRejected); refused != 0 {
 			t.Errorf("engines refused %d times", refused)
 		}
 		prefills := 0
