--- a/sim/model/bound.go
+++ b/sim/model/bound.go
@@ -46,7 +46,7 @@
 	horizon := (options.Length + longestFirstTokenTarget).Seconds()
 	step := parameters.Step.Time(parameters.Slots, 0).Seconds()
 	decodeRate := float64(parameters.DecodeEngines*parameters.Slots) / step
-	// An answer can take as long as its token interval target allows.
+	// Decoding an output can take as long as the token interval target allows.
 	const longest = longestOutput
 	decodeHorizon := horizon + longest*mix.kinds[len(mix.kinds)-1].tokenInterval.Seconds()
 	best := min(inWindows, countWithin(prefillCosts, prefillRate*horizon), countWithin(decodeCosts, decodeRate*decodeHorizon))
--- a/sim/model/compare.go
+++ b/sim/model/compare.go
@@ -20,7 +20,7 @@
 	// Length is the virtual time over which requests arrive.
 	Length time.Duration
 	// Flood adds one tenant with excessive load, and Fail makes a decode engine
-	// unavailable at the peak.
+	// unavailable for failTime at the peak.
 	Flood bool
 	Fail  bool
 	// Parameters describe the engines.
@@ -71,6 +71,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
+	// The requests have a random stream of their own, so that they are the same for all policies.
 	const requestStream, engineStream, policyStream = 1, 2, 3
 	parameters := options.Parameters
 	rate, prefills := capacity(mix, parameters)
@@ -141,7 +142,7 @@
 func (s *simulation) outcome(jobs []*job, options Options) Outcome {
 	result := Outcome{Workload: options.Workload, Seed: options.Seed, Load: options.Load, Policy: options.Policy}
 	var firstTokens, intervals []time.Duration
-	met, refused, late, victimsOffered, victimsMet := 0, 0, 0, 0, 0
+	met, rejected, late, victimsOffered, victimsMet := 0, 0, 0, 0, 0
 	offeredBy, metBy := map[string]float64{}, map[string]float64{}
 	for _, j := range jobs {
 		if j.disconnects {
@@ -159,8 +160,8 @@
 			if !j.flood {
 				victimsMet++
 			}
-		case j.state.refused:
-			refused++
+		case j.state.rejected:
+			rejected++
 		default:
 			late++
 		}
@@ -173,7 +174,7 @@
 	}
 	offered := float64(max(result.Offered, 1))
 	result.Goodput = round(float64(met) / offered)
-	result.Rejected = round(float64(refused) / offered)
+	result.Rejected = round(float64(rejected) / offered)
 	result.Late = round(float64(late) / offered)
 	result.VictimGoodput = round(float64(victimsMet) / float64(max(victimsOffered, 1)))
 	result.WastedPrefill = round(float64(s.wastedTokens) / float64(max(s.prefilledTokens, 1)))
@@ -190,7 +191,7 @@
 }
 
 // jain returns Jain's fairness index of the tenants' goodput. Tenants with few
-// requests are left out, since their goodput is mostly random.
+// requests are left out, because their goodput is mostly random.
 func jain(offered, met map[string]float64) float64 {
 	const minRequests = 20
 	names := make([]string, 0, len(offered))
--- a/sim/model/engines.go
+++ b/sim/model/engines.go
@@ -32,7 +32,7 @@
 	outputTokens    int
 	firstTokenAt    time.Duration
 	lastTokenAt     time.Duration
-	refused         bool
+	rejected        bool
 	answered        bool
 }
 
@@ -287,7 +287,7 @@
 	j.state.outputTokens++
 }
 
-// finish ends a job; answered is false if the caller did not get the whole answer.
+// finish ends a job; answered is false if the caller did not get the whole output.
 func (s *simulation) finish(j *job, answered bool) {
 	if j.state.phase == phaseDone {
 		return
@@ -313,9 +313,9 @@
 	s.router.capacityChanged()
 }
 
-// refuse ends a job that the router rejected.
-func (s *simulation) refuse(j *job) {
-	j.state.refused = true
+// reject ends a job that the router rejected.
+func (s *simulation) reject(j *job) {
+	j.state.rejected = true
 	j.state.phase = phaseDone
 }
 
--- a/sim/model/model_test.go
+++ b/sim/model/model_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestOutcomesAddUpToOne checks that goodput, refused and late requests add up to one
-// for each policy, and that no policy exceeds the bound.
+// TestOutcomesAddUpToOne checks that the shares of goodput, rejected and late requests
+// add up to one for each policy, and that no policy exceeds the bound.
 func TestOutcomesAddUpToOne(t *testing.T) {
 	for _, name := range Workloads() {
 		outcomes, err := Compare(testOptions(name), Policies())
@@ -39,7 +39,7 @@
 		for _, outcome := range outcomes[:len(outcomes)-1] {
 			sum := outcome.Goodput + outcome.Rejected + outcome.Late
 			if sum < 0.999 || sum > 1.001 {
-				t.Errorf("%s %s: goodput, refused and late add up to %f", name, outcome.Policy, sum)
+				t.Errorf("%s %s: goodput, rejected and late add up to %f", name, outcome.Policy, sum)
 			}
 			if outcome.Goodput > bound || outcome.WastedPrefill < 0 || outcome.WastedPrefill > 1 {
 				t.Errorf("%s %s: goodput %f above the bound %f, or wasted %f", name, outcome.Policy, outcome.Goodput, bound, outcome.WastedPrefill)
--- a/sim/model/parameters.go
+++ b/sim/model/parameters.go
@@ -35,7 +35,7 @@
 	// Patience is how long a caller waits for its first token, as a multiple of the
 	// first-token target.
 	Patience float64
-	// DisconnectShare is the share of callers that disconnect in the middle of an answer.
+	// DisconnectShare is the share of callers that disconnect in the middle of the output.
 	DisconnectShare float64
 	// DecodeEngines is the number of decode engines. The number of prefill engines is
 	// derived from the workload.
--- a/sim/model/policies.go
+++ b/sim/model/policies.go
@@ -158,16 +158,16 @@
 		Prefixes: j.blocks, LateAllowed: j.state.outputTokens > 0,
 	}
 	p.byID[request.ID], p.requests[j] = j, request
-	if refused := p.pool.Submit(p.simulation.Now(), request); refused != nil {
-		p.refuse(j)
+	if rejected := p.pool.Submit(p.simulation.Now(), request); rejected != nil {
+		p.reject(j)
 		return
 	}
 	p.capacityChanged()
 }
 
-func (p *poolRouter) refuse(j *job) {
+func (p *poolRouter) reject(j *job) {
 	p.untrack(j)
-	p.simulation.refuse(j)
+	p.simulation.reject(j)
 }
 
 func (p *poolRouter) untrack(j *job) {
@@ -217,7 +217,7 @@
 		case scheduler.KindDecode:
 			p.simulation.enqueueDecode(j, engineIndex(decision.Decode))
 		case scheduler.KindReject:
-			p.refuse(j)
+			p.reject(j)
 		default:
 		}
 	}
@@ -251,7 +251,7 @@
 type engineChooser func(p *independentRouter, j *job) (prefill, decode int)
 
 // independentRouter assigns each request on arrival by delayed load reports. It has
-// no queue and refuses no request.
+// no queue and rejects no request.
 type independentRouter struct {
 	simulation *simulation
 	allJobs    []*job
--- a/sim/model/trace.go
+++ b/sim/model/trace.go
@@ -57,7 +57,7 @@
 	s.RunUntil(end)
 	timings := make([]Timing, len(jobs))
 	for i, j := range jobs {
-		timings[i] = Timing{Answered: j.state.answered, Rejected: j.state.refused}
+		timings[i] = Timing{Answered: j.state.answered, Rejected: j.state.rejected}
 		if j.state.answered {
 			timings[i].FirstToken, timings[i].Interval = j.state.firstTokenAt-j.arrival, j.interval()
 		}
--- a/sim/model/workload.go
+++ b/sim/model/workload.go
@@ -185,7 +185,7 @@
 	return jobs
 }
 
-// at returns the workload in force at a time of a run.
+// at returns the workload that applies at a time of a run.
 func (w workload) at(at, length time.Duration) workload {
 	if len(w.laterKinds) > 0 && at >= length/2 {
 		w.kinds = w.laterKinds
