--- a/sim/modelcheck/check.go
+++ b/sim/modelcheck/check.go
@@ -45,7 +45,7 @@
 }
 
 // Summary is the result of the trace on the model or on the stand-in engines. Times are
-// in seconds; Answered, Refused and Goodput are shares of all requests.
+// in seconds; Answered, Rejected and Goodput are shares of all requests.
 type Summary struct {
 	Answered    float64 `json:"answered"`
 	Rejected    float64 `json:"refused"`
@@ -127,7 +127,7 @@
 	defer fleet.Close()
 	fleet.StartAll()
 	if !fleet.WaitReady(readyTimeout) {
-		return nil, errors.New("modelcheck: fleet is not ready in time")
+		return nil, errors.New("modelcheck: fleet did not become ready in time")
 	}
 	timings := make([]model.Timing, len(trace))
 	start := time.Now()
