--- a/sim/enginesim/decode.go
+++ b/sim/enginesim/decode.go
@@ -154,7 +154,7 @@
 	return header, nil
 }
 
-// generate adds one token per step until the answer is complete or cancelled.
+// generate adds one token per step until the output is complete or cancelled.
 func (e *Engine) generate(s *stream) {
 	for {
 		sleep(s.ctx, e.stepTime())
@@ -212,7 +212,7 @@
 }
 
 // Read calls emit for each token from the offset on until the stream ends, and returns
-// the length of the whole answer.
+// the length of the whole output.
 func (e *Engine) Read(ctx context.Context, s *stream, offset int, emit func(engine.Token) error) (int, error) {
 	e.mu.Lock()
 	s.readers++
--- a/sim/enginesim/engine.go
+++ b/sim/enginesim/engine.go
@@ -96,19 +96,20 @@
 	linkLimiter *rate.Limiter
 	ledger      ledger
 
-	mu         sync.Mutex
-	role       api.Role
-	version    string
-	adapters   []string
-	fence      uint64
-	orders     map[string]bool
-	streams    map[engine.Attempt]*stream
-	tombstones map[engine.Attempt]time.Time
-	queue      []*stream
-	prefilling bool
-	cache      *prefixCache
-	reports    []timestampedLoad
-	finished   int
+	mu       sync.Mutex
+	role     api.Role
+	version  string
+	adapters []string
+	// fencingToken is the highest fencing token of the orders so far.
+	fencingToken uint64
+	orders       map[string]bool
+	streams      map[engine.Attempt]*stream
+	tombstones   map[engine.Attempt]time.Time
+	queue        []*stream
+	prefilling   bool
+	cache        *prefixCache
+	reports      []timestampedLoad
+	finished     int
 }
 
 type timestampedLoad struct {
--- a/sim/enginesim/orders.go
+++ b/sim/enginesim/orders.go
@@ -14,7 +14,7 @@
 // ExecuteOrder carries out an order. Executing the same order again sets the same values
 // and adds another ledger entry.
 func (e *Engine) ExecuteOrder(ctx context.Context, order engine.Order) error {
-	if err := e.verifyFence(order); err != nil {
+	if err := e.verifyFencingToken(order); err != nil {
 		return err
 	}
 	if order.Kind == engine.OrderModel && e.options.LoadModel != nil {
@@ -39,13 +39,13 @@
 	return nil
 }
 
-func (e *Engine) verifyFence(order engine.Order) error {
+func (e *Engine) verifyFencingToken(order engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.ChecksFencingToken && order.FencingToken < e.fence {
+	if e.options.ChecksFencingToken && order.FencingToken < e.fencingToken {
 		e.ledger.add(Entry{Kind: EntryOrderRejected, Order: &order})
-		return notRunError(http.StatusConflict, api.CodeConflict, "fence is stale")
+		return notRunError(http.StatusConflict, api.CodeConflict, "fencing token is stale")
 	}
-	e.fence = max(e.fence, order.FencingToken)
+	e.fencingToken = max(e.fencingToken, order.FencingToken)
 	return nil
 }
