--- a/sim/enginesim/decode.go
+++ b/sim/enginesim/decode.go
@@ -77,7 +77,7 @@
 		phase: phaseImporting, maxTokens: request.MaxTokens, produced: request.Offset,
 	}
 	if err := e.reserve(s); err != nil {
-		e.record(s, EntryRefused, 0)
+		e.record(s, EntryRejected, 0)
 		return nil, err
 	}
 	header, err := e.importKVCache(ctx, s, request)
@@ -87,7 +87,7 @@
 		if s.phase == phaseImporting {
 			e.remove(s, phaseEnded)
 		}
-		e.record(s, EntryRefused, 0)
+		e.record(s, EntryRejected, 0)
 		return nil, notRunError(http.StatusFailedDependency, api.CodeBackendFailed, "KV transfer failed")
 	}
 	e.mu.Lock()
@@ -154,7 +154,7 @@
 	return header, nil
 }
 
-// generate adds one token per step until the answer is complete or cancelled.
+// generate adds one token per step until the output is complete or cancelled.
 func (e *Engine) generate(s *stream) {
 	for {
 		sleep(s.ctx, e.stepTime())
@@ -212,7 +212,7 @@
 }
 
 // Read calls emit for each token from the offset on until the stream ends, and returns
-// the length of the whole answer.
+// the length of the whole output.
 func (e *Engine) Read(ctx context.Context, s *stream, offset int, emit func(engine.Token) error) (int, error) {
 	e.mu.Lock()
 	s.readers++
