--- a/claim/property_test.go
+++ b/claim/property_test.go
@@ -38,7 +38,7 @@
 		pause:   time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond,
 		owners:  [2]int{rapid.IntRange(0, 2).Draw(t, "owner"), rapid.IntRange(0, 2).Draw(t, "successor")},
 		slow:    time.Duration(rapid.SampledFrom([]int{0, 0, 1000, 1800, 5000, 700_000}).Draw(t, "slow")) * time.Millisecond,
-		effects: rapid.SliceOfN(rapid.SampledFrom([]platformsim.Effect{platformsim.Pass, platformsim.Pass, platformsim.Refuse, platformsim.DropReply}), 0, 6).Draw(t, "effects"),
+		effects: rapid.SliceOfN(rapid.SampledFrom([]platformsim.Effect{platformsim.Pass, platformsim.Pass, platformsim.Reject, platformsim.DropReply}), 0, 6).Draw(t, "effects"),
 	}
 }
 
@@ -263,7 +263,7 @@
 
 func TestOutageIsReportedAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect { return platformsim.Refuse })
+		flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect { return platformsim.Reject })
 		writer := NewWriter(flaky, metrics.NewSet(), time.Now)
 		id, err := uuid.NewV7()
 		if err != nil {
--- a/sim/platformsim/flaky.go
+++ b/sim/platformsim/flaky.go
@@ -10,11 +10,11 @@
 // Effect is what a FaultyStore does with one call.
 type Effect int
 
-// The effects. Refuse fails a call without executing it; DropReply executes a
+// The effects. Reject fails a call without executing it; DropReply executes a
 // write and returns an error for it.
 const (
 	Pass Effect = iota
-	Refuse
+	Reject
 	DropReply
 )
 
@@ -44,7 +44,7 @@
 func (f *FaultyStore) Injected() (refused, dropped int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.counts[Refuse], f.counts[DropReply]
+	return f.counts[Reject], f.counts[DropReply]
 }
 
 func (f *FaultyStore) effect(write bool) Effect {
@@ -74,7 +74,7 @@
 // Put implements objectapi.Store.
 func (f *FaultyStore) Put(ctx context.Context, object objectapi.Object) (objectapi.Object, error) {
 	switch f.effect(true) {
-	case Refuse:
+	case Reject:
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	case DropReply:
 		_, _ = f.Store.Put(ctx, object)
@@ -87,7 +87,7 @@
 // Delete implements objectapi.Store.
 func (f *FaultyStore) Delete(ctx context.Context, kind objectapi.Kind, name string, version int64) error {
 	switch f.effect(true) {
-	case Refuse:
+	case Reject:
 		return objectapi.ErrUnavailable
 	case DropReply:
 		_ = f.Store.Delete(ctx, kind, name, version)
