--- a/sim/platformsim/flaky.go
+++ b/sim/platformsim/flaky.go
@@ -40,8 +40,8 @@
 	f.decide = decide
 }
 
-// Injected returns the numbers of refused calls and of dropped replies.
-func (f *FaultyStore) Injected() (refused, dropped int) {
+// Injected returns the numbers of rejected calls and of dropped replies.
+func (f *FaultyStore) Injected() (rejected, dropped int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts[Reject], f.counts[DropReply]
