--- a/sim/memnet/conn.go
+++ b/sim/memnet/conn.go
@@ -27,7 +27,7 @@
 	bytes, frames atomic.Int64
 }
 
-// Traffic is the amount that a host has sent so far.
+// Traffic counts the bytes and frames that a host has sent.
 type Traffic struct{ Bytes, Frames int64 }
 
 // Sent returns the traffic that a host has sent so far.
--- a/sim/memnet/http.go
+++ b/sim/memnet/http.go
@@ -28,22 +28,22 @@
 }
 
 // Handle sets the handler of an address.
-func (w *HTTPNetwork) Handle(address string, handler http.Handler) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.handlers[address] = handler
+func (n *HTTPNetwork) Handle(address string, handler http.Handler) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.handlers[address] = handler
 }
 
 // Abort aborts every exchange that the function selects, and returns their number.
-func (w *HTTPNetwork) Abort(selected func(Link) bool) int {
-	w.mu.Lock()
+func (n *HTTPNetwork) Abort(selected func(Link) bool) int {
+	n.mu.Lock()
 	var ended []*exchange
-	for open := range w.exchanges {
+	for open := range n.exchanges {
 		if selected(open.link) {
 			ended = append(ended, open)
 		}
 	}
-	w.mu.Unlock()
+	n.mu.Unlock()
 	for _, open := range ended {
 		open.abort()
 	}
@@ -51,20 +51,20 @@
 }
 
 // Kill stops serving a host's addresses and aborts every exchange from or to it.
-func (w *HTTPNetwork) Kill(host string) {
-	w.mu.Lock()
-	for served := range w.handlers {
+func (n *HTTPNetwork) Kill(host string) {
+	n.mu.Lock()
+	for served := range n.handlers {
 		if hostOf(served) == host {
-			delete(w.handlers, served)
+			delete(n.handlers, served)
 		}
 	}
-	w.mu.Unlock()
-	w.Abort(func(link Link) bool { return link.From == host || link.To == host })
+	n.mu.Unlock()
+	n.Abort(func(link Link) bool { return link.From == host || link.To == host })
 }
 
 // Transport returns the HTTP transport of a host.
-func (w *HTTPNetwork) Transport(from string) http.RoundTripper {
-	return &transport{network: w, from: from}
+func (n *HTTPNetwork) Transport(from string) http.RoundTripper {
+	return &transport{network: n, from: from}
 }
 
 type transport struct {
@@ -115,14 +115,14 @@
 	t.network.exchanges[open] = struct{}{}
 	t.network.mu.Unlock()
 	stop := context.AfterFunc(request.Context(), open.abort)
-	answer := &responseWriter{header: http.Header{}, exchange: open, filter: t.network.filter, started: make(chan struct{})}
+	response := &responseWriter{header: http.Header{}, exchange: open, filter: t.network.filter, started: make(chan struct{})}
 	go func() {
 		defer t.network.remove(open)
 		defer stop()
-		serve(handler, answer, serverSide(ctx, request))
+		serve(handler, response, serverSide(ctx, request))
 	}()
 	select {
-	case <-answer.started:
+	case <-response.started:
 	case <-open.ended:
 		if request.Context().Err() != nil {
 			return nil, request.Context().Err()
@@ -133,16 +133,16 @@
 		return nil, ErrAborted
 	}
 	return &http.Response{
-		StatusCode: answer.status, Header: answer.sent, Request: request, ContentLength: -1,
+		StatusCode: response.status, Header: response.sent, Request: request, ContentLength: -1,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Body: &body{PipeReader: reader, exchange: open},
 	}, nil
 }
 
-func (w *HTTPNetwork) remove(open *exchange) {
-	w.mu.Lock()
-	delete(w.exchanges, open)
-	w.mu.Unlock()
+func (n *HTTPNetwork) remove(open *exchange) {
+	n.mu.Lock()
+	delete(n.exchanges, open)
+	n.mu.Unlock()
 	open.cancel()
 }
 
@@ -158,20 +158,20 @@
 
 // serve runs the handler and ends the response, or aborts it if the handler
 // panics with http.ErrAbortHandler.
-func serve(handler http.Handler, answer *responseWriter, request *http.Request) {
+func serve(handler http.Handler, response *responseWriter, request *http.Request) {
 	defer func() {
 		failure := recover()
 		if err, ok := failure.(error); ok && errors.Is(err, http.ErrAbortHandler) {
-			answer.exchange.abort()
+			response.exchange.abort()
 			return
 		}
 		if failure != nil {
 			panic(failure)
 		}
-		answer.WriteHeader(http.StatusOK)
-		_ = answer.exchange.body.Close()
+		response.WriteHeader(http.StatusOK)
+		_ = response.exchange.body.Close()
 	}()
-	handler.ServeHTTP(answer, request)
+	handler.ServeHTTP(response, request)
 }
 
 type responseWriter struct {
