--- a/sim/certificates/authority.go
+++ b/sim/certificates/authority.go
@@ -38,7 +38,7 @@
 	Authority string
 }
 
-// Options configure an authority.
+// Options configures an Authority.
 type Options struct {
 	// Validity is how long its certificates are valid. The default is 24h.
 	Validity time.Duration
