--- a/admission/meter_test.go
+++ b/admission/meter_test.go
@@ -57,14 +57,14 @@
 func TestChoosePrefersSameZone(t *testing.T) {
 	for name, test := range map[string]struct {
 		plan  admission.Plan
-		home  admission.Candidate
+		local admission.Candidate
 		stays bool
 	}{
-		"no plan":   {home: admission.Candidate{ID: "home"}, stays: true},
-		"spare":     {plan: planOf(admission.BackendPlan{ID: "home", Weight: 1, Utilization: 0.5}), home: admission.Candidate{ID: "home"}, stays: true},
-		"full":      {plan: planOf(admission.BackendPlan{ID: "home", Weight: 1, Utilization: 1}), home: admission.Candidate{ID: "home"}},
-		"failing":   {plan: planOf(admission.BackendPlan{ID: "home", Weight: 0.02}), home: admission.Candidate{ID: "home"}},
-		"rejecting": {home: admission.Candidate{ID: "home", Full: true}},
+		"no plan":   {local: admission.Candidate{ID: "home"}, stays: true},
+		"spare":     {plan: planOf(admission.BackendPlan{ID: "home", Weight: 1, Utilization: 0.5}), local: admission.Candidate{ID: "home"}, stays: true},
+		"full":      {plan: planOf(admission.BackendPlan{ID: "home", Weight: 1, Utilization: 1}), local: admission.Candidate{ID: "home"}},
+		"failing":   {plan: planOf(admission.BackendPlan{ID: "home", Weight: 0.02}), local: admission.Candidate{ID: "home"}},
+		"rejecting": {local: admission.Candidate{ID: "home", Full: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -72,9 +72,9 @@
 			if test.plan.Interval > 0 {
 				gate.Put(0, "s", test.plan)
 			}
-			home := test.home
-			home.SameZone = true
-			candidates := []admission.Candidate{{ID: "away1"}, {ID: "away2"}, home}
+			local := test.local
+			local.SameZone = true
+			candidates := []admission.Candidate{{ID: "away1"}, {ID: "away2"}, local}
 			g.Expect(gate.Choose(0, "s", candidates, func() float64 { return 0.5 }) == 2).To(Equal(test.stays))
 		})
 	}
--- a/admission/replay_test.go
+++ b/admission/replay_test.go
@@ -14,11 +14,11 @@
 )
 
 // replay simulates callers, nodes and the backends of one plain service in virtual time. Backends run some
-// requests at once, queue some more, and reject the rest.
+// requests concurrently, queue some more, and reject the rest.
 type replay struct {
 	queue  eventqueue.Queue
 	random *rand.Rand
-	plan   load
+	load   load
 
 	controller *admission.Controller
 	nodes      []*replayNode
@@ -58,16 +58,16 @@
 
 // replayCounts counts the outcomes of callers' requests, from their first attempt.
 type replayCounts struct {
-	asked, inTime, late, rejected, failed, arrivals, notAdmitted int
+	requests, inTime, late, rejected, failed, arrivals, notAdmitted int
 }
 
-func (c replayCounts) inTimeShare() float64 { return float64(c.inTime) / float64(c.asked) }
+func (c replayCounts) inTimeShare() float64 { return float64(c.inTime) / float64(c.requests) }
 
 type replayNode struct {
-	world *replay
-	zone  int
-	meter *admission.Meter
-	gate  *admission.Gate
+	replay *replay
+	zone   int
+	meter  *admission.Meter
+	gate   *admission.Gate
 	// pending is the node's requests in flight at each backend.
 	pending []int
 }
@@ -83,97 +83,98 @@
 
 // caller is one request of a caller, over its attempts.
 type caller struct {
-	asked    time.Duration
-	attempts int
+	arrivedAt time.Duration
+	attempts  int
 }
 
 const replayZones = 3
 
-func play(plan load) replayCounts {
-	world := build(plan)
-	world.queue.RunUntil(replayLength + replayWait)
-	return world.counts
+// run replays a load and returns its counts.
+func run(described load) replayCounts {
+	simulated := newReplay(described)
+	simulated.queue.RunUntil(replayLength + replayWait)
+	return simulated.counts
 }
 
-// build schedules the first events of a load.
-func build(plan load) *replay {
-	world := &replay{random: rand.New(rand.NewPCG(1, uint64(plan.nodes))), plan: plan}
-	for i := range plan.backends {
+// newReplay returns a replay with the first events of a load scheduled.
+func newReplay(described load) *replay {
+	simulated := &replay{random: rand.New(rand.NewPCG(1, uint64(described.nodes))), load: described}
+	for i := range described.backends {
 		backend := &replayBackend{id: fmt.Sprint("b", i), zone: i % replayZones, slowness: 1}
 		if i == 0 {
-			backend.slowness, backend.failing = max(1, plan.slowness), plan.failing
+			backend.slowness, backend.failing = max(1, described.slowness), described.failing
 		}
-		if i < plan.lossy {
-			backend.failing = plan.lossRate
+		if i < described.lossy {
+			backend.failing = described.lossRate
 		}
-		world.backends = append(world.backends, backend)
+		simulated.backends = append(simulated.backends, backend)
 	}
-	for i := range plan.nodes {
-		world.nodes = append(world.nodes, &replayNode{
-			world: world, zone: i % replayZones, meter: admission.NewMeter(fmt.Sprint("n", i)), gate: admission.NewGate(),
-			pending: make([]int, plan.backends),
+	for i := range described.nodes {
+		simulated.nodes = append(simulated.nodes, &replayNode{
+			replay: simulated, zone: i % replayZones, meter: admission.NewMeter(fmt.Sprint("n", i)), gate: admission.NewGate(),
+			pending: make([]int, described.backends),
 		})
 	}
 	slots := map[string]int{}
-	for _, backend := range world.backends {
+	for _, backend := range simulated.backends {
 		slots[backend.id] = replaySlots
 	}
-	world.controller = admission.NewController(admission.Options{
-		Slots: func(string) map[string]int { return slots }, Nodes: func() int { return plan.nodes },
+	simulated.controller = admission.NewController(admission.Options{
+		Slots: func(string) map[string]int { return slots }, Nodes: func() int { return described.nodes },
 	})
-	world.arrive()
-	for _, node := range world.nodes {
-		world.queue.After(time.Duration(world.random.Int64N(int64(replayReportInterval))), node.sendReports)
+	simulated.arrive()
+	for _, node := range simulated.nodes {
+		simulated.queue.After(time.Duration(simulated.random.Int64N(int64(replayReportInterval))), node.sendReports)
 	}
-	return world
+	return simulated
 }
 
 // arrive schedules the arrival of the next caller.
-func (w *replay) arrive() {
-	rate := w.plan.rate
-	if now := w.queue.Now(); now >= replayBurstStart && now < replayBurstEnd {
-		rate = w.plan.burst
+func (r *replay) arrive() {
+	rate := r.load.rate
+	if now := r.queue.Now(); now >= replayBurstStart && now < replayBurstEnd {
+		rate = r.load.burst
 	}
-	w.queue.After(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		if w.queue.Now() > replayLength {
+	r.queue.After(time.Duration(r.random.ExpFloat64()/rate*float64(time.Second)), func() {
+		if r.queue.Now() > replayLength {
 			return
 		}
-		w.counts.asked++
-		w.ask(&caller{asked: w.queue.Now()})
-		w.arrive()
+		r.counts.requests++
+		r.send(&caller{arrivedAt: r.queue.Now()})
+		r.arrive()
 	})
 }
 
-// ask sends a caller's request to a random node.
-func (w *replay) ask(from *caller) {
-	node := w.nodes[w.random.IntN(len(w.nodes))]
-	w.queue.After(replayLink, func() { node.serve(from) })
+// send sends a caller's request to a random node.
+func (r *replay) send(from *caller) {
+	node := r.nodes[r.random.IntN(len(r.nodes))]
+	r.queue.After(replayLink, func() { node.serve(from) })
 }
 
 // sendReports sends the reports that are due and applies the plans.
 func (n *replayNode) sendReports() {
-	w := n.world
-	w.queue.After(replayReportInterval, n.sendReports)
-	if w.plan.ungated {
+	r := n.replay
+	r.queue.After(replayReportInterval, n.sendReports)
+	if r.load.ungated {
 		return
 	}
-	now := w.queue.Now()
+	now := r.queue.Now()
 	for _, report := range n.meter.Due(now, func(service string) time.Duration { return n.gate.Interval(now, service) }) {
-		w.queue.After(replayLink, func() {
-			plan := w.controller.HandleReport(w.queue.Now(), report)
-			w.queue.After(replayLink, func() { n.gate.Put(w.queue.Now(), report.Service, plan) })
+		r.queue.After(replayLink, func() {
+			plan := r.controller.HandleReport(r.queue.Now(), report)
+			r.queue.After(replayLink, func() { n.gate.Put(r.queue.Now(), report.Service, plan) })
 		})
 	}
 }
 
 func (n *replayNode) serve(from *caller) {
-	w := n.world
+	r := n.replay
 	retry := from.attempts > 0
 	from.attempts++
-	decision := n.gate.Admit(w.queue.Now(), "s", retry, w.random.Float64)
-	n.meter.Offered(w.queue.Now(), "s", replayObjective, retry, decision.Admitted)
+	decision := n.gate.Admit(r.queue.Now(), "s", retry, r.random.Float64)
+	n.meter.Offered(r.queue.Now(), "s", replayObjective, retry, decision.Admitted)
 	if !decision.Admitted {
-		w.counts.notAdmitted++
+		r.counts.notAdmitted++
 		n.reject(from, decision.RetryAfter)
 		return
 	}
@@ -182,20 +183,20 @@
 
 // reject makes a caller retry once, within a third of its remaining wait.
 func (n *replayNode) reject(from *caller, after time.Duration) {
-	w := n.world
+	r := n.replay
 	if from.attempts > 1 {
-		w.counts.rejected++
+		r.counts.rejected++
 		return
 	}
-	left := replayWait - (w.queue.Now() - from.asked)
-	w.queue.After(min(after, left/3), func() { w.ask(from) })
+	remaining := replayWait - (r.queue.Now() - from.arrivedAt)
+	r.queue.After(min(after, remaining/3), func() { r.send(from) })
 }
 
 const replaySends = 3
 
 // send sends a request to a backend that has not rejected it.
 func (n *replayNode) send(from *caller, tried map[int]bool) {
-	w := n.world
+	r := n.replay
 	if len(tried) >= replaySends {
 		n.reject(from, 400*time.Millisecond)
 		return
@@ -203,13 +204,13 @@
 	at := n.choose(tried)
 	tried[at] = true
 	n.pending[at]++
-	ended := n.meter.Begin(w.queue.Now(), "s", w.backends[at].id)
-	w.counts.arrivals++
-	w.queue.After(replayLink, func() {
-		w.backends[at].handle(w, func(outcome admission.Outcome) {
-			w.queue.After(replayLink, func() {
+	ended := n.meter.Begin(r.queue.Now(), "s", r.backends[at].id)
+	r.counts.arrivals++
+	r.queue.After(replayLink, func() {
+		r.backends[at].handle(r, func(outcome admission.Outcome) {
+			r.queue.After(replayLink, func() {
 				n.pending[at]--
-				ended(w.queue.Now(), outcome)
+				ended(r.queue.Now(), outcome)
 				n.ended(from, tried, outcome)
 			})
 		})
@@ -219,31 +220,31 @@
 func (n *replayNode) choose(tried map[int]bool) int {
 	var candidates []admission.Candidate
 	var indices []int
-	for i, backend := range n.world.backends {
+	for i, backend := range n.replay.backends {
 		if !tried[i] {
 			candidates = append(candidates, admission.Candidate{ID: backend.id, SameZone: backend.zone == n.zone, Pending: n.pending[i]})
 			indices = append(indices, i)
 		}
 	}
-	if n.world.plan.ungated {
-		return indices[n.world.random.IntN(len(indices))]
+	if n.replay.load.ungated {
+		return indices[n.replay.random.IntN(len(indices))]
 	}
-	return indices[n.gate.Choose(n.world.queue.Now(), "s", candidates, n.world.random.Float64)]
+	return indices[n.gate.Choose(n.replay.queue.Now(), "s", candidates, n.replay.random.Float64)]
 }
 
 func (n *replayNode) ended(from *caller, tried map[int]bool, outcome admission.Outcome) {
-	counts := &n.world.counts
+	counts := &n.replay.counts
 	switch outcome {
 	case admission.OutcomeRejected:
 		n.send(from, tried)
 	case admission.OutcomeFailed:
-		if n.world.plan.lossy > 0 && len(tried) == 1 {
+		if n.replay.load.lossy > 0 && len(tried) == 1 {
 			n.send(from, tried)
 			return
 		}
 		counts.failed++
 	default:
-		if n.world.queue.Now()-from.asked <= replayObjective {
+		if n.replay.queue.Now()-from.arrivedAt <= replayObjective {
 			counts.inTime++
 		} else {
 			counts.late++
@@ -252,18 +253,18 @@
 }
 
 // handle runs a request, or queues or rejects it.
-func (b *replayBackend) handle(w *replay, done func(admission.Outcome)) {
+func (b *replayBackend) handle(r *replay, done func(admission.Outcome)) {
 	work := func() {
 		b.busy++
-		took := time.Duration(float64(replayWork) * b.slowness * math.Exp(0.5*w.random.NormFloat64()-0.125))
-		w.queue.After(took, func() {
+		took := time.Duration(float64(replayWork) * b.slowness * math.Exp(0.5*r.random.NormFloat64()-0.125))
+		r.queue.After(took, func() {
 			b.busy--
 			if len(b.waiting) > 0 {
 				next := b.waiting[0]
 				b.waiting = b.waiting[1:]
 				next()
 			}
-			if w.random.Float64() < b.failing {
+			if r.random.Float64() < b.failing {
 				done(admission.OutcomeFailed)
 				return
 			}
@@ -289,8 +290,8 @@
 	for _, nodes := range fleets {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			g := NewWithT(t)
-			ungated := play(load{nodes: nodes, backends: 6, rate: 220, burst: 760, ungated: true})
-			counts := play(load{nodes: nodes, backends: 6, rate: 220, burst: 760})
+			ungated := run(load{nodes: nodes, backends: 6, rate: 220, burst: 760, ungated: true})
+			counts := run(load{nodes: nodes, backends: 6, rate: 220, burst: 760})
 			t.Logf("ungated %.3f %+v", ungated.inTimeShare(), ungated)
 			t.Logf("gate  %.3f %+v", counts.inTimeShare(), counts)
 			g.Expect(counts.inTimeShare()).To(BeNumerically(">=", 0.75))
@@ -305,9 +306,9 @@
 		for _, burst := range []float64{220, 480} {
 			t.Run(fmt.Sprint(nodes, " nodes, ", burst), func(t *testing.T) {
 				g := NewWithT(t)
-				counts := play(load{nodes: nodes, backends: 6, rate: 220, burst: burst})
+				counts := run(load{nodes: nodes, backends: 6, rate: 220, burst: burst})
 				t.Logf("%.3f %+v", counts.inTimeShare(), counts)
-				g.Expect(counts.notAdmitted).To(BeNumerically("<", counts.asked/500))
+				g.Expect(counts.notAdmitted).To(BeNumerically("<", counts.requests/500))
 				g.Expect(counts.inTimeShare()).To(BeNumerically(">=", 0.97))
 			})
 		}
@@ -322,8 +323,8 @@
 	for _, nodes := range extremes {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			g := NewWithT(t)
-			ungated := play(load{nodes: nodes, backends: 6, rate: 220, burst: 400, slowness: 5, ungated: true})
-			counts := play(load{nodes: nodes, backends: 6, rate: 220, burst: 400, slowness: 5})
+			ungated := run(load{nodes: nodes, backends: 6, rate: 220, burst: 400, slowness: 5, ungated: true})
+			counts := run(load{nodes: nodes, backends: 6, rate: 220, burst: 400, slowness: 5})
 			t.Logf("ungated %.3f %+v", ungated.inTimeShare(), ungated)
 			t.Logf("gate  %.3f %+v", counts.inTimeShare(), counts)
 			g.Expect(counts.inTimeShare()).To(BeNumerically(">=", 0.93))
@@ -331,14 +332,14 @@
 	}
 }
 
-// TestFailingBackend checks that all nodes avoid a backend that fails most of its requests at once, though each
-// has seen few of the failures.
+// TestFailingBackend checks that all nodes avoid a backend that fails most of its requests immediately, though
+// each has seen few of the failures.
 func TestFailingBackend(t *testing.T) {
 	for _, nodes := range extremes {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			g := NewWithT(t)
-			ungated := play(load{nodes: nodes, backends: 6, rate: 220, burst: 300, failing: 0.8, ungated: true})
-			counts := play(load{nodes: nodes, backends: 6, rate: 220, burst: 300, failing: 0.8})
+			ungated := run(load{nodes: nodes, backends: 6, rate: 220, burst: 300, failing: 0.8, ungated: true})
+			counts := run(load{nodes: nodes, backends: 6, rate: 220, burst: 300, failing: 0.8})
 			t.Logf("ungated %.3f %+v", ungated.inTimeShare(), ungated)
 			t.Logf("gate  %.3f %+v", counts.inTimeShare(), counts)
 			g.Expect(counts.failed).To(BeNumerically("<", ungated.failed/3))
@@ -353,9 +354,9 @@
 	for _, nodes := range extremes {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			g := NewWithT(t)
-			counts := play(load{nodes: nodes, backends: 10, rate: 386, burst: 700, lossy: 6, lossRate: 0.4})
+			counts := run(load{nodes: nodes, backends: 10, rate: 386, burst: 700, lossy: 6, lossRate: 0.4})
 			t.Logf("gate  %.3f %+v", counts.inTimeShare(), counts)
-			g.Expect(counts.notAdmitted).To(BeNumerically("<", counts.asked/33))
+			g.Expect(counts.notAdmitted).To(BeNumerically("<", counts.requests/33))
 		})
 	}
 }
