--- a/quota/replay_test.go
+++ b/quota/replay_test.go
@@ -47,8 +47,8 @@
 	now        time.Duration
 	// used holds each tenant's usage, by step.
 	used [][]float64
-	// asked and rejected count requests by tenant.
-	asked, rejected []int
+	// requests counts the requests by tenant, rejected those that were rejected.
+	requests, rejected []int
 	// calls counts messages to coordinators.
 	calls int
 }
@@ -74,7 +74,7 @@
 		r.recent = append(r.recent, &recentUsage{})
 		r.presentAt = append(r.presentAt, -time.Hour)
 	}
-	r.used, r.asked, r.rejected = make([][]float64, tenants), make([]int, tenants), make([]int, tenants)
+	r.used, r.requests, r.rejected = make([][]float64, tenants), make([]int, tenants), make([]int, tenants)
 	return r
 }
 
@@ -126,7 +126,7 @@
 		used := 0.0
 		for requests := r.poisson(expected); requests > 0; requests-- {
 			units := meanCost * (0.4 + 1.2*r.random.Float64())
-			r.asked[i]++
+			r.requests[i]++
 			if r.charge(r.random.IntN(r.nodes), i, units) {
 				used += units
 			} else {
@@ -147,7 +147,7 @@
 	return count
 }
 
-func (r *replay) play(duration time.Duration, load func(tenant int) float64) {
+func (r *replay) run(duration time.Duration, load func(tenant int) float64) {
 	for until := r.now + duration; r.now < until; {
 		r.step(load)
 	}
@@ -172,11 +172,11 @@
 
 // rejectedShare returns the rejected share of the requests of all tenants but the first.
 func (r *replay) rejectedShare() float64 {
-	asked, rejected := 0, 0
+	requests, rejected := 0, 0
 	for i := 1; i < len(r.tenants); i++ {
-		asked, rejected = asked+r.asked[i], rejected+r.rejected[i]
+		requests, rejected = requests+r.requests[i], rejected+r.rejected[i]
 	}
-	return float64(rejected) / float64(max(1, asked))
+	return float64(rejected) / float64(max(1, requests))
 }
 
 // hotFirst makes the first tenant send many times its usual load, and the others theirs.
@@ -195,18 +195,18 @@
 	for _, nodes := range []int{8, 60, 295, 410} {
 		for _, coordinated := range []bool{false, true} {
 			g := NewWithT(t)
-			played := newReplay(1, nodes, 16, 1)
+			simulated := newReplay(1, nodes, 16, 1)
 			for node := range nodes {
 				if coordinated {
-					played.setCoordinator(node, 0)
+					simulated.setCoordinator(node, 0)
 				}
 			}
-			played.play(10*time.Second, usual)
-			played.play(7*time.Second, hotFirst)
-			played.play(10*time.Second, usual)
-			overshoot, rejected := played.worstOvershoot(0), played.rejectedShare()
+			simulated.run(10*time.Second, usual)
+			simulated.run(7*time.Second, hotFirst)
+			simulated.run(10*time.Second, usual)
+			overshoot, rejected := simulated.worstOvershoot(0), simulated.rejectedShare()
 			t.Logf("nodes %d, coordinated %v: worst window %+.3f, rejected below the limit %.4f, calls a node and second %.2f",
-				nodes, coordinated, overshoot, rejected, float64(played.calls)/float64(nodes)/played.now.Seconds())
+				nodes, coordinated, overshoot, rejected, float64(simulated.calls)/float64(nodes)/simulated.now.Seconds())
 			if coordinated {
 				g.Expect(overshoot).To(BeNumerically("<", toleratedOvershoot))
 				g.Expect(rejected).To(BeNumerically("<", 0.005))
@@ -228,27 +228,27 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		nodes := rapid.SampledFrom([]int{8, 30, 60}).Draw(t, "nodes")
-		played := newReplay(rapid.Uint64().Draw(t, "seed"), nodes, 4, 3)
+		simulated := newReplay(rapid.Uint64().Draw(t, "seed"), nodes, 4, 3)
 		for node := range nodes {
-			played.setCoordinator(node, 0)
+			simulated.setCoordinator(node, 0)
 		}
-		played.play(3*time.Second, usual)
+		simulated.run(3*time.Second, usual)
 		for range rapid.IntRange(1, 2).Draw(t, "changes") {
 			// A minority has no coordinator; the majority may have two.
 			cut := rapid.IntRange(0, nodes/2).Draw(t, "cut")
 			first, second := rapid.IntRange(0, 2).Draw(t, "first"), rapid.IntRange(-1, 2).Draw(t, "second")
 			for node := range nodes {
 				if node < cut {
-					played.setCoordinator(node, second)
+					simulated.setCoordinator(node, second)
 				} else {
-					played.setCoordinator(node, first)
+					simulated.setCoordinator(node, first)
 				}
 			}
-			played.play(time.Duration(rapid.IntRange(2000, 6000).Draw(t, "lasting"))*time.Millisecond, hotFirst)
+			simulated.run(time.Duration(rapid.IntRange(2000, 6000).Draw(t, "lasting"))*time.Millisecond, hotFirst)
 		}
-		g.Expect(played.worstOvershoot(0)).To(BeNumerically("<", toleratedOvershoot+slack+margin))
+		g.Expect(simulated.worstOvershoot(0)).To(BeNumerically("<", toleratedOvershoot+slack+margin))
 		// Up to half of the nodes reach no coordinator, and serve by a single node's share.
-		g.Expect(played.rejectedShare()).To(BeNumerically("<", 0.5))
+		g.Expect(simulated.rejectedShare()).To(BeNumerically("<", 0.5))
 	})
 }
 
