--- a/backend/notice_test.go
+++ b/backend/notice_test.go
@@ -142,8 +142,8 @@
 	g.Expect(registry.Ready("first", backend.RoleNone)).To(HaveLen(1))
 }
 
-// TestLeavingIncarnationGetsNoWork plays random histories of incarnations, notices and entries against a plain
-// record of which have announced that they leave.
+// TestLeavingIncarnationGetsNoWork applies random sequences of entries, removals and notices, and compares the
+// registry with a plain record of the incarnations that have announced that they leave.
 func TestLeavingIncarnationGetsNoWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := newManualClock()
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -51,7 +51,7 @@
 }
 
 // SetWallClock replaces the clock that is compared with the start times of incarnations. Default time.Now. It
-// is called before all other methods.
+// must be called before all other methods.
 func (r *Registry) SetWallClock(wallClock func() time.Time) { r.wallClock = wallClock }
 
 // Synced reports whether a complete list of backends has been received.
@@ -146,7 +146,7 @@
 	return true
 }
 
-// retire keeps a removed incarnation that has sent a notice; the lock is held.
+// retire keeps a removed incarnation whose notices still withhold work from it; the lock is held.
 func (r *Registry) retire(entry *Entry) {
 	id := entry.Backend().ID
 	delete(r.notices, id)
@@ -173,8 +173,8 @@
 
 // inherit applies to a new incarnation the notices attributed to the previous one after the new one had
 // started; the lock is held. Responses do not name the incarnation that sent them, and discovery describes a new
-// one late. Without this, a backend that had requested backoff before it was discovered got three requests
-// meanwhile.
+// one late. Without this, a backend that had requested backoff before it was discovered got three requests during
+// the backoff.
 func (r *Registry) inherit(entry *Entry) {
 	current := entry.Backend()
 	if current.StartedAt == 0 {
@@ -250,8 +250,8 @@
 	return r.byID[id]
 }
 
-// RecordNotice records the notice of a backend incarnation. It returns the part of it that was not known. Its
-// entry may have expired meanwhile, and be written again in its previous form.
+// RecordNotice records the notice of a backend incarnation. It returns the part of the notice that was not known.
+// The incarnation's entry may have expired meanwhile, and may be written again in its previous form.
 func (r *Registry) RecordNotice(target Backend, notice Notice) Notice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
