--- a/api/objects.go
+++ b/api/objects.go
@@ -1,6 +1,6 @@
 package api
 
-// Role is the stage of requests that an engine runs. Orders can change it.
+// Role is the stage of requests that an engine runs. An order can change it.
 type Role string
 
 // The roles of an engine.
@@ -9,7 +9,7 @@
 	RoleDecode  Role = "decode"
 )
 
-// RoleChanges is the policy for applying the role changes that the load of a pool calls for.
+// RoleChanges is the policy for applying the role changes that the load of a pool requires.
 type RoleChanges string
 
 // The policies for role changes.
--- a/api/validate.go
+++ b/api/validate.go
@@ -54,7 +54,7 @@
 // IsLabel reports whether a name is a DNS label.
 func IsLabel(name string) bool { return labelPattern.MatchString(name) }
 
-// nameSet is the set of names seen so far. Its check reports duplicates and
+// nameSet is the set of names seen so far. Its check method reports duplicates and
 // names that are not DNS labels.
 type nameSet map[string]bool
 
@@ -63,7 +63,7 @@
 		findings.Addf(place+".name", "%q is not a DNS label", name)
 	}
 	if n[name] {
-		findings.Addf(place+".name", "%q stands twice", name)
+		findings.Addf(place+".name", "%q is used more than once", name)
 	}
 	n[name] = true
 }
@@ -78,7 +78,7 @@
 		place := "classes[" + class.Name + "]"
 		seen.check(findings, place, class.Name)
 		if !models[class.Model] {
-			findings.Addf(place+".model", "no pool holds model %q", class.Model)
+			findings.Addf(place+".model", "no pool serves model %q", class.Model)
 		}
 		if class.FirstToken <= 0 {
 			findings.Addf(place+".first_token", "must be above zero")
@@ -158,7 +158,7 @@
 				findings.Addf(hashPlace, "is not a hex SHA-256 digest")
 			}
 			if other, duplicate := hashes[hash]; duplicate {
-				findings.Addf(hashPlace, "belongs to tenant %q already", other)
+				findings.Addf(hashPlace, "already belongs to tenant %q", other)
 			}
 			hashes[hash] = tenant.Name
 		}
