--- a/account/account.go
+++ b/account/account.go
@@ -25,14 +25,14 @@
 // Counts counts requests by how they ended.
 type Counts struct {
 	// FirstAttempts counts first attempts only; the other fields count all attempts.
-	FirstAttempts, InTime, Late, Refused, Failed, Disconnected int
+	FirstAttempts, InTime, Late, Rejected, Failed, Disconnected int
 }
 
 func (c *Counts) add(read line) {
 	c.FirstAttempts += read.First
 	c.InTime += read.InTime
 	c.Late += read.Late
-	c.Refused += read.Refused
+	c.Rejected += read.Refused
 	c.Failed += read.Failed
 	c.Disconnected += read.Left
 }
@@ -96,7 +96,7 @@
 		total.FirstAttempts += counts.FirstAttempts
 		total.InTime += counts.InTime
 		total.Late += counts.Late
-		total.Refused += counts.Refused
+		total.Rejected += counts.Rejected
 		total.Failed += counts.Failed
 		total.Disconnected += counts.Disconnected
 	}
--- a/account/account_test.go
+++ b/account/account_test.go
@@ -37,7 +37,7 @@
 func TestCountsByRouteAndWindowOfAllNodes(t *testing.T) {
 	g := NewWithT(t)
 	summary := readAccount(t)
-	g.Expect(summary.Routes).To(HaveKeyWithValue("draft", account.Counts{FirstAttempts: 13, InTime: 9, Late: 1, Refused: 3}))
+	g.Expect(summary.Routes).To(HaveKeyWithValue("draft", account.Counts{FirstAttempts: 13, InTime: 9, Late: 1, Rejected: 3}))
 	g.Expect(summary.Windows).To(HaveLen(2))
 	g.Expect(summary.Windows[0].Start).To(Equal(time.Date(2026, 5, 19, 3, 26, 30, 0, time.UTC)))
 	g.Expect(summary.Windows[0].Reasons).To(Equal(map[string]int{"no decode memory": 2}))
--- a/account/plot.go
+++ b/account/plot.go
@@ -40,7 +40,7 @@
 		total := window.AllEngines()
 		point("memory, percent", float64(total.MemoryPercent))
 		point("waiting", float64(total.Waiting))
-		point("refused in 2 s", float64(window.Total().Refused))
+		point("refused in 2 s", float64(window.Total().Rejected))
 		point("prefill engines", float64(total.Prefill))
 		point("decode engines", float64(total.Decode))
 	}
--- a/account/write.go
+++ b/account/write.go
@@ -48,7 +48,7 @@
 	row(table, "route", "first", "in time", "late", "refused", "failed", "left")
 	for _, route := range slices.Sorted(maps.Keys(a.Routes)) {
 		counts := a.Routes[route]
-		row(table, route, counts.FirstAttempts, counts.InTime, counts.Late, counts.Refused, counts.Failed, counts.Disconnected)
+		row(table, route, counts.FirstAttempts, counts.InTime, counts.Late, counts.Rejected, counts.Failed, counts.Disconnected)
 	}
 	row(table)
 }
@@ -81,7 +81,7 @@
 	row(table, "window", "first", "in time", "late", "refused", "failed", "prefill+decode (failing)", "memory", "waiting", "backlog", "reasons")
 	for _, window := range a.Windows {
 		total := window.Total()
-		cells := []any{window.Start.Format(clockLayout), total.FirstAttempts, total.InTime, total.Late, total.Refused, total.Failed}
+		cells := []any{window.Start.Format(clockLayout), total.FirstAttempts, total.InTime, total.Late, total.Rejected, total.Failed}
 		row(table, append(cells, enginesOf(window)...)...)
 	}
 	row(table)
