--- a/account/tenants.go
+++ b/account/tenants.go
@@ -13,9 +13,9 @@
 	Late     int `json:"late"`
 	// Limited counts requests rejected because of the tenant's limit, Refused other rejections, and
 	// Failed requests that may have run but got no successful answer.
-	Limited int `json:"limited"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
+	Limited  int `json:"limited"`
+	Rejected int `json:"refused"`
+	Failed   int `json:"failed"`
 }
 
 func (b *builder) addTenants(read line) {
@@ -25,7 +25,7 @@
 		counts.InTime += more.InTime
 		counts.Late += more.Late
 		counts.Limited += more.Limited
-		counts.Refused += more.Refused
+		counts.Rejected += more.Rejected
 		counts.Failed += more.Failed
 		b.tenants[name] = counts
 	}
@@ -38,7 +38,7 @@
 		if name == "" {
 			name = "(others)"
 		}
-		row(table, name, counts.Requests, counts.InTime, counts.Late, counts.Limited, counts.Refused, counts.Failed)
+		row(table, name, counts.Requests, counts.InTime, counts.Late, counts.Limited, counts.Rejected, counts.Failed)
 	}
 	row(table)
 }
--- a/account/tenants_test.go
+++ b/account/tenants_test.go
@@ -19,7 +19,7 @@
 	)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(summary.Tenants).To(Equal(map[string]account.TenantCounts{
-		"t": {Requests: 9, InTime: 3, Late: 1, Limited: 3, Refused: 1, Failed: 1}, "": {Requests: 1, Failed: 1},
+		"t": {Requests: 9, InTime: 3, Late: 1, Limited: 3, Rejected: 1, Failed: 1}, "": {Requests: 1, Failed: 1},
 	}))
 	g.Expect(summary.NodeCalls).To(Equal(map[string]account.Bytes{
 		"assign_engines": {InZone: 11, BetweenZones: 30}, "charge_quota": {BetweenZones: 5},
