--- a/account/account.go
+++ b/account/account.go
@@ -130,7 +130,7 @@
 	Routes   map[string]Counts
 	Unserved []UnservedRequests
 	// LocalReplies are the answers that nodes generated themselves.
-	LocalReplies   []LocalReply
+	LocalReplies   []LocalResponse
 	WastedPrefills []WastedPrefills
 	// StoreCalls counts the calls of all nodes to the store, by operation and kind.
 	StoreCalls map[string]int
@@ -158,7 +158,7 @@
 	windows  map[time.Time]*Window
 	routes   map[string]Counts
 	unserved map[string]*UnservedRequests
-	replies  map[replyKey]LocalReply
+	replies  map[replyKey]LocalResponse
 	wasted   map[string]*WastedPrefills
 	calls    map[string]int
 	bytes    map[string]Bytes
@@ -169,7 +169,7 @@
 func newBuilder() *builder {
 	return &builder{
 		windows: map[time.Time]*Window{}, routes: map[string]Counts{}, unserved: map[string]*UnservedRequests{},
-		replies: map[replyKey]LocalReply{},
+		replies: map[replyKey]LocalResponse{},
 		wasted:  map[string]*WastedPrefills{}, calls: map[string]int{}, bytes: map[string]Bytes{}, tenants: map[string]TenantCounts{}, events: map[string]time.Time{},
 	}
 }
--- a/account/answers.go
+++ b/account/answers.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// LocalReply counts the answers that nodes generated themselves instead of forwarding one from a
+// LocalResponse counts the answers that nodes generated themselves instead of forwarding one from a
 // backend, for one status and reason.
-type LocalReply struct {
+type LocalResponse struct {
 	Status int
 	Reason string
 	Count  int
@@ -20,7 +20,7 @@
 
 // FalseNotRun returns how many of the answers stated that a request had not run although it had, or
 // may have. A value above zero indicates a defect.
-func (a LocalReply) FalseNotRun() int {
+func (a LocalResponse) FalseNotRun() int {
 	switch a.Status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return a.AfterRun
@@ -50,12 +50,12 @@
 }
 
 // localReplies returns the replies ordered by status, the most frequent of each status first.
-func (b *builder) localReplies() []LocalReply {
-	var replies []LocalReply
+func (b *builder) localReplies() []LocalResponse {
+	var replies []LocalResponse
 	for _, reply := range b.replies {
 		replies = append(replies, reply)
 	}
-	slices.SortFunc(replies, func(a, b LocalReply) int {
+	slices.SortFunc(replies, func(a, b LocalResponse) int {
 		return cmp.Or(cmp.Compare(a.Status, b.Status), cmp.Compare(b.Count, a.Count), cmp.Compare(a.Reason, b.Reason))
 	})
 	return replies
--- a/account/answers_test.go
+++ b/account/answers_test.go
@@ -23,7 +23,7 @@
 	g := NewWithT(t)
 	summary, err := account.Read(strings.NewReader(localReplyLog))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(summary.LocalReplies).To(Equal([]account.LocalReply{
+	g.Expect(summary.LocalReplies).To(Equal([]account.LocalResponse{
 		{Status: 502, Reason: "backend_failed", Count: 1, AfterSend: 1, AfterRun: 1},
 		{Status: 503, Reason: "no decode memory", Count: 2, AfterSend: 1},
 		{Status: 503, Reason: "backend_failed", Count: 1, AfterSend: 1, AfterRun: 1},
