--- a/account/account.go
+++ b/account/account.go
@@ -129,8 +129,8 @@
 	Windows  []Window
 	Routes   map[string]Counts
 	Unserved []UnservedRequests
-	// LocalReplies are the answers that nodes generated themselves.
-	LocalReplies   []LocalResponse
+	// LocalResponses are the answers that nodes generated themselves.
+	LocalResponses []LocalResponse
 	WastedPrefills []WastedPrefills
 	// StoreCalls counts the calls of all nodes to the store, by operation and kind.
 	StoreCalls map[string]int
@@ -293,7 +293,7 @@
 
 // build returns the account with its lists in order.
 func (b *builder) build() *Account {
-	result := &Account{Routes: b.routes, LocalReplies: b.localReplies(), StoreCalls: b.calls, NodeCalls: b.bytes, Tenants: b.tenants}
+	result := &Account{Routes: b.routes, LocalResponses: b.localReplies(), StoreCalls: b.calls, NodeCalls: b.bytes, Tenants: b.tenants}
 	for _, window := range b.windows {
 		result.Windows = append(result.Windows, *window)
 	}
--- a/account/answers.go
+++ b/account/answers.go
@@ -81,7 +81,7 @@
 
 func (a *Account) writeLocalReplies(table io.Writer) {
 	row(table, "own answer", "reason", "count", "after a send", "after a run", "untrue")
-	for _, reply := range a.LocalReplies {
+	for _, reply := range a.LocalResponses {
 		row(table, reply.Status, reply.Reason, reply.Count, reply.AfterSend, reply.AfterRun, reply.FalseNotRun())
 	}
 	row(table, "refused for want of engines while none waited and half was free", a.rejectedWhileIdle())
--- a/account/answers_test.go
+++ b/account/answers_test.go
@@ -23,13 +23,13 @@
 	g := NewWithT(t)
 	summary, err := account.Read(strings.NewReader(localReplyLog))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(summary.LocalReplies).To(Equal([]account.LocalResponse{
+	g.Expect(summary.LocalResponses).To(Equal([]account.LocalResponse{
 		{Status: 502, Reason: "backend_failed", Count: 1, AfterSend: 1, AfterRun: 1},
 		{Status: 503, Reason: "no decode memory", Count: 2, AfterSend: 1},
 		{Status: 503, Reason: "backend_failed", Count: 1, AfterSend: 1, AfterRun: 1},
 	}))
 	falseNotRun := 0
-	for _, reply := range summary.LocalReplies {
+	for _, reply := range summary.LocalResponses {
 		falseNotRun += reply.FalseNotRun()
 	}
 	g.Expect(falseNotRun).To(Equal(1))
