--- a/account/account.go
+++ b/account/account.go
@@ -29,16 +29,16 @@
 }
 
 func (c *Counts) add(read line) {
-	c.FirstAttempts += read.First
+	c.FirstAttempts += read.FirstAttempts
 	c.InTime += read.InTime
 	c.Late += read.Late
-	c.Rejected += read.Refused
+	c.Rejected += read.Rejected
 	c.Failed += read.Failed
-	c.Disconnected += read.Left
+	c.Disconnected += read.Disconnected
 }
 
-// UnservedRequests are the requests that were not served for one reason, and how long each was held
-// before it was answered.
+// UnservedRequests are the requests that were not served for one reason. A wait time is how long the
+// request was held before it was answered.
 type UnservedRequests struct {
 	Reason    string
 	WaitTimes []time.Duration
@@ -72,7 +72,8 @@
 	Tokens  int64
 }
 
-// Engines is the state of the engines of a service, as last reported by its coordinator in a window.
+// Engines is the state of the engines of a service in a window, as last reported by the coordinator
+// of the service.
 type Engines struct {
 	Prefill, Decode, Failing int
 	MemoryPercent            int
@@ -103,7 +104,7 @@
 	return total
 }
 
-// AllEngines returns the sums over the engines of all services, with the highest memory utilization
+// AllEngines returns the engines of all services together: sums, but the highest memory utilization
 // and the longest backlog.
 func (w *Window) AllEngines() Engines {
 	var total Engines
@@ -118,7 +119,7 @@
 	return total
 }
 
-// Event is an event in the fleet. It appears once, even if several nodes log it.
+// Event is an event in the fleet. It is listed once, even if several nodes log it.
 type Event struct {
 	Time time.Time
 	Text string
@@ -129,15 +130,15 @@
 	Windows  []Window
 	Routes   map[string]Counts
 	Unserved []UnservedRequests
-	// LocalResponses are the answers that nodes generated themselves.
+	// LocalResponses counts the responses that nodes generated themselves.
 	LocalResponses []LocalResponse
 	WastedPrefills []WastedPrefills
 	// StoreCalls counts the calls of all nodes to the store, by operation and kind.
 	StoreCalls map[string]int
 	// NodeCalls counts the bytes of calls between nodes, by kind.
 	NodeCalls map[string]Bytes
-	// Tenants counts requests by how they ended, by tenant. The tenants beyond the number that a node
-	// counts separately share the entry with the empty name.
+	// Tenants counts requests by how they ended, by tenant. A node counts a limited number of tenants
+	// separately; all others share the entry with the empty name.
 	Tenants map[string]TenantCounts
 	Events  []Event
 }
@@ -155,22 +156,22 @@
 
 // builder builds an account line by line.
 type builder struct {
-	windows  map[time.Time]*Window
-	routes   map[string]Counts
-	unserved map[string]*UnservedRequests
-	replies  map[replyKey]LocalResponse
-	wasted   map[string]*WastedPrefills
-	calls    map[string]int
-	bytes    map[string]Bytes
-	tenants  map[string]TenantCounts
-	events   map[string]time.Time
+	windows   map[time.Time]*Window
+	routes    map[string]Counts
+	unserved  map[string]*UnservedRequests
+	responses map[responseKey]LocalResponse
+	wasted    map[string]*WastedPrefills
+	calls     map[string]int
+	bytes     map[string]Bytes
+	tenants   map[string]TenantCounts
+	events    map[string]time.Time
 }
 
 func newBuilder() *builder {
 	return &builder{
 		windows: map[time.Time]*Window{}, routes: map[string]Counts{}, unserved: map[string]*UnservedRequests{},
-		replies: map[replyKey]LocalResponse{},
-		wasted:  map[string]*WastedPrefills{}, calls: map[string]int{}, bytes: map[string]Bytes{}, tenants: map[string]TenantCounts{}, events: map[string]time.Time{},
+		responses: map[responseKey]LocalResponse{},
+		wasted:    map[string]*WastedPrefills{}, calls: map[string]int{}, bytes: map[string]Bytes{}, tenants: map[string]TenantCounts{}, events: map[string]time.Time{},
 	}
 }
 
@@ -232,7 +233,7 @@
 	}
 	known := b.unserved[reason]
 	known.WaitTimes = append(known.WaitTimes, time.Duration(read.TookMs)*time.Millisecond)
-	b.addReply(read)
+	b.addResponse(read)
 	b.window(read.Time).Reasons[reason]++
 }
 
@@ -244,7 +245,7 @@
 	b.wasted[read.Cause].Tokens += read.Tokens
 }
 
-// Reasons why no engines were assigned to a request.
+// Reasons for which no engines were assigned to a request.
 const (
 	reasonDecodeMemory = "no decode memory"
 	reasonPrefillTime  = "no prefill in time"
@@ -274,14 +275,14 @@
 	}
 }
 
-// eventOf returns the text of the event that a line reports. The text is the same for all nodes that
-// log the event, and empty for lines that report none.
+// eventOf returns the text of the event that a line reports, or an empty text for lines that report
+// none. The text is the same for all nodes that log the event.
 func eventOf(read line) string {
 	switch read.Message {
 	case "role ordered":
 		return read.Engine + " ordered to " + read.Role
 	case "back end gone":
-		return read.Backend + " gone"
+		return read.Backend + " removed"
 	case "configuration in force":
 		return "configuration " + strconv.FormatInt(read.Version, 10)
 	case "start", "stop", "store lost", "store back":
@@ -291,9 +292,9 @@
 	}
 }
 
-// build returns the account with its lists in order.
+// build returns the account with its lists sorted.
 func (b *builder) build() *Account {
-	result := &Account{Routes: b.routes, LocalResponses: b.localReplies(), StoreCalls: b.calls, NodeCalls: b.bytes, Tenants: b.tenants}
+	result := &Account{Routes: b.routes, LocalResponses: b.localResponses(), StoreCalls: b.calls, NodeCalls: b.bytes, Tenants: b.tenants}
 	for _, window := range b.windows {
 		result.Windows = append(result.Windows, *window)
 	}
--- a/account/answers.go
+++ b/account/answers.go
@@ -7,18 +7,18 @@
 	"slices"
 )
 
-// LocalResponse counts the answers that nodes generated themselves instead of forwarding one from a
+// LocalResponse counts the responses that nodes generated themselves instead of forwarding one from a
 // backend, for one status and reason.
 type LocalResponse struct {
 	Status int
 	Reason string
 	Count  int
-	// AfterSend counts those given after the request had been sent to a backend, AfterRun those given
-	// after a backend had run it or may have run it.
+	// AfterSend counts those sent after the request had been sent to a backend, AfterRun those sent
+	// after a backend had run the request or may have run it.
 	AfterSend, AfterRun int
 }
 
-// FalseNotRun returns how many of the answers stated that a request had not run although it had, or
+// FalseNotRun returns how many of the responses stated that a request had not run although it had, or
 // may have. A value above zero indicates a defect.
 func (a LocalResponse) FalseNotRun() int {
 	switch a.Status {
@@ -29,40 +29,40 @@
 	}
 }
 
-// replyKey groups local replies.
-type replyKey struct {
+// responseKey groups local responses.
+type responseKey struct {
 	status int
 	reason string
 }
 
-func (b *builder) addReply(read line) {
-	key := replyKey{read.Status, reasonOf(read)}
-	reply := b.replies[key]
-	reply.Status, reply.Reason = key.status, key.reason
-	reply.Count++
+func (b *builder) addResponse(read line) {
+	key := responseKey{read.Status, reasonOf(read)}
+	response := b.responses[key]
+	response.Status, response.Reason = key.status, key.reason
+	response.Count++
 	if read.Sends > 0 {
-		reply.AfterSend++
+		response.AfterSend++
 	}
 	if read.Runs > 0 {
-		reply.AfterRun++
+		response.AfterRun++
 	}
-	b.replies[key] = reply
+	b.responses[key] = response
 }
 
-// localReplies returns the replies ordered by status, the most frequent of each status first.
-func (b *builder) localReplies() []LocalResponse {
-	var replies []LocalResponse
-	for _, reply := range b.replies {
-		replies = append(replies, reply)
+// localResponses returns the responses ordered by status, the most frequent of each status first.
+func (b *builder) localResponses() []LocalResponse {
+	var responses []LocalResponse
+	for _, response := range b.responses {
+		responses = append(responses, response)
 	}
-	slices.SortFunc(replies, func(a, b LocalResponse) int {
+	slices.SortFunc(responses, func(a, b LocalResponse) int {
 		return cmp.Or(cmp.Compare(a.Status, b.Status), cmp.Compare(b.Count, a.Count), cmp.Compare(a.Reason, b.Reason))
 	})
-	return replies
+	return responses
 }
 
-// idleMemoryPercent is the memory utilization of the fullest service in a window below which a
-// rejection for lack of engines should be investigated.
+// idleMemoryPercent is the memory utilization below which a rejection for lack of engines should be
+// investigated. The utilization of a window is that of its fullest service.
 const idleMemoryPercent = 50
 
 // rejectedWhileIdle returns how many requests were rejected for lack of engines in windows in which
@@ -79,11 +79,11 @@
 	return rejected
 }
 
-func (a *Account) writeLocalReplies(table io.Writer) {
-	row(table, "own answer", "reason", "count", "after a send", "after a run", "untrue")
-	for _, reply := range a.LocalResponses {
-		row(table, reply.Status, reply.Reason, reply.Count, reply.AfterSend, reply.AfterRun, reply.FalseNotRun())
+func (a *Account) writeLocalResponses(table io.Writer) {
+	row(table, "local response", "reason", "count", "after a send", "after a run", "untrue")
+	for _, response := range a.LocalResponses {
+		row(table, response.Status, response.Reason, response.Count, response.AfterSend, response.AfterRun, response.FalseNotRun())
 	}
-	row(table, "refused for want of engines while none waited and half was free", a.rejectedWhileIdle())
+	row(table, "rejected for lack of engines while none waited and half was free", a.rejectedWhileIdle())
 	row(table)
 }
--- a/account/line.go
+++ b/account/line.go
@@ -27,13 +27,13 @@
 	Runs    int    `json:"runs"`
 
 	// From the summaries of a node.
-	Route   string `json:"route"`
-	First   int    `json:"first"`
-	InTime  int    `json:"in_time"`
-	Late    int    `json:"late"`
-	Refused int    `json:"refused"`
-	Failed  int    `json:"failed"`
-	Left    int    `json:"left"`
+	Route         string `json:"route"`
+	FirstAttempts int    `json:"first"`
+	InTime        int    `json:"in_time"`
+	Late          int    `json:"late"`
+	Rejected      int    `json:"refused"`
+	Failed        int    `json:"failed"`
+	Disconnected  int    `json:"left"`
 
 	// From the summaries of a coordinator.
 	Prefill       int   `json:"prefill"`
--- a/account/tenants.go
+++ b/account/tenants.go
@@ -11,8 +11,8 @@
 	Requests int `json:"asked"`
 	InTime   int `json:"in_time"`
 	Late     int `json:"late"`
-	// Limited counts requests rejected because of the tenant's limit, Refused other rejections, and
-	// Failed requests that may have run but got no successful answer.
+	// Limited counts requests rejected by the tenant's quota, Rejected other rejections, and Failed
+	// requests that may have run but got no successful response.
 	Limited  int `json:"limited"`
 	Rejected int `json:"refused"`
 	Failed   int `json:"failed"`
@@ -32,7 +32,7 @@
 }
 
 func (a *Account) writeTenants(table io.Writer) {
-	row(table, "tenant", "asked", "in time", "late", "beyond its limit", "refused otherwise", "failed")
+	row(table, "tenant", "asked", "in time", "late", "beyond its quota", "rejected otherwise", "failed")
 	for _, name := range slices.Sorted(maps.Keys(a.Tenants)) {
 		counts := a.Tenants[name]
 		if name == "" {
--- a/account/write.go
+++ b/account/write.go
@@ -12,10 +12,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// p95 is the quantile in the second column of wait times.
+// p95 is the quantile shown in the second column of wait times.
 const p95 = 0.95
 
-// clockLayout is the layout of times of day.
+// clockLayout is the time layout for a time of day.
 const clockLayout = "15:04:05"
 
 // Write prints the account as tables.
@@ -23,7 +23,7 @@
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	a.writeRoutes(table)
 	a.writeUnserved(table)
-	a.writeLocalReplies(table)
+	a.writeLocalResponses(table)
 	a.writeWasted(table)
 	a.writeStoreCalls(table)
 	a.writeNodeCalls(table)
@@ -54,7 +54,7 @@
 }
 
 func (a *Account) writeUnserved(table io.Writer) {
-	row(table, "not served", "requests", "held, mean", "p95", "longest")
+	row(table, "not served", "requests", "wait, mean", "p95", "longest")
 	for _, unserved := range a.Unserved {
 		row(table, unserved.Reason, len(unserved.WaitTimes), milliseconds(unserved.Mean()), milliseconds(unserved.Quantile(p95)), milliseconds(unserved.Quantile(1)))
 	}
@@ -62,7 +62,7 @@
 }
 
 func (a *Account) writeWasted(table io.Writer) {
-	row(table, "read for nothing", "prompts", "tokens")
+	row(table, "wasted prefill", "prompts", "tokens")
 	for _, wasted := range a.WastedPrefills {
 		row(table, wasted.Cause, wasted.Prompts, wasted.Tokens)
 	}
