--- a/operator/plan.go
+++ b/operator/plan.go
@@ -66,9 +66,9 @@
 	Engine string           `json:"engine"`
 	Kind   engine.OrderKind `json:"kind"`
 	Value  string           `json:"value"`
-	// ChecksFence is set if the engine rejects orders of an earlier lease holder by
+	// ChecksFencingToken is set if the engine rejects orders of an earlier lease holder by
 	// their fencing token. Otherwise a new holder waits before its first order.
-	ChecksFence bool `json:"checks_fence"`
+	ChecksFencingToken bool `json:"checks_fence"`
 }
 
 // Plan is the response to an intent.
@@ -228,7 +228,7 @@
 		for _, member := range pool.Engines {
 			previous, existed := old[member.Name]
 			add := func(kind engine.OrderKind, value string) {
-				orders = append(orders, PlannedOrder{Pool: pool.Name, Engine: member.Name, Kind: kind, Value: value, ChecksFence: pool.ChecksFencingToken})
+				orders = append(orders, PlannedOrder{Pool: pool.Name, Engine: member.Name, Kind: kind, Value: value, ChecksFencingToken: pool.ChecksFencingToken})
 			}
 			if existed && previous.Role != member.Role {
 				add(engine.OrderRole, string(member.Role))
