--- a/operator/accept.go
+++ b/operator/accept.go
@@ -18,26 +18,26 @@
 	Store         objectapi.Store
 	// SeesHalf reports whether the node is in contact with at least half of the
 	// fleet; nil means that it is. A node in contact with less cannot accept a
-	// change: most of the fleet would not learn of it.
+	// change, because most of the fleet would not learn of the change.
 	SeesHalf func() bool
 }
 
-// errPartitioned rejects a change that most of the fleet would not learn of. Nodes in
-// contact with more than half of the fleet keep serving their version while the
-// platform does not answer them, so a change may only be accepted at a node in
-// contact with at least half.
+// errPartitioned rejects a change that most of the fleet would not learn of. While
+// the platform does not answer, nodes in contact with more than half of the fleet
+// keep serving their version of the configuration. A change may therefore only be
+// accepted at a node in contact with at least half.
 var errPartitioned = api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun,
-	"this node hears less than half of the fleet; confirm through a node that hears more, or when the fleet is whole again").WithRetryAfter(partitionRetryAfter)
+	"this node is in contact with less than half of the fleet; confirm at a node in contact with more, or when the partition has ended").WithRetryAfter(partitionRetryAfter)
 
-// apiError converts an error of Accept to one of the API.
+// apiError converts an error of Accept to an error of the API.
 func apiError(err error) error {
 	var conflict *configuration.ErrConflict
-	var known *api.Error
+	var apiErr *api.Error
 	var found *FindingsError
 	switch {
 	case errors.As(err, &conflict):
 		return api.NewError(http.StatusConflict, api.CodeConflict, api.OutcomeNotRun, "%s", conflict.Error())
-	case errors.As(err, &known), errors.As(err, &found):
+	case errors.As(err, &apiErr), errors.As(err, &found):
 		return err
 	default:
 		return api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeUnknown,
@@ -71,14 +71,15 @@
 		return configuration.Head{}, err
 	}
 	if computed.Digest != plan.Digest {
-		return configuration.Head{}, api.NewError(http.StatusConflict, api.CodeConflict, api.OutcomeNotRun, "the digest does not fit the plan")
+		return configuration.Head{}, api.NewError(http.StatusConflict, api.CodeConflict, api.OutcomeNotRun, "the digest does not match the plan")
 	}
 	published, err := configuration.Publish(ctx, a.Store, plan.BaseVersion, plan.Digest, computed.ChangedReferences(), *next)
 	if err != nil {
 		return configuration.Head{}, err
 	}
-	// This node applies the new version at once; the others learn of it through the
-	// watch. So does this node if the call fails: the change has been accepted.
+	// This node applies the new version at once. The other nodes learn of the version
+	// through the watch, and so does this node if the call fails: the change has been
+	// accepted in any case.
 	_ = a.Configuration.Advance(ctx, published, configuration.FromStore(a.Store))
 	return published, nil
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -42,7 +42,7 @@
 	return confirmed, c.call(ctx, http.MethodPost, PathConfirm, nil, plan, &confirmed)
 }
 
-// Configuration returns the configuration in force at the node.
+// Configuration returns the active configuration of the node.
 func (c *Client) Configuration(ctx context.Context) (*api.Configuration, error) {
 	configuration := &api.Configuration{}
 	return configuration, c.call(ctx, http.MethodGet, PathConfiguration, nil, nil, configuration)
@@ -101,7 +101,7 @@
 	}
 	apiErr := &api.Error{Status: status}
 	if json.Unmarshal(data, apiErr) != nil || apiErr.Code == "" {
-		return errors.Newf("node answered with HTTP status %d", status)
+		return errors.Newf("node responded with HTTP status %d", status)
 	}
 	return apiErr
 }
--- a/operator/plan.go
+++ b/operator/plan.go
@@ -66,8 +66,9 @@
 	Engine string           `json:"engine"`
 	Kind   engine.OrderKind `json:"kind"`
 	Value  string           `json:"value"`
-	// ChecksFencingToken is set if the engine rejects orders of an earlier lease holder by
-	// their fencing token. Otherwise a new holder waits before its first order.
+	// ChecksFencingToken is set if the engine rejects orders of an earlier lease
+	// holder by their fencing token. Otherwise a new holder waits before its first
+	// order.
 	ChecksFencingToken bool `json:"checks_fence"`
 }
 
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -98,7 +98,7 @@
 		Expect(places).To(HaveKey("classes[No Label].first_token"))
 	})
 
-	It("lets exactly one of two operators win and names what moved", func() {
+	It("accepts exactly one of two concurrent plans and lists the changed objects", func() {
 		other := newClient()
 		first, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: pool(api.RoleDecode)})
 		Expect(err).NotTo(HaveOccurred())
@@ -111,7 +111,7 @@
 		Expect(err.Error()).To(ContainSubstring("pools/pool"))
 	})
 
-	It("accepts a plan once although its reply was lost and it is confirmed again", func() {
+	It("accepts a plan once although its response was lost and the plan is confirmed again", func() {
 		plan, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: pool(api.RoleDecode)})
 		Expect(err).NotTo(HaveOccurred())
 		effect = platformsim.DropReply
@@ -130,7 +130,7 @@
 		Expect(api.IsCode(err, api.CodeConflict)).To(BeTrue())
 	})
 
-	It("plans the order that a change of role needs", func() {
+	It("plans the order for a role change", func() {
 		plan, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: pool(api.RoleDecode)})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = client.Confirm(ctx, plan)
@@ -142,7 +142,7 @@
 		Expect(plan.Orders[0].Value).To(Equal(string(api.RolePrefill)))
 	})
 
-	It("refuses a wrong token and unknown fields", func() {
+	It("rejects a wrong token and unknown fields", func() {
 		client.Token = "other"
 		_, err := client.Status(ctx)
 		Expect(api.IsCode(err, api.CodeUnauthenticated)).To(BeTrue())
@@ -169,7 +169,7 @@
 		Expect(plan.Changes[0].Kind).To(Equal(ChangeDelete))
 	})
 
-	It("shows status and time line", func() {
+	It("shows status and timeline", func() {
 		statuses, err := client.Status(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(statuses).To(HaveLen(1))
