--- a/sim/load/caller.go
+++ b/sim/load/caller.go
@@ -168,7 +168,7 @@
 	if !final && (failure.Outcome != api.OutcomeNotRun || starting) {
 		return errors.Wrapf(errRetry, "%s", failure)
 	}
-	c.result.Ending, c.result.Failure = EndingRefused, failure
+	c.result.Ending, c.result.Failure = EndingRejected, failure
 	return nil
 }
 
--- a/sim/load/judge.go
+++ b/sim/load/judge.go
@@ -117,7 +117,7 @@
 		switch result.Ending {
 		case EndingAnswered:
 			v.Answered++
-		case EndingRefused:
+		case EndingRejected:
 			v.Refused++
 		case EndingAltered:
 			v.Altered++
@@ -176,7 +176,7 @@
 // reportsNotRun reports whether the only attempt was refused as not run. After
 // client retries the refusal refers to the last attempt only.
 func (r *Result) reportsNotRun() bool {
-	return r.Ending == EndingRefused && r.Failure.Outcome == api.OutcomeNotRun && r.Attempts == 1
+	return r.Ending == EndingRejected && r.Failure.Outcome == api.OutcomeNotRun && r.Attempts == 1
 }
 
 func (v *Verdict) evaluateEngines(results []Result, reports []enginesim.Report) {
--- a/sim/load/result.go
+++ b/sim/load/result.go
@@ -13,8 +13,8 @@
 const (
 	// EndingAnswered means that the complete, correct answer arrived.
 	EndingAnswered Ending = "answered"
-	// EndingRefused means that a typed error arrived, with its outcome.
-	EndingRefused Ending = "refused"
+	// EndingRejected means that a typed error arrived, with its outcome.
+	EndingRejected Ending = "refused"
 	// EndingLost means that no final answer arrived.
 	EndingLost Ending = "lost"
 	// EndingAltered means that a wrong answer arrived.
--- a/sim/modelcheck/check.go
+++ b/sim/modelcheck/check.go
@@ -143,7 +143,7 @@
 			defer calls.Done()
 			result := load.Send(ctx, call)
 			timings[i] = model.Timing{
-				Answered: result.Ending == load.EndingAnswered, Refused: result.Ending == load.EndingRefused,
+				Answered: result.Ending == load.EndingAnswered, Refused: result.Ending == load.EndingRejected,
 				FirstToken: result.FirstToken, Interval: result.Interval,
 			}
 		}()
