--- a/sim/load/judge.go
+++ b/sim/load/judge.go
@@ -19,7 +19,7 @@
 type Verdict struct {
 	Requests      int     `json:"requests"`
 	Answered      int     `json:"answered"`
-	Refused       int     `json:"refused"`
+	Rejected      int     `json:"refused"`
 	Lost          int     `json:"lost"`
 	Altered       int     `json:"altered"`
 	Duplicated    int     `json:"duplicated"`
@@ -47,7 +47,7 @@
 // Summary returns the main figures on one line.
 func (v *Verdict) Summary() string {
 	return fmt.Sprintf("requests=%d answered=%d refused=%d lost=%d duplicated=%d goodput=%.2f wasted_prefill=%.2f",
-		v.Requests, v.Answered, v.Refused, v.Lost+v.Altered, v.Duplicated, v.Goodput, v.WastedPrefill)
+		v.Requests, v.Answered, v.Rejected, v.Lost+v.Altered, v.Duplicated, v.Goodput, v.WastedPrefill)
 }
 
 // Ledgers are the stand-ins' records of what they ran.
@@ -118,7 +118,7 @@
 		case EndingAnswered:
 			v.Answered++
 		case EndingRejected:
-			v.Refused++
+			v.Rejected++
 		case EndingAltered:
 			v.Altered++
 			v.violatef("%s %s: altered answer", result.Kind.Name, result.Key)
