--- a/sim/load/caller.go
+++ b/sim/load/caller.go
@@ -28,11 +28,11 @@
 	retryPause = 300 * time.Millisecond
 	// attemptTimeout bounds one attempt.
 	attemptTimeout = 30 * time.Second
-	// maxReplyBytes bounds a reply that is not streamed.
-	maxReplyBytes = 4 << 20
+	// maxResponseBytes bounds a response that is not streamed.
+	maxResponseBytes = 4 << 20
 )
 
-// caller sends one request, with client retries until it has a final answer.
+// caller sends one request, with client retries until it has a final response.
 type caller struct {
 	client *http.Client
 	// nodes are tried in turn.
@@ -52,7 +52,7 @@
 }
 
 // errRetry marks a failure after which the caller retries.
-var errRetry = errors.New("load: no final answer")
+var errRetry = errors.New("load: no final response")
 
 func (c *caller) run(ctx context.Context) Result {
 	c.started = time.Now()
@@ -149,10 +149,10 @@
 }
 
 // readError reads a typed error. An error that leaves the outcome open is retried
-// under the same key, unless the key has been claimed or has expired.
+// under the same key, unless the key has already been claimed or has expired.
 func (c *caller) readError(response *http.Response) error {
 	failure := &api.Error{Status: response.StatusCode}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Wrapf(errRetry, "%v", err)
 	}
@@ -174,7 +174,7 @@
 
 func (c *caller) readEcho(body io.Reader) error {
 	var echo servicesim.Echo
-	if err := json.NewDecoder(io.LimitReader(body, maxReplyBytes)).Decode(&echo); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(&echo); err != nil {
 		return errors.Wrapf(errRetry, "%v", err)
 	}
 	c.result.FirstToken = time.Since(c.started)
@@ -186,20 +186,20 @@
 }
 
 func (c *caller) readCompletion(body io.Reader) error {
-	var reply struct {
+	var response struct {
 		Choices []struct {
 			Text string `json:"text"`
 		} `json:"choices"`
 	}
-	if err := json.NewDecoder(io.LimitReader(body, maxReplyBytes)).Decode(&reply); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(&response); err != nil {
 		return errors.Wrapf(errRetry, "%v", err)
 	}
-	if len(reply.Choices) != 1 {
-		return errors.Wrap(errRetry, "reply without a choice")
+	if len(response.Choices) != 1 {
+		return errors.Wrap(errRetry, "response without a choice")
 	}
 	now := time.Now()
 	c.first, c.last = now, now
-	c.received.WriteString(reply.Choices[0].Text)
+	c.received.WriteString(response.Choices[0].Text)
 	c.next = c.tokens
 	c.evaluate()
 	return nil
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// evaluate compares the received text with the expected answer.
+// evaluate compares the received text with the expected output.
 func (c *caller) evaluate() {
 	c.result.Ending = EndingAnswered
 	if c.received.String() != answer.Text(c.kind.Model, c.prompt, c.tokens) {
@@ -274,5 +274,5 @@
 // newKey returns a new Idempotency-Key, a UUIDv7.
 func newKey() (string, error) {
 	id, err := uuid.NewV7()
-	return id.String(), errors.Wrap(err, "make key")
+	return id.String(), errors.Wrap(err, "generate key")
 }
--- a/sim/load/judge.go
+++ b/sim/load/judge.go
@@ -28,14 +28,15 @@
 	// HeldStreams is the number of streams that engines still hold after every
 	// caller has disconnected.
 	HeldStreams int `json:"held_streams"`
-	// FalseNotRun counts refusals with the outcome not-run of requests that ran.
+	// FalseNotRun counts rejections with the outcome not-run of requests that ran.
 	FalseNotRun int `json:"false_not_run"`
 	// TTFTP95 and IntervalP95 are percentiles over answered completions, in seconds.
 	TTFTP95     float64 `json:"ttft_p95_s"`
 	IntervalP95 float64 `json:"interval_p95_s"`
-	// Kinds counts, for each kind, offered requests and those that met their targets.
+	// Kinds maps each kind to its number of offered requests and of those that met
+	// their targets.
 	Kinds map[string][2]int `json:"kinds"`
-	// Violations describe the first violations, at most maxViolations.
+	// Violations describes the first maxViolations violations.
 	Violations []string `json:"violations,omitempty"`
 }
 
@@ -98,7 +99,7 @@
 	return verdict
 }
 
-// maxViolations bounds the violations that are described.
+// maxViolations bounds the violations that a verdict describes.
 const maxViolations = 20
 
 func (v *Verdict) violatef(format string, args ...any) {
@@ -121,7 +122,7 @@
 			v.Rejected++
 		case EndingAltered:
 			v.Altered++
-			v.violatef("%s %s: altered answer", result.Kind.Name, result.Key)
+			v.violatef("%s %s: altered response", result.Kind.Name, result.Key)
 		default:
 			v.Lost++
 			v.violatef("%s %s: lost: %s", result.Kind.Name, result.Key, result.Detail)
@@ -145,7 +146,7 @@
 }
 
 // evaluateServices counts non-idempotent calls that ran more than once, and those
-// that ran although their refusal reported not-run.
+// that ran although their rejection reported not-run.
 func (v *Verdict) evaluateServices(results []Result, reports []servicesim.Report) {
 	runs := map[string]int{}
 	for _, report := range reports {
@@ -164,7 +165,7 @@
 		}
 		if result.reportsNotRun() && runs[result.Key] > 0 {
 			v.FalseNotRun++
-			v.violatef("%s %s: ran although refused as not-run", result.Kind.Name, result.Key)
+			v.violatef("%s %s: ran although rejected as not-run", result.Kind.Name, result.Key)
 		}
 		if result.Ending == EndingAnswered && runs[result.Key] == 0 {
 			v.Altered++
@@ -173,8 +174,8 @@
 	}
 }
 
-// reportsNotRun reports whether the only attempt was refused as not run. After
-// client retries the refusal refers to the last attempt only.
+// reportsNotRun reports whether the only attempt was rejected as not run. After
+// client retries the rejection refers to the last attempt only.
 func (r *Result) reportsNotRun() bool {
 	return r.Ending == EndingRejected && r.Failure.Outcome == api.OutcomeNotRun && r.Attempts == 1
 }
@@ -200,7 +201,7 @@
 		result := &results[i]
 		if result.Kind.Service == "" && result.reportsNotRun() && ran[result.RequestIDs[0]] {
 			v.FalseNotRun++
-			v.violatef("%s %s: ran although refused as not-run", result.Kind.Name, result.Key)
+			v.violatef("%s %s: ran although rejected as not-run", result.Kind.Name, result.Key)
 		}
 	}
 }
--- a/sim/load/result.go
+++ b/sim/load/result.go
@@ -11,13 +11,13 @@
 
 // The endings of a request.
 const (
-	// EndingAnswered means that the complete, correct answer arrived.
+	// EndingAnswered means that the complete, correct response arrived.
 	EndingAnswered Ending = "answered"
 	// EndingRejected means that a typed error arrived, with its outcome.
 	EndingRejected Ending = "refused"
-	// EndingLost means that no final answer arrived.
+	// EndingLost means that no final response arrived.
 	EndingLost Ending = "lost"
-	// EndingAltered means that a wrong answer arrived.
+	// EndingAltered means that a wrong response arrived.
 	EndingAltered Ending = "altered"
 )
 
@@ -29,7 +29,7 @@
 	// RequestIDs are the identifiers that the nodes assigned to the attempts.
 	RequestIDs []string
 	Ending     Ending
-	// Failure is the typed error of a refusal.
+	// Failure is the typed error of a rejection.
 	Failure *api.Error
 	// DuplicateTokens is the number of tokens that arrived more than once.
 	DuplicateTokens int
--- a/sim/load/run.go
+++ b/sim/load/run.go
@@ -16,7 +16,7 @@
 	// Nodes are the addresses at which the nodes accept callers. An address that
 	// begins with https:// is called with TLS.
 	Nodes []string
-	// TLS is the configuration for such nodes.
+	// TLS is the configuration for the nodes that are called with TLS.
 	TLS *tls.Config
 	// Requests is the number of requests, Rate the number per second.
 	Requests int
@@ -25,7 +25,7 @@
 	Seed uint64
 }
 
-// Run sends the requests with random intervals and returns their results.
+// Run sends the requests at random intervals and returns their results.
 func Run(ctx context.Context, options Options) ([]Result, error) {
 	const seedStream = 0x9e3779b97f4a7c15
 	random := rand.New(rand.NewPCG(options.Seed, seedStream))
--- a/sim/load/workload.go
+++ b/sim/load/workload.go
@@ -37,7 +37,7 @@
 	// NonIdempotent marks a call that must run at most once.
 	NonIdempotent bool `json:"once,omitempty"`
 	// FirstToken and TokenInterval are the latency targets; for a service call
-	// FirstToken is the target for the complete answer.
+	// FirstToken is the target for the complete response.
 	FirstToken    api.Duration `json:"first_token"`
 	TokenInterval api.Duration `json:"token_interval,omitempty"`
 }
--- a/sim/rehearsal/defects_test.go
+++ b/sim/rehearsal/defects_test.go
@@ -138,7 +138,7 @@
 			}
 			next.ServeHTTP(w, r)
 		})
-	}}, "ran although refused")
+	}}, "ran although rejected")
 }
 
 type discardingWriter struct{ header http.Header }
