--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -7,6 +7,8 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
+// assign chooses a prefill and a decode engine for a request, or a decode engine that runs the
+// prefill itself. It reports false if none of the engines can serve the request now.
 func (c *Coordinator) assign(now time.Duration, current *serviceState, engines Engines, queued *waiter) (Assignment, bool) {
 	request := queued.request
 	avoid := make(map[string]bool, len(request.Avoid))
--- a/coordinator/benchmark_test.go
+++ b/coordinator/benchmark_test.go
@@ -68,7 +68,7 @@
 				now += 10 * time.Millisecond
 				id := strconv.Itoa(number)
 				if assigning.Assign(b.Context(), requestOf(id, 0)).Decode == "" {
-					b.Fatal("none")
+					b.Fatal("no engine assigned")
 				}
 				assigning.End(RunResult{Service: "s", ID: id})
 			}
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -33,8 +33,8 @@
 	// Engines returns all engines of a service.
 	Engines func(service string) Engines
 	// Shortlist returns a sample of the engines of a service for a node in a zone. Assignment tries
-	// it before all engines, so that its cost does not depend on their number. Default: none, all
-	// engines are tried.
+	// the sample first, and all engines only if none of the sample fits, so that the cost of an
+	// assignment does not depend on the number of engines. Default: all engines are tried.
 	Shortlist func(service, zone string) Engines
 	// ZoneOf returns the zone of the node at an address, empty if unknown. Default: always unknown.
 	ZoneOf func(address string) string
@@ -52,7 +52,7 @@
 	defaultFirstToken = 80 * time.Millisecond
 	// coverageWindow is how long the last sync of a node is relied on. Nodes sync each second.
 	coverageWindow = 2500 * time.Millisecond
-	// minCoverage is the lower bound of the coverage.
+	// minCoverage is the lower bound of the estimated share of the runs that the ledger tracks.
 	minCoverage = 0.3
 	// serveInterval is the time between attempts to serve waiting requests while no run ends.
 	serveInterval = 40 * time.Millisecond
--- a/coordinator/retries.go
+++ b/coordinator/retries.go
@@ -19,8 +19,8 @@
 	scheduledUntil time.Duration
 }
 
-// next returns the time until a client should retry, given the earliest time at which there is
-// capacity for it and the number of runs that end per second.
+// next returns the time until a client should retry, given the time until there is capacity for it
+// and the number of runs that end per second.
 func (s *retrySchedule) next(now, wait time.Duration, completions float64) time.Duration {
 	interval := time.Duration(float64(time.Second) / max(minRate, completions*retryShare))
 	s.scheduledUntil = min(max(s.scheduledUntil, now+wait)+interval, now+maxRetryAfter)
