--- a/sim/hollow/measure.go
+++ b/sim/hollow/measure.go
@@ -36,8 +36,8 @@
 	Restarts int
 }
 
-// Delays summarizes measured times, as from the acceptance of a configuration until it is in
-// force at all nodes.
+// Delays summarizes measured times, such as the time from the acceptance of a
+// configuration until it is active at all nodes.
 type Delays struct {
 	Trials int     `json:"trials"`
 	Median float64 `json:"median_s"`
@@ -53,14 +53,14 @@
 	Models  int `json:"models"`
 
 	StartSeconds float64 `json:"start_s"`
-	// BytesSent is between nodes; MaxBytesSent is that of the node that sent most.
+	// BytesSent counts traffic between nodes; MaxBytesSent is that of the node that sent most.
 	BytesSent      float64 `json:"bytes_sent_per_s"`
 	MaxBytesSent   float64 `json:"max_bytes_sent_per_s"`
 	Frames         float64 `json:"frames_per_s"`
 	HeapBytes      float64 `json:"heap_bytes"`
 	Goroutines     float64 `json:"goroutines"`
 	ProcessorShare float64 `json:"processor_share"`
-	// PlatformReads, PlatformWrites and PlatformWaiting are of the whole fleet.
+	// PlatformReads, PlatformWrites and PlatformWaiting are totals of the whole fleet.
 	PlatformReads   float64 `json:"platform_reads_per_s"`
 	PlatformWrites  float64 `json:"platform_writes_per_s"`
 	PlatformWaiting int64   `json:"platform_waiting_watches"`
--- a/sim/hollow/measure_test.go
+++ b/sim/hollow/measure_test.go
@@ -53,14 +53,14 @@
 		defer fleet.Close()
 		fleet.StartAll()
 		g.Expect(fleet.WaitReady(readyTimeout)).To(BeTrue())
-		sent := newTraffic(fleet, options)
+		generator := newTraffic(fleet, options)
 		for range 10 {
-			g.Expect(sent.start(context.Background(), sent.completion(0, endlessTokens), fleet.Alive())).To(Succeed())
+			g.Expect(generator.start(context.Background(), generator.completion(0, endlessTokens), fleet.Alive())).To(Succeed())
 		}
 		for _, name := range fleet.NodeNames() {
 			fleet.Kill(name)
 		}
-		verdict := evaluate(sent.wait(), fleet)
+		verdict := evaluate(generator.wait(), fleet)
 		g.Expect(verdict.Lost).To(Equal(10))
 		g.Expect(verdict.Failed()).To(BeTrue())
 	})
--- a/sim/hollow/react.go
+++ b/sim/hollow/react.go
@@ -70,8 +70,8 @@
 // allNodes returns every running node.
 func allNodes(fleet *rehearsal.Fleet) []*rehearsal.Node { return fleet.Alive() }
 
-// measurePropagation publishes configurations, each after a call of disturb, and
-// measures the time until each is in force at all selected nodes.
+// measurePropagation publishes configurations, each after a call of disturb, and measures
+// the time until each is active at all selected nodes.
 func measurePropagation(ctx context.Context, fleet *rehearsal.Fleet, trials int, disturb func(), selected func(*rehearsal.Fleet) []*rehearsal.Node) (Delays, error) {
 	times := make([]time.Duration, 0, trials)
 	for range trials {
@@ -81,7 +81,7 @@
 			return Delays{}, err
 		}
 		accepted := time.Now()
-		err = await(func() bool { return inForce(selected(fleet), version) })
+		err = await(func() bool { return isActive(selected(fleet), version) })
 		if err != nil {
 			return Delays{}, errors.Wrapf(err, "version %d at every node", version)
 		}
@@ -90,7 +90,7 @@
 	return summarize(times), nil
 }
 
-func inForce(nodes []*rehearsal.Node, version uint64) bool {
+func isActive(nodes []*rehearsal.Node, version uint64) bool {
 	for _, running := range nodes {
 		// A node that accepts no work cannot serve with an older version.
 		if running.Core.AcceptsWork() && running.Core.Configuration.Current().Version() < version {
@@ -162,7 +162,7 @@
 	}
 	r.PropagationZoneIsolated = &measured
 	heal()
-	return errors.Wrap(await(func() bool { return inForce(fleet.Alive(), r.newest(fleet)) }), "isolated zone after its reconnection")
+	return errors.Wrap(await(func() bool { return isActive(fleet.Alive(), r.newest(fleet)) }), "isolated zone after its reconnection")
 }
 
 func (r *Report) newest(fleet *rehearsal.Fleet) uint64 {
@@ -205,13 +205,13 @@
 	return found.Name
 }
 
-// agreeWithout reports whether all running nodes have the same owner of a pool, and
-// that owner is not one of the dead.
-func agreeWithout(fleet *rehearsal.Fleet, pool api.Pool, dead map[string]bool) bool {
+// agreeWithout reports whether all running nodes have the same owner of a pool, and that
+// owner is not one of the excluded nodes.
+func agreeWithout(fleet *rehearsal.Fleet, pool api.Pool, excluded map[string]bool) bool {
 	agreed := ""
 	for _, running := range fleet.Alive() {
 		current := ownerOf(running, pool)
-		if current == "" || dead[current] || (agreed != "" && current != agreed) {
+		if current == "" || excluded[current] || (agreed != "" && current != agreed) {
 			return false
 		}
 		agreed = current
@@ -223,10 +223,10 @@
 // pools have owners in other zones.
 func (r *Report) killZone(fleet *rehearsal.Fleet) error {
 	zone := fleet.Options.Zones[len(fleet.Options.Zones)-1]
-	dead := map[string]bool{}
+	killed := map[string]bool{}
 	for _, running := range fleet.Alive() {
 		if running.Zone == zone {
-			dead[running.Name] = true
+			killed[running.Name] = true
 			fleet.Kill(running.Name)
 		}
 	}
@@ -238,7 +238,7 @@
 		if pool.Zone != zone {
 			continue
 		}
-		if err := await(func() bool { return agreeWithout(fleet, pool, dead) }); err != nil {
+		if err := await(func() bool { return agreeWithout(fleet, pool, killed) }); err != nil {
 			return errors.Wrap(err, "pools of lost zone "+zone)
 		}
 	}
--- a/sim/hollow/restarting.go
+++ b/sim/hollow/restarting.go
@@ -34,7 +34,7 @@
 		defer func() { <-r.slots }()
 		end(name)
 		r.fleet.Start(name)
-		_ = await(r.fleet.Node(name).Core.IsReady) // Consequences show in the verdict.
+		_ = await(r.fleet.Node(name).Core.IsReady) // The verdict shows the effects of a late start.
 	}()
 }
 
--- a/sim/hollow/rounds.go
+++ b/sim/hollow/rounds.go
@@ -34,17 +34,17 @@
 // streamsPerNode is the number of streams of the node that is killed.
 const streamsPerNode = 8
 
-// measureStreamsFreed kills nodes whose callers read endless answers and then
-// disconnect, and measures the time until no engine holds a stream.
+// measureStreamsFreed kills nodes whose callers read endless streams and then disconnect,
+// and measures the time until no engine holds a stream.
 func (r *Report) measureStreamsFreed(fleet *rehearsal.Fleet, options Options) error {
 	var times []time.Duration
 	for trial := range options.Trials {
 		alive := fleet.Alive()
 		victim := alive[(trial*7+1)%len(alive)]
-		sent := newTraffic(fleet, options)
+		generator := newTraffic(fleet, options)
 		ctx, disconnect := context.WithCancel(context.Background())
 		for range streamsPerNode {
-			if err := sent.start(ctx, sent.completion(trial, endlessTokens), []*rehearsal.Node{victim}); err != nil {
+			if err := generator.start(ctx, generator.completion(trial, endlessTokens), []*rehearsal.Node{victim}); err != nil {
 				disconnect()
 				return err
 			}
@@ -60,7 +60,7 @@
 			return errors.Wrap(err, "streams of a killed node")
 		}
 		times = append(times, time.Since(killed))
-		sent.wait()
+		generator.wait()
 		fleet.Start(victim.Name)
 		if !fleet.WaitReady(readyTimeout) {
 			return errors.Wrap(errNoReaction, "fleet after the failure of a node with streams")
@@ -108,7 +108,7 @@
 	if !fleet.WaitReady(readyTimeout) {
 		return errors.Wrap(errNoReaction, "regions after the partition")
 	}
-	if err := await(func() bool { return inForce(fleet.Alive(), newest) }); err != nil {
+	if err := await(func() bool { return isActive(fleet.Alive(), newest) }); err != nil {
 		return errors.Wrap(err, "newest version after the partition")
 	}
 	measured.Rejoined = time.Since(partitionEnd).Seconds()
@@ -147,21 +147,22 @@
 }
 
 const (
-	// restartInterval is the time between two restarts. It compresses those of a day.
+	// restartInterval is the time between two restarts. It is short, so that the restarts
+	// of a day fit into a measurement.
 	restartInterval = 300 * time.Millisecond
 	// requestsPerRestart is the number of requests sent between two restarts.
 	requestsPerRestart = 10
-	// settleTime is longer than the resume window, the hold time and the retries of
-	// cancellations.
+	// settleTime is the wait before the verdict. It is longer than the resume window, the
+	// hold time and the retries of cancellations.
 	settleTime = 20 * time.Second
 )
 
 // measureRestarts restarts nodes one after the other under load: every second one
 // with a planned stop, the others with a kill.
 func (r *Report) measureRestarts(fleet *rehearsal.Fleet, options Options) error {
-	sent := newTraffic(fleet, options)
+	generator := newTraffic(fleet, options)
 	measured := Restarts{}
-	began := time.Now()
+	started := time.Now()
 	names := fleet.NodeNames()
 	restarting := newRestarter(fleet)
 	for number := range options.Restarts {
@@ -174,15 +175,15 @@
 			restarting.restart(name, fleet.Stop)
 		}
 		for range requestsPerRestart {
-			if err := sent.startAny(); err != nil {
+			if err := generator.startAny(); err != nil {
 				return err
 			}
 			time.Sleep(restartInterval / requestsPerRestart)
 		}
 	}
 	restarting.wait()
-	results := sent.wait()
-	measured.Seconds = time.Since(began).Seconds()
+	results := generator.wait()
+	measured.Seconds = time.Since(started).Seconds()
 	if !fleet.WaitReady(readyTimeout) {
 		return errors.Wrap(errNoReaction, "fleet after the restarts")
 	}
--- a/sim/hollow/series.go
+++ b/sim/hollow/series.go
@@ -67,7 +67,7 @@
 func Series(ctx context.Context, out io.Writer, sizes []Options, folder string) error {
 	const folderMode, fileMode = 0o755, 0o600
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "make folder")
+		return errors.Wrap(err, "create folder")
 	}
 	var reports []*Report
 	for _, size := range sizes {
@@ -139,7 +139,7 @@
 // drawSeries plots each quantity as a share of its value at the largest fleet.
 func drawSeries(reports []*Report, path string) error {
 	drawn := plot.New()
-	drawn.Title.Text = "cost of a node against the fleet, relative to the largest"
+	drawn.Title.Text = "cost per node against the size of the fleet, relative to the largest fleet"
 	drawn.X.Label.Text = "nodes"
 	drawn.Legend.Top = true
 	drawn.Legend.Left = true
@@ -154,7 +154,7 @@
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			return errors.Wrap(err, "make line")
+			return errors.Wrap(err, "create line")
 		}
 		line.Color = plotutil.Color(i)
 		drawn.Add(line)
--- a/sim/hollow/traffic.go
+++ b/sim/hollow/traffic.go
@@ -20,10 +20,10 @@
 	callerHost = "192.0.2.1"
 	// promptWords is the length of a prompt in words.
 	promptWords = 100
-	// answerTokens is the largest length of a usual answer, endlessTokens the length
-	// of one that only a cancellation ends.
-	answerTokens  = 40
-	endlessTokens = 20000
+	// maxOutputTokens is the largest length of an ordinary output, endlessTokens the
+	// length of an output that only a cancellation ends.
+	maxOutputTokens = 40
+	endlessTokens   = 20000
 	// nodesPerCaller is the number of nodes that the load balancer offers to a caller.
 	nodesPerCaller = 4
 )
@@ -44,7 +44,7 @@
 	return &traffic{fleet: fleet, options: options, random: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// completion returns a streamed completion of a tenant.
+// completion returns a streaming completion call of a tenant.
 func (t *traffic) completion(tenant, tokens int) load.Call {
 	model := tenant % t.options.Models
 	return load.Call{
@@ -101,13 +101,13 @@
 	return ready[:min(len(ready), nodesPerCaller)]
 }
 
-// nonIdempotentEvery is the mean number of requests for each non-idempotent one.
+// nonIdempotentEvery is the mean number of requests per non-idempotent request.
 const nonIdempotentEvery = 4
 
 // startAny sends a random request of the mix through the load balancer.
 func (t *traffic) startAny() error {
 	tenant := t.random.IntN(t.options.Tenants)
-	call := t.completion(tenant, 1+t.random.IntN(answerTokens))
+	call := t.completion(tenant, 1+t.random.IntN(maxOutputTokens))
 	if t.random.IntN(nonIdempotentEvery) == 0 {
 		call = t.nonIdempotentCall(tenant)
 	}
