--- a/sim/hollow/measure_test.go
+++ b/sim/hollow/measure_test.go
@@ -24,7 +24,7 @@
 			Failures: true, PartitionDuration: 30 * time.Second, Restarts: 12,
 		})
 		g.Expect(err).NotTo(HaveOccurred())
-		inForce := rehearsal.InForceWithin.Seconds()
+		inForce := rehearsal.ActiveWithin.Seconds()
 		for _, propagation := range []Delays{report.Propagation, *report.PropagationChurn20, *report.PropagationZoneIsolated, report.Partition.Connected} {
 			g.Expect(propagation.Trials).To(BeNumerically(">=", 2))
 			g.Expect(propagation.Worst).To(BeNumerically("<", inForce))
--- a/sim/rehearsal/defects_test.go
+++ b/sim/rehearsal/defects_test.go
@@ -240,7 +240,7 @@
 		monitor := NewMonitor(fleet)
 		stopMonitor := startMonitor(monitor)
 		publishWeight(t, fleet, 7)
-		time.Sleep(2 * InForceWithin)
+		time.Sleep(2 * ActiveWithin)
 		stopMonitor()
 		violations = monitor.Violations()
 	})
@@ -261,7 +261,7 @@
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		publishWeight(t, fleet, 7)
-		waitUntil(t, InForceWithin, "version 2", func() bool { return fleet.Alive()[0].Core.Configuration.Current().Version() == 2 })
+		waitUntil(t, ActiveWithin, "version 2", func() bool { return fleet.Alive()[0].Core.Configuration.Current().Version() == 2 })
 		monitor := NewMonitor(fleet)
 		monitor.check()
 		reverted := fleet.Alive()[0]
--- a/sim/rehearsal/monitor.go
+++ b/sim/rehearsal/monitor.go
@@ -15,9 +15,9 @@
 const (
 	// monitorInterval is the time between two checks of the nodes.
 	monitorInterval = 250 * time.Millisecond
-	// InForceWithin is the time in which an accepted configuration must be in force
-	// at all nodes.
-	InForceWithin = 6 * time.Second
+	// ActiveWithin is the time in which an accepted configuration must be active at
+	// all nodes.
+	ActiveWithin = 6 * time.Second
 	// LeavingWithin is the time after which a leaving backend must get no new work,
 	// from when the platform's list reports it as leaving.
 	LeavingWithin = 5 * time.Second
@@ -80,7 +80,7 @@
 		}
 		m.seen[running] = version
 		if running.Core.AcceptsWork() && version < required {
-			m.violatef("%s takes work with version %d, %d was accepted over %s ago", running.Name, version, required, InForceWithin)
+			m.violatef("%s takes work with version %d, %d was accepted over %s ago", running.Name, version, required, ActiveWithin)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 func (m *Monitor) required(now time.Time) uint64 {
 	var version uint64
 	for _, seen := range m.versions {
-		if now.Sub(seen.at) > InForceWithin {
+		if now.Sub(seen.at) > ActiveWithin {
 			version = max(version, seen.version)
 		}
 	}
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -326,7 +326,7 @@
 				t.Fatalf("round %d: both operators got accepted=%t", round, outcomes[0])
 			}
 			want := uint64(round + 2)
-			waitUntil(t, InForceWithin, "the version in force everywhere", func() bool {
+			waitUntil(t, ActiveWithin, "the version in force everywhere", func() bool {
 				for _, running := range fleet.Alive() {
 					if running.Core.Configuration.Current().Version() != want {
 						return false
--- a/sim/rehearsal/regions_test.go
+++ b/sim/rehearsal/regions_test.go
@@ -74,7 +74,7 @@
 				}
 				heal()
 				waitUntil(t, time.Minute, "one fleet", fleet.allReady)
-				time.Sleep(InForceWithin)
+				time.Sleep(ActiveWithin)
 				if result := sendShort(fleet, inRegion(fleet, true)[0], 3); result.Ending != load.EndingAnswered {
 					t.Errorf("the second region does not answer after the partition: %v", result.Failure)
 				}
