--- a/sim/hollow/measure.go
+++ b/sim/hollow/measure.go
@@ -99,7 +99,7 @@
 	perModel := max(options.Servers/(enginesPerPool*options.Models), 1)
 	shape := rehearsal.Shape{
 		Zones: zones, Models: options.Models, PoolsPerModel: perModel, EnginesPerPool: enginesPerPool,
-		Tenants: options.Tenants, Services: 2, ChecksFence: true,
+		Tenants: options.Tenants, Services: 2, ChecksFencingToken: true,
 	}
 	return rehearsal.NewFleet(ctx, rehearsal.Options{
 		Zones: zones, NodesPerZone: (options.Nodes + options.Zones - 1) / options.Zones,
--- a/sim/rehearsal/generate.go
+++ b/sim/rehearsal/generate.go
@@ -24,8 +24,8 @@
 	EnginesPerPool int
 	Tenants        int
 	Services       int
-	// ChecksFence states whether the engines check fences.
-	ChecksFence bool
+	// ChecksFencingToken is set if the engines check fencing tokens.
+	ChecksFencingToken bool
 }
 
 // Token returns the bearer token of a generated tenant.
@@ -48,7 +48,7 @@
 		classes = append(classes, long, short)
 		for number := range shape.PoolsPerModel {
 			zone := shape.Zones[(model+number)%len(shape.Zones)]
-			pool := api.Pool{Name: fmt.Sprintf("pool-%d-%d", model, number), Model: name, Zone: zone, ChecksFence: shape.ChecksFence}
+			pool := api.Pool{Name: fmt.Sprintf("pool-%d-%d", model, number), Model: name, Zone: zone, ChecksFence: shape.ChecksFencingToken}
 			for member := range shape.EnginesPerPool {
 				role := []api.Role{api.RolePrefill, api.RoleDecode}[member%2]
 				pool.Engines = append(pool.Engines, api.Engine{
