--- a/sim/rehearsal/benchmark_test.go
+++ b/sim/rehearsal/benchmark_test.go
@@ -21,15 +21,15 @@
 func benchmarkFleet(b *testing.B) *Fleet {
 	b.Helper()
 	shape := Shape{Zones: []string{"zone-a"}, Models: 1, PoolsPerModel: 1, EnginesPerPool: 2, Tenants: 1, Services: 1}
-	pattern := EngineOptions()
-	pattern.Slots, pattern.KVTokens, pattern.PrefillTokensPerSecond = 2000, 100_000_000, 1e12
+	engineOptions := EngineOptions()
+	engineOptions.Slots, engineOptions.KVTokens, engineOptions.PrefillTokensPerSecond = 2000, 100_000_000, 1e12
 	configured := Generate(shape)
 	configured.Tenants[0].MaxConcurrent = 5000
 	configured.Pools[0].PrefillTokensPerSecond = 1e12
 	for i := range configured.Pools[0].Engines {
-		configured.Pools[0].Engines[i].Slots, configured.Pools[0].Engines[i].KVTokens = pattern.Slots, pattern.KVTokens
+		configured.Pools[0].Engines[i].Slots, configured.Pools[0].Engines[i].KVTokens = engineOptions.Slots, engineOptions.KVTokens
 	}
-	fleet, err := NewFleet(context.Background(), Options{Zones: shape.Zones, NodesPerZone: 3, Configuration: configured, Engine: pattern})
+	fleet, err := NewFleet(context.Background(), Options{Zones: shape.Zones, NodesPerZone: 3, Configuration: configured, Engine: engineOptions})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -40,8 +40,8 @@
 	return fleet
 }
 
-// nodeThat returns a node that owns the pool, or one that does not.
-func nodeThat(fleet *Fleet, owns bool) *Node {
+// nodeOwning returns a node that owns the pool, or one that does not.
+func nodeOwning(fleet *Fleet, owns bool) *Node {
 	pool := fleet.Options.Configuration.Pools[0]
 	for _, running := range fleet.Alive() {
 		if running.Core.Cluster.Owns(pool.Zone, owner.Key(pool.Name)) == owns {
@@ -68,7 +68,7 @@
 		}
 	})
 	for name, owns := range map[string]bool{"through the owner": true, "through another node": false} {
-		b.Run(name, func(b *testing.B) { benchmarkRouted(b, fleet, nodeThat(fleet, owns), prompt) })
+		b.Run(name, func(b *testing.B) { benchmarkRouted(b, fleet, nodeOwning(fleet, owns), prompt) })
 	}
 }
 
@@ -96,10 +96,10 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		answer, err := io.ReadAll(response.Body)
+		content, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if err != nil || response.StatusCode != http.StatusOK {
-			b.Fatalf("status %d: %s %v", response.StatusCode, answer, err)
+			b.Fatalf("status %d: %s %v", response.StatusCode, content, err)
 		}
 	}
 	bytesAfter, framesAfter := sent()
--- a/sim/rehearsal/defects_test.go
+++ b/sim/rehearsal/defects_test.go
@@ -25,14 +25,15 @@
 
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-func emptyReply(r *http.Request, body string) *http.Response {
+func emptyResponse(r *http.Request, body string) *http.Response {
 	return &http.Response{
 		StatusCode: http.StatusOK, Header: http.Header{"Content-Type": {"application/json"}},
 		Body: io.NopCloser(strings.NewReader(body)), Request: r,
 	}
 }
 
-// requestSteps returns a schedule of requests of all kinds. Some callers disconnect.
+// requestSteps returns a schedule of requests of all kinds, with some callers that
+// disconnect.
 func requestSteps() []step {
 	random := rand.New(rand.NewPCG(11, 11))
 	steps := make([]step, 60)
@@ -69,9 +70,9 @@
 		return roundTripper(func(r *http.Request) (*http.Response, error) {
 			switch {
 			case strings.HasSuffix(r.URL.Path, "/cancel"):
-				return emptyReply(r, "{}"), nil
+				return emptyResponse(r, "{}"), nil
 			case strings.HasSuffix(r.URL.Path, "/v1/streams"):
-				return emptyReply(r, "[]"), nil
+				return emptyResponse(r, "[]"), nil
 			}
 			return next.RoundTrip(r)
 		})
@@ -108,7 +109,7 @@
 	}}, "tokens twice")
 }
 
-// alteringWriter adds a letter to every answer.
+// alteringWriter adds a letter to the text of every response.
 type alteringWriter struct{ http.ResponseWriter }
 
 func (w alteringWriter) Write(data []byte) (int, error) {
@@ -121,7 +122,7 @@
 
 func (w alteringWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func TestOracleDetectsAlteredAnswer(t *testing.T) {
+func TestOracleDetectsAlteredResponse(t *testing.T) {
 	expectViolation(t, Defects{Handler: func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { next.ServeHTTP(alteringWriter{w}, r) })
 	}}, "altered")
@@ -133,7 +134,7 @@
 			if r.Method == http.MethodPost && strings.HasPrefix(r.URL.Path, "/services/") {
 				discarded := &discardingWriter{header: http.Header{}}
 				next.ServeHTTP(discarded, r)
-				api.NewError(http.StatusServiceUnavailable, api.CodeNoCapacity, api.OutcomeNotRun, "said falsely").WriteHTTP(w)
+				api.NewError(http.StatusServiceUnavailable, api.CodeNoCapacity, api.OutcomeNotRun, "false rejection").WriteHTTP(w)
 				return
 			}
 			next.ServeHTTP(w, r)
@@ -158,9 +159,9 @@
 			if err != nil {
 				return nil, err
 			}
-			again := r.Clone(r.Context())
-			again.Body = io.NopCloser(bytes.NewReader(body))
-			if response, err := next.RoundTrip(again); err == nil {
+			duplicate := r.Clone(r.Context())
+			duplicate.Body = io.NopCloser(bytes.NewReader(body))
+			if response, err := next.RoundTrip(duplicate); err == nil {
 				_ = response.Body.Close()
 			}
 			r.Body = io.NopCloser(bytes.NewReader(body))
@@ -227,7 +228,7 @@
 }
 
 // changeConfiguration publishes a version directly in the store and returns what the
-// monitor reports after twice the time in which it must be in force.
+// monitor reports after twice the time in which the version must be active.
 func changeConfiguration(t *testing.T, options Options, stale *atomic.Bool) (violations []string) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, options)
@@ -265,7 +266,7 @@
 		monitor := NewMonitor(fleet)
 		monitor.check()
 		reverted := fleet.Alive()[0]
-		reverted.Core.Configuration = newHolderOfFirst(t, fleet)
+		reverted.Core.Configuration = newFirstVersionHolder(t, fleet)
 		monitor.check()
 		if len(monitor.Violations()) == 0 {
 			t.Fatal("the oracle did not detect that a version went back")
@@ -273,8 +274,8 @@
 	})
 }
 
-// newHolderOfFirst returns a holder of the first version.
-func newHolderOfFirst(t *testing.T, fleet *Fleet) *configuration.Holder {
+// newFirstVersionHolder returns a holder of the first version.
+func newFirstVersionHolder(t *testing.T, fleet *Fleet) *configuration.Holder {
 	t.Helper()
 	holder := configuration.NewHolder()
 	store := fleet.Platform.Store
--- a/sim/rehearsal/discovery_test.go
+++ b/sim/rehearsal/discovery_test.go
@@ -13,12 +13,12 @@
 	"github.com/reelrun/reelrun/sim/load"
 )
 
-// TestZonesWithoutSeedsFindEachOther starts six zones with a single seed node.
-// Every node must discover every other, also when a zone starts later, and keep
-// them after the seed has been terminated.
-func TestZonesWithoutSeedsFindEachOther(t *testing.T) {
+// TestZonesWithoutSeedsDiscoverEachOther starts six zones with a single seed node.
+// Every node must discover every other one, even if a zone starts later, and keep
+// its view after the seed has been terminated.
+func TestZonesWithoutSeedsDiscoverEachOther(t *testing.T) {
 	for _, nodes := range []int{1, 3} {
-		t.Run(fmt.Sprintf("%d nodes a zone", nodes), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d nodes per zone", nodes), func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				options := smallOptions()
 				options.Zones = []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e", "zone-f"}
@@ -33,10 +33,10 @@
 				for _, name := range late {
 					fleet.Start(name)
 				}
-				waitUntil(t, time.Minute, "the late zone known everywhere", fleet.allReady)
+				waitUntil(t, time.Minute, "discovery of the late zone", fleet.allReady)
 				fleet.Kill(fleet.NodeNames()[0])
 				time.Sleep(20 * time.Second)
-				waitUntil(t, time.Minute, "one view without the seed", fleet.allReady)
+				waitUntil(t, time.Minute, "a complete view without the seed", fleet.allReady)
 			})
 		})
 	}
@@ -69,7 +69,7 @@
 			nodes := ready()
 			second.Client, second.Nodes = fleet.Client("192.0.2.2"), []string{nodes[len(nodes)-1].CallerAddress()}
 			// Each caller retries when the other has taken the request over, until one has
-			// the complete answer.
+			// the complete response.
 			results := []load.Result{load.Send(context.Background(), second), <-done}
 			answered := 0
 			for _, result := range results {
@@ -80,7 +80,7 @@
 				}
 			}
 			if starts := countEntries(fleet, enginesim.EntryDecodeStart); answered != 1 || starts != 1 {
-				t.Fatalf("%d complete answers, decoded %d times", answered, starts)
+				t.Fatalf("%d complete responses, decoded %d times", answered, starts)
 			}
 		})
 	}
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -79,8 +79,9 @@
 	down    chan struct{}
 	alive   bool
 	serving sync.WaitGroup
-	// dead is set once the node is killed; whatever it sends afterwards is discarded.
-	dead atomic.Bool
+	// terminated is set once the node is killed; whatever it sends afterwards is
+	// discarded.
+	terminated atomic.Bool
 }
 
 // hostTransport is the transport of one incarnation of a node.
@@ -91,13 +92,13 @@
 
 // RoundTrip implements http.RoundTripper.
 func (t *hostTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	if t.node.dead.Load() {
+	if t.node.terminated.Load() {
 		return nil, memnet.ErrAborted
 	}
 	return t.RoundTripper.RoundTrip(request)
 }
 
-// CallerAddress is the address at which the node accepts callers.
+// CallerAddress returns the address at which the node accepts callers.
 func (n *Node) CallerAddress() string { return n.Host + callerPort }
 
 // Engine is one stand-in engine of a fleet.
@@ -114,7 +115,7 @@
 	Host   string
 }
 
-// Fleet is a whole system in one process.
+// Fleet is a complete system in one process: the nodes and all stand-ins.
 type Fleet struct {
 	Options  Options
 	Links    *memnet.LinkFilter
@@ -203,14 +204,14 @@
 	if wrap := f.Options.Defects.Transport; wrap != nil {
 		transport = wrap(transport)
 	}
-	var store objectapi.Store = &nodeStore{platform: f.Platform, node: name, dead: started.dead.Load}
+	var store objectapi.Store = &nodeStore{platform: f.Platform, node: name, terminated: started.terminated.Load}
 	if wrap := f.Options.Defects.Store; wrap != nil {
 		store = wrap(store)
 	}
 	started.Core = node.NewCore(node.CoreOptions{
 		Name: name, Zone: started.Zone, PeerAddress: started.Host + peerPort, Seeds: f.seeds(),
 		Dial: func(ctx context.Context, to string) (net.Conn, error) {
-			if started.dead.Load() {
+			if started.terminated.Load() {
 				return nil, memnet.ErrAborted
 			}
 			return f.Network.Dial(ctx, started.Host, to)
@@ -309,14 +310,14 @@
 	return true
 }
 
-// Kill ends a node as the termination of its process does: every connection
-// closes, and whatever the node still sends is discarded.
+// Kill ends a node like a termination of its process: every connection is closed,
+// and whatever the node still sends is discarded.
 func (f *Fleet) Kill(name string) {
 	killed := f.Node(name)
 	if !f.markStopped(killed) {
 		return
 	}
-	killed.dead.Store(true)
+	killed.terminated.Store(true)
 	f.Network.Kill(killed.Host)
 	f.HTTP.Kill(killed.Host)
 	killed.cancel()
@@ -347,7 +348,7 @@
 	}
 }
 
-// drainDelay is the time in which the load balancer removes a draining node.
+// drainDelay is the time that the load balancer takes to remove a draining node.
 const drainDelay = 5 * time.Second
 
 // Stop is a planned stop of a node: it becomes unready, drains, and ends after its
@@ -365,7 +366,7 @@
 	stopping.cancel()
 	<-stopping.stopped
 	f.Network.Kill(stopping.Host)
-	stopping.dead.Store(true)
+	stopping.terminated.Store(true)
 	close(stopping.down)
 }
 
@@ -459,5 +460,5 @@
 
 // StoreOf returns the platform's store with the faults injected for a node.
 func (f *Fleet) StoreOf(name string) objectapi.Store {
-	return &nodeStore{platform: f.Platform, node: name, dead: func() bool { return false }}
+	return &nodeStore{platform: f.Platform, node: name, terminated: func() bool { return false }}
 }
--- a/sim/rehearsal/generate.go
+++ b/sim/rehearsal/generate.go
@@ -9,7 +9,7 @@
 	"github.com/reelrun/reelrun/sim/enginesim"
 )
 
-// longOutput is the longest answer of the class "long".
+// longOutput is the maximum number of output tokens of the long classes.
 const longOutput = 20000
 
 // Shape is the size of a generated configuration.
@@ -32,7 +32,7 @@
 func Token(tenant int) string { return fmt.Sprintf("token-%d", tenant) }
 
 // Generate returns a configuration of the given shape. Each tenant may use the
-// classes of one model: a short one, whose answers end with the prefill, and a long
+// classes of one model: a short one, whose output ends with the prefill, and a long
 // one.
 func Generate(shape Shape) api.Configuration {
 	var generated api.Configuration
@@ -87,10 +87,10 @@
 // EngineOptions returns options of stand-in engines that match the defaults of a
 // configuration.
 func EngineOptions() enginesim.Options {
-	const linger, cacheBlocks = 5 * time.Second, 4096
+	const retention, cacheBlocks = 5 * time.Second, 4096
 	return enginesim.Options{
 		Slots: api.DefaultSlots, KVTokens: api.DefaultKVTokens, PrefillTokensPerSecond: api.DefaultPrefillTokensPerSecond,
 		StepTime: api.DefaultStepTime, LinkTokensPerSecond: api.DefaultLinkTokensPerSecond, Hold: api.DefaultHold,
-		StreamRetention: linger, LoadLag: 500 * time.Millisecond, CacheBlocks: cacheBlocks, CacheDelay: time.Second, CacheGapEvery: 17,
+		StreamRetention: retention, LoadLag: 500 * time.Millisecond, CacheBlocks: cacheBlocks, CacheDelay: time.Second, CacheGapEvery: 17,
 	}
 }
--- a/sim/rehearsal/monitor.go
+++ b/sim/rehearsal/monitor.go
@@ -80,7 +80,7 @@
 		}
 		m.seen[running] = version
 		if running.Core.AcceptsWork() && version < required {
-			m.violatef("%s takes work with version %d, %d was accepted over %s ago", running.Name, version, required, ActiveWithin)
+			m.violatef("%s accepts work with version %d, %d was accepted over %s ago", running.Name, version, required, ActiveWithin)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-// required returns the newest version that must be in force at all nodes.
+// required returns the newest version that must be active at all nodes.
 func (m *Monitor) required(now time.Time) uint64 {
 	var version uint64
 	for _, seen := range m.versions {
@@ -137,7 +137,7 @@
 }
 
 // isLate reports whether work began later than LeavingWithin after its backend was
-// listed as leaving. The time starts anew while no node can read the list, since no
+// listed as leaving. The time restarts whenever no node can read the list, since no
 // node can learn of the change then.
 func (m *Monitor) isLate(began, since time.Time) bool {
 	for _, at := range m.unreadable {
--- a/sim/rehearsal/platform.go
+++ b/sim/rehearsal/platform.go
@@ -61,14 +61,14 @@
 
 // nodeStore is the platform's store with the faults injected for one node.
 type nodeStore struct {
-	platform *Platform
-	node     string
-	dead     func() bool
+	platform   *Platform
+	node       string
+	terminated func() bool
 }
 
 func (s *nodeStore) down() bool {
 	down, _ := s.platform.isDown(s.node)
-	return down || s.dead()
+	return down || s.terminated()
 }
 
 // Get implements objectapi.Store.
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -30,9 +30,9 @@
 	t.Fatalf("%s did not happen within %s", what, limit)
 }
 
-// startEndless starts a request whose answer takes minutes, and waits until it is
-// being decoded.
-func startEndless(t *testing.T, fleet *Fleet, through *Node, key string) (disconnect func() load.Result) {
+// startLongRequest starts a request whose output takes minutes, and waits until it
+// is being decoded.
+func startLongRequest(t *testing.T, fleet *Fleet, through *Node, key string) (disconnect func() load.Result) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan load.Result, 1)
@@ -51,9 +51,9 @@
 
 func TestDisconnectedCallerFreesEngine(t *testing.T) {
 	for name, breakNode := range map[string]func(*Fleet, *Node){
-		"node lives":  func(*Fleet, *Node) {},
-		"node killed": func(fleet *Fleet, through *Node) { fleet.Kill(through.Name) },
-		"node cut off": func(fleet *Fleet, through *Node) {
+		"node is live": func(*Fleet, *Node) {},
+		"node killed":  func(fleet *Fleet, through *Node) { fleet.Kill(through.Name) },
+		"node isolated": func(fleet *Fleet, through *Node) {
 			fleet.Links.Block(func(link memnet.Link) bool { return link.From == through.Host || link.To == through.Host })
 			fleet.Platform.SetUnreachable(through.Name, true)
 		},
@@ -67,10 +67,10 @@
 				fleet := startFleet(t, smallOptions())
 				defer fleet.Close()
 				through := fleet.Alive()[0]
-				disconnect := startEndless(t, fleet, through, newKey())
+				disconnect := startLongRequest(t, fleet, through, newKey())
 				breakNode(fleet, through)
 				disconnect()
-				waitUntil(t, 20*time.Second, "freedom of the engines", func() bool { return fleet.HeldStreams() == 0 })
+				waitUntil(t, 20*time.Second, "release of all streams", func() bool { return fleet.HeldStreams() == 0 })
 			})
 		})
 	}
@@ -83,7 +83,7 @@
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		through := fleet.Alive()[0]
-		disconnect := startEndless(t, fleet, through, newKey())
+		disconnect := startLongRequest(t, fleet, through, newKey())
 		engines := map[string]bool{}
 		for _, engine := range fleet.Engines {
 			engines[engine.Host] = true
@@ -103,8 +103,8 @@
 
 func TestClientRetryTakesOver(t *testing.T) {
 	for name, prepare := range map[string]func(*Fleet, *Node){
-		"holder lives":  func(*Fleet, *Node) {},
-		"holder killed": func(fleet *Fleet, holder *Node) { fleet.Kill(holder.Name) },
+		"holder is live": func(*Fleet, *Node) {},
+		"holder killed":  func(fleet *Fleet, holder *Node) { fleet.Kill(holder.Name) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -130,7 +130,7 @@
 				cancel()
 				earlier := <-firstDone
 				if earlier.Ending == load.EndingAnswered {
-					t.Fatal("both connections got the complete answer")
+					t.Fatal("both connections got the complete response")
 				}
 				if starts := countEntries(fleet, enginesim.EntryDecodeStart); starts != 1 {
 					t.Fatalf("the request was decoded %d times", starts)
@@ -152,8 +152,9 @@
 	return count
 }
 
-// TestEngineFailureKeepsTheAnswerWhole lets engines fail in the middle of answers.
-func TestEngineFailureKeepsTheAnswerWhole(t *testing.T) {
+// TestEngineFailureKeepsTheResponseComplete lets engines fail in the middle of
+// responses.
+func TestEngineFailureKeepsTheResponseComplete(t *testing.T) {
 	for name, breakEngines := range map[string]func(*Fleet){
 		"connections cut": func(fleet *Fleet) {
 			fleet.HTTP.Abort(func(link memnet.Link) bool { return link.To[:6] == "10.100" })
@@ -167,7 +168,7 @@
 				}
 			}
 		},
-		"decode engine dead": func(fleet *Fleet) {
+		"decode engine terminated": func(fleet *Fleet) {
 			for _, engine := range fleet.Engines {
 				if len(engine.Streams()) > 0 {
 					fleet.HTTP.Kill(engine.Host)
@@ -198,9 +199,9 @@
 	}
 }
 
-// TestStalledTransferMovesThePrefill checks that a stalled transfer is retried from
+// TestStalledTransferReusesThePrefill checks that a stalled transfer is retried from
 // the prefill result while that is kept, without a second prefill.
-func TestStalledTransferMovesThePrefill(t *testing.T) {
+func TestStalledTransferReusesThePrefill(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
@@ -222,15 +223,15 @@
 
 // TestPlannedStopCutsOffNothing stops nodes one after the other under load.
 func TestPlannedStopCutsOffNothing(t *testing.T) {
-	if broken := plannedStop(t, (*Fleet).Stop); broken != 0 {
-		t.Fatalf("%d requests were cut off", broken)
+	if incomplete := plannedStop(t, (*Fleet).Stop); incomplete != 0 {
+		t.Fatalf("%d requests were cut off", incomplete)
 	}
 }
 
 // plannedStop stops two nodes under load and counts the requests without a complete
-// answer in their first attempt.
+// response in their first attempt.
 func plannedStop(t *testing.T, stop func(*Fleet, string)) int {
-	broken := 0
+	incomplete := 0
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
@@ -257,12 +258,12 @@
 		}
 		for range requests {
 			if result := <-results; result.Ending != load.EndingAnswered || result.Attempts != 1 {
-				broken++
+				incomplete++
 			}
 		}
 		stopping.Wait()
 	})
-	return broken
+	return incomplete
 }
 
 // TestLeavingBackendsGetNoNewWork marks an engine of each role and a replica as
@@ -314,7 +315,8 @@
 }
 
 // TestRacingOperators has two operators confirm plans based on one version through
-// different nodes, while replies of the platform are lost: exactly one must succeed.
+// different nodes, while responses of the platform are lost: exactly one must
+// succeed.
 func TestRacingOperators(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
@@ -326,7 +328,7 @@
 				t.Fatalf("round %d: both operators got accepted=%t", round, outcomes[0])
 			}
 			want := uint64(round + 2)
-			waitUntil(t, ActiveWithin, "the version in force everywhere", func() bool {
+			waitUntil(t, ActiveWithin, "activation of the version at all nodes", func() bool {
 				for _, running := range fleet.Alive() {
 					if running.Core.Configuration.Current().Version() != want {
 						return false
@@ -338,10 +340,11 @@
 	})
 }
 
-// confirmConcurrently has two operators confirm conflicting plans at once and returns which of them succeeded.
+// confirmConcurrently has two operators confirm conflicting plans at once, and
+// returns which of them succeeded.
 func confirmConcurrently(t *testing.T, fleet *Fleet, round int) [2]bool {
 	t.Helper()
-	var won [2]bool
+	var accepted [2]bool
 	var racing sync.WaitGroup
 	for i, through := range fleet.Alive()[:2] {
 		acceptor := operator.Acceptor{Configuration: through.Core.Configuration, Store: fleet.StoreOf(through.Name)}
@@ -356,9 +359,9 @@
 		go func() {
 			defer racing.Done()
 			_, err := acceptor.Accept(context.Background(), plan)
-			won[i] = err == nil
+			accepted[i] = err == nil
 		}()
 	}
 	racing.Wait()
-	return won
+	return accepted
 }
--- a/sim/rehearsal/quarantine_test.go
+++ b/sim/rehearsal/quarantine_test.go
@@ -30,9 +30,9 @@
 
 // crashes records when crashPrompt arrived at engines, and when engines crashed.
 type crashes struct {
-	mu       sync.Mutex
-	arrivals []time.Time
-	ends     []time.Time
+	mu         sync.Mutex
+	arrivals   []time.Time
+	crashTimes []time.Time
 }
 
 func (c *crashes) arrived() {
@@ -41,10 +41,10 @@
 	c.arrivals = append(c.arrivals, time.Now())
 }
 
-func (c *crashes) ended() {
+func (c *crashes) crashed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ends = append(c.ends, time.Now())
+	c.crashTimes = append(c.crashTimes, time.Now())
 }
 
 // lateArrivals counts the arrivals later than quarantineWithin after the third crash.
@@ -52,12 +52,12 @@
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.ends) < 3 {
-		t.Fatalf("%d engines crashed", len(c.ends))
+	if len(c.crashTimes) < 3 {
+		t.Fatalf("%d engines crashed", len(c.crashTimes))
 	}
 	late := 0
 	for _, at := range c.arrivals {
-		if at.After(c.ends[2].Add(quarantineWithin)) {
+		if at.After(c.crashTimes[2].Add(quarantineWithin)) {
 			late++
 		}
 	}
@@ -66,7 +66,7 @@
 
 // crashEngines makes all engines of a fleet crash when they prefill crashPrompt.
 func crashEngines(fleet *Fleet) *crashes {
-	seen := &crashes{}
+	observed := &crashes{}
 	for _, pool := range fleet.Options.Configuration.Pools {
 		for _, member := range pool.Engines {
 			started, address := fleet.Engines[member.Name], member.Address
@@ -79,26 +79,27 @@
 					healthy.ServeHTTP(w, r)
 					return
 				}
-				seen.arrived()
+				observed.arrived()
 				time.Sleep(crashAfter)
-				seen.ended()
+				observed.crashed()
 				time.AfterFunc(restartAfter, func() { fleet.HTTP.Handle(address, handler) })
 				fleet.HTTP.Kill(started.Host)
 			})
 			fleet.HTTP.Handle(address, handler)
 		}
 	}
-	return seen
+	return observed
 }
 
-// A completion that crashed its engines was started again by each client retry: a request may have
-// three attempts, and nodes did not recognize the next request as the same. From 3 s after the third
-// crash every node must have a record of it, and other requests must be answered.
+// TestCompletionThatCrashesItsEnginesIsQuarantined retries a completion that crashes its engines. Without
+// quarantine, each client retry started it again: a request may have three attempts, and nodes did not
+// recognize the next request as the same. From 3 s after the third crash every node must have a record of
+// it, and other requests must be answered.
 func TestCompletionThatCrashesItsEnginesIsQuarantined(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
-		seen := crashEngines(fleet)
+		observed := crashEngines(fleet)
 		client, nodes := fleet.Client("192.0.2.1"), fleet.Alive()
 		send := func(number int, prompt string) load.Result {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -112,8 +113,8 @@
 			send(number, crashPrompt)
 			time.Sleep(300 * time.Millisecond)
 		}
-		if late := seen.lateArrivals(t); late > maxLateArrivals {
-			t.Errorf("%d engines crashed; the request reached engines %d times more", len(seen.ends), late)
+		if late := observed.lateArrivals(t); late > maxLateArrivals {
+			t.Errorf("%d engines crashed; the request reached engines %d times more", len(observed.crashTimes), late)
 		}
 		time.Sleep(restartAfter + 10*time.Second)
 		for number := range 8 {
--- a/sim/rehearsal/regions_test.go
+++ b/sim/rehearsal/regions_test.go
@@ -42,11 +42,11 @@
 	})
 }
 
-// TestRegionsPartitionedForMinutes runs a network partition of two regions for three
-// minutes, in which a configuration is accepted. The region that reaches the platform
-// continues to serve; the other one accepts no work with the older version, refuses
-// requests as not run, and serves again after the partition. When both reach the
-// platform, both continue.
+// TestRegionsPartitionedForMinutes separates two regions by a network partition for
+// three minutes, in which a configuration is accepted. The region that reaches the
+// platform continues to serve; the other one accepts no work with the older version,
+// rejects requests as not run, and serves again after the partition. If both reach
+// the platform, both continue.
 func TestRegionsPartitionedForMinutes(t *testing.T) {
 	for name, secondReachesPlatform := range map[string]bool{"platform on one side": false, "platform on both sides": true} {
 		t.Run(name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 					t.Errorf("the second region: %s %v", result.Ending, result.Failure)
 				}
 				heal()
-				waitUntil(t, time.Minute, "one fleet", fleet.allReady)
+				waitUntil(t, time.Minute, "contact between the regions", fleet.allReady)
 				time.Sleep(ActiveWithin)
 				if result := sendShort(fleet, inRegion(fleet, true)[0], 3); result.Ending != load.EndingAnswered {
 					t.Errorf("the second region does not answer after the partition: %v", result.Failure)
--- a/sim/rehearsal/roles_test.go
+++ b/sim/rehearsal/roles_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestRoleChangeUnderLoad turns a decode engine into a prefill engine while it
-// decodes answers. The answers must be completed, the engine must get no work that
-// its current role excludes, and it must prefill afterwards.
+// decodes. All requests must be completed, the engine must get no work that its
+// current role excludes, and it must prefill afterwards.
 func TestRoleChangeUnderLoad(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
@@ -39,8 +39,8 @@
 				t.Errorf("%s after %d attempts: %v", result.Ending, result.Attempts, result.Failure)
 			}
 		}
-		if refused := countEntries(fleet, enginesim.EntryRefused); refused != 0 {
-			t.Errorf("engines refused %d times", refused)
+		if rejected := countEntries(fleet, enginesim.EntryRefused); rejected != 0 {
+			t.Errorf("engines rejected %d streams", rejected)
 		}
 		prefills := 0
 		for _, entry := range fleet.Engines["engine-1"].Report().Entries {
@@ -83,7 +83,7 @@
 	return options
 }
 
-// sendPrefillLoad sends requests with long prompts and short answers for two minutes.
+// sendPrefillLoad sends requests with long prompts and short outputs for two minutes.
 func sendPrefillLoad(fleet *Fleet) (answered, requests int) {
 	random := rand.New(rand.NewPCG(10, 10))
 	kind := *longKind(1)
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -78,107 +78,107 @@
 	running sync.WaitGroup
 }
 
-func (p *execution) apply(s step) {
-	names := p.fleet.NodeNames()
+func (e *execution) apply(s step) {
+	names := e.fleet.NodeNames()
 	name := names[s.a%len(names)]
 	switch s.op {
 	case opRequest:
-		p.request(s)
+		e.request(s)
 	case opKill:
-		if len(p.fleet.Alive()) > 1 {
-			p.fleet.Kill(name)
+		if len(e.fleet.Alive()) > 1 {
+			e.fleet.Kill(name)
 		}
 	case opStart:
-		if p.fleet.IsDown(name) {
-			p.fleet.Start(name)
+		if e.fleet.IsDown(name) {
+			e.fleet.Start(name)
 		}
 	case opStop:
-		p.stop(name)
+		e.stop(name)
 	case opIsolate:
-		p.isolated[p.fleet.Node(name).Host] = true
-		p.block()
+		e.isolated[e.fleet.Node(name).Host] = true
+		e.block()
 	case opHeal:
-		p.heal()
+		e.heal()
 	case opIsolateFromPlatform:
-		p.fleet.Platform.SetUnreachable(name, s.b%2 == 0)
+		e.fleet.Platform.SetUnreachable(name, s.b%2 == 0)
 	case opOutage:
-		p.fleet.Platform.SetOutage(s.b%2 == 0)
+		e.fleet.Platform.SetOutage(s.b%2 == 0)
 	case opLoseReplies:
-		p.fleet.Platform.LoseReplies(s.b % 4)
+		e.fleet.Platform.LoseReplies(s.b % 4)
 	default:
-		p.applyToEngines(s)
+		e.applyToEngines(s)
 	}
 }
 
-func (p *execution) applyToEngines(s step) {
-	engine := p.fleet.Engines[fmt.Sprintf("engine-%d", s.a%len(p.fleet.Engines))]
+func (e *execution) applyToEngines(s step) {
+	engine := e.fleet.Engines[fmt.Sprintf("engine-%d", s.a%len(e.fleet.Engines))]
 	switch s.op {
 	case opAbortExchanges:
-		p.fleet.HTTP.Abort(func(link memnet.Link) bool { return link.To == engine.Host })
+		e.fleet.HTTP.Abort(func(link memnet.Link) bool { return link.To == engine.Host })
 	case opFreezeEngine:
 		engine.Faults.Set(fault.Faults{Freeze: true})
 	case opStallTransfers:
 		engine.Faults.Set(fault.Faults{Freeze: true, PathPrefix: "/v1/kv"})
 	case opEndFaults:
-		for _, frozen := range p.fleet.Engines {
+		for _, frozen := range e.fleet.Engines {
 			frozen.Faults.Set(fault.Faults{})
 		}
 	case opLeave:
-		p.leave(s)
+		e.leave(s)
 	case opConfigure:
-		p.configure(s.a, s.b)
+		e.configure(s.a, s.b)
 	case opRace:
-		p.configure(s.a, s.b)
-		p.configure(s.a+1, s.b+1)
+		e.configure(s.a, s.b)
+		e.configure(s.a+1, s.b+1)
 	}
 }
 
 // stop begins a planned stop, unless the node is the last one.
-func (p *execution) stop(name string) {
-	if len(p.fleet.Alive()) < 2 {
+func (e *execution) stop(name string) {
+	if len(e.fleet.Alive()) < 2 {
 		return
 	}
-	p.stopping.Add(1)
+	e.stopping.Add(1)
 	go func() {
-		defer p.stopping.Done()
-		p.fleet.Stop(name)
+		defer e.stopping.Done()
+		e.fleet.Stop(name)
 	}()
 }
 
 // block blocks all links from and to the isolated hosts.
-func (p *execution) block() {
-	isolated := make(map[string]bool, len(p.isolated))
-	for host := range p.isolated {
+func (e *execution) block() {
+	isolated := make(map[string]bool, len(e.isolated))
+	for host := range e.isolated {
 		isolated[host] = true
 	}
-	p.fleet.Links.Block(func(link memnet.Link) bool { return isolated[link.From] || isolated[link.To] })
-	for _, running := range p.fleet.Alive() {
-		p.fleet.Platform.SetUnreachable(running.Name, isolated[running.Host])
+	e.fleet.Links.Block(func(link memnet.Link) bool { return isolated[link.From] || isolated[link.To] })
+	for _, running := range e.fleet.Alive() {
+		e.fleet.Platform.SetUnreachable(running.Name, isolated[running.Host])
 	}
 }
 
-func (p *execution) heal() {
-	p.isolated = map[string]bool{}
-	p.block()
+func (e *execution) heal() {
+	e.isolated = map[string]bool{}
+	e.block()
 }
 
 // leave marks a backend as leaving. The list reports it without delay here; the
 // fleet's pools keep one engine of each role.
-func (p *execution) leave(s step) {
+func (e *execution) leave(s step) {
 	leaving := []string{"engine-0", "engine-1", "service-0-a"}[s.b%3]
-	if p.fleet.SetMachine(leaving, machines.StateLeaving) == nil {
-		p.monitor.RecordLeaving(leaving)
+	if e.fleet.SetMachine(leaving, machines.StateLeaving) == nil {
+		e.monitor.RecordLeaving(leaving)
 	}
 }
 
 // configure changes a tenant's weight through one node, as an operator does.
-func (p *execution) configure(node, weight int) {
-	alive := p.fleet.Alive()
+func (e *execution) configure(node, weight int) {
+	alive := e.fleet.Alive()
 	if len(alive) == 0 {
 		return
 	}
 	through := alive[node%len(alive)]
-	acceptor := operator.Acceptor{Configuration: through.Core.Configuration, Store: p.fleet.StoreOf(through.Name)}
+	acceptor := operator.Acceptor{Configuration: through.Core.Configuration, Store: e.fleet.StoreOf(through.Name)}
 	current := through.Core.Configuration.Current()
 	tenant, ok := current.Tenant("tenant-0")
 	if !ok {
@@ -190,9 +190,9 @@
 	if err != nil {
 		return
 	}
-	p.running.Add(1)
+	e.running.Add(1)
 	go func() {
-		defer p.running.Done()
+		defer e.running.Done()
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		_, _ = acceptor.Accept(ctx, plan) // Conflicts and outages are expected.
@@ -200,28 +200,28 @@
 }
 
 // request sends one request of some kind from a caller that may disconnect.
-func (p *execution) request(s step) {
-	alive := p.fleet.Alive()
+func (e *execution) request(s step) {
+	alive := e.fleet.Alive()
 	if len(alive) == 0 {
 		return // Concurrent planned stops have stopped all nodes.
 	}
-	p.requests++
-	number := p.requests
+	e.requests++
+	number := e.requests
 	nodes := make([]string, 0, len(alive))
 	for i := range alive {
 		nodes = append(nodes, alive[(s.a+i)%len(alive)].CallerAddress())
 	}
-	call := load.Call{Client: p.client(number), Nodes: nodes, Key: newKey()}
+	call := load.Call{Client: e.client(number), Nodes: nodes, Key: newKey()}
 	tenant := s.a % 2
 	switch s.b % 4 {
 	case 0, 1:
 		call.Kind = longKind(tenant)
 		call.Tokens = 20 + 4*s.b
-		call.Prompt = prompt(p.random, 200+s.a*40)
+		call.Prompt = prompt(e.random, 200+s.a*40)
 	case 2:
 		short := *longKind(tenant)
 		short.Name, short.Class, short.Stream = "short", "short-0", false
-		call.Kind, call.Tokens, call.Prompt = &short, 1, prompt(p.random, 1000+s.a*100)
+		call.Kind, call.Tokens, call.Prompt = &short, 1, prompt(e.random, 1000+s.a*100)
 	default:
 		call.Kind = &load.Kind{
 			Name: "log", Token: Token(tenant), Service: "service-0", Method: http.MethodPost, Path: "/entries", NonIdempotent: true,
@@ -231,29 +231,29 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	if s.b >= 44 {
-		// Some callers disconnect in the middle of an answer that would take
+		// Some callers disconnect in the middle of a stream that would take
 		// minutes: only a cancellation frees its memory.
 		if call.Kind.Stream {
 			call.Tokens = longOutput
 		}
 		time.AfterFunc(time.Duration(s.a)*40*time.Millisecond, cancel)
 	}
-	p.running.Add(1)
+	e.running.Add(1)
 	go func() {
-		defer p.running.Done()
+		defer e.running.Done()
 		defer cancel()
-		p.record(load.Send(ctx, call))
+		e.record(load.Send(ctx, call))
 	}()
 }
 
-func (p *execution) client(number int) *http.Client {
-	return p.fleet.Client(fmt.Sprintf("192.0.2.%d", number))
+func (e *execution) client(number int) *http.Client {
+	return e.fleet.Client(fmt.Sprintf("192.0.2.%d", number))
 }
 
-func (p *execution) record(result load.Result) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.results = append(p.results, result)
+func (e *execution) record(result load.Result) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.results = append(e.results, result)
 }
 
 func prompt(random *rand.Rand, tokens int) string {
@@ -293,50 +293,50 @@
 }
 
 // recover ends every fault and starts every node.
-func (p *execution) recover() {
-	p.heal()
-	p.fleet.Platform.SetOutage(false)
-	p.fleet.Platform.LoseReplies(0)
-	for _, engine := range p.fleet.Engines {
+func (e *execution) recover() {
+	e.heal()
+	e.fleet.Platform.SetOutage(false)
+	e.fleet.Platform.LoseReplies(0)
+	for _, engine := range e.fleet.Engines {
 		engine.Faults.Set(fault.Faults{})
 	}
-	for _, name := range p.fleet.NodeNames() {
-		p.fleet.Platform.SetUnreachable(name, false)
+	for _, name := range e.fleet.NodeNames() {
+		e.fleet.Platform.SetUnreachable(name, false)
 	}
-	p.stopping.Wait()
-	for _, name := range p.fleet.NodeNames() {
-		if p.fleet.IsDown(name) {
-			p.fleet.Start(name)
+	e.stopping.Wait()
+	for _, name := range e.fleet.NodeNames() {
+		if e.fleet.IsDown(name) {
+			e.fleet.Start(name)
 		}
 	}
 }
 
 // finish waits for every caller, checks that the fleet serves again, and returns the
 // violations.
-func (p *execution) finish() []string {
-	var broken []string
-	p.running.Wait()
-	if !p.fleet.WaitReady(time.Minute) {
-		broken = append(broken, "the fleet does not become ready again")
+func (e *execution) finish() []string {
+	var violations []string
+	e.running.Wait()
+	if !e.fleet.WaitReady(time.Minute) {
+		violations = append(violations, "the fleet does not become ready again")
 	}
 	time.Sleep(settleTime)
-	for i, running := range p.fleet.Alive() {
+	for i, running := range e.fleet.Alive() {
 		result := load.Send(context.Background(), load.Call{
-			Client: p.client(1000 + i), Nodes: []string{running.CallerAddress()}, Kind: longKind(0), Key: newKey(), Prompt: prompt(p.random, 300), Tokens: 8,
+			Client: e.client(1000 + i), Nodes: []string{running.CallerAddress()}, Kind: longKind(0), Key: newKey(), Prompt: prompt(e.random, 300), Tokens: 8,
 		})
 		if result.Ending != load.EndingAnswered {
-			broken = append(broken, fmt.Sprintf("%s does not answer after recovery: %s %v", running.Name, result.Detail, result.Failure))
+			violations = append(violations, fmt.Sprintf("%s does not answer after recovery: %s %v", running.Name, result.Detail, result.Failure))
 		}
 	}
 	time.Sleep(settleTime)
-	verdict := load.Evaluate(p.results, p.fleet.Ledgers())
-	verdict.Lost = 0 // A caller that reaches only dead nodes, or disconnects, gets no answer.
+	verdict := load.Evaluate(e.results, e.fleet.Ledgers())
+	verdict.Lost = 0 // A caller that reaches only terminated nodes, or disconnects, gets no response.
 	if verdict.Failed() {
 		for _, violation := range verdict.Violations {
 			if !strings.Contains(violation, ": lost") {
-				broken = append(broken, violation)
+				violations = append(violations, violation)
 			}
 		}
 	}
-	return broken
+	return violations
 }
