--- a/router/golden_test.go
+++ b/router/golden_test.go
@@ -56,6 +56,6 @@
 	})
 	expectGolden(t, goldenObject[retryConfirmationSpec]{
 		encoded: `{"start":"17","generation":6}`,
-		decoded: retryConfirmationSpec{Start: "17", Generation: 6},
+		decoded: retryConfirmationSpec{Incarnation: "17", Generation: 6},
 	})
 }
--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -36,9 +36,9 @@
 
 // retryConfirmationSpec is the content of such a record.
 type retryConfirmationSpec struct {
-	// Start identifies the start of the node, and Generation the newest shares that it has applied.
-	Start      string `json:"start"`
-	Generation int64  `json:"generation"`
+	// Incarnation identifies the start of the node, and Generation the newest shares that it has applied.
+	Incarnation string `json:"start"`
+	Generation  int64  `json:"generation"`
 }
 
 // retryShares is the node's state of the retry budget's allocation. All fields except the holder are used by a
@@ -100,7 +100,7 @@
 // confirmRetryShare announces to the other nodes which generation this node has applied.
 func (r *Router) confirmRetryShare() {
 	generation := r.retryShares.known.Generation
-	spec, err := json.Marshal(retryConfirmationSpec{Start: r.incarnation(), Generation: generation})
+	spec, err := json.Marshal(retryConfirmationSpec{Incarnation: r.incarnation(), Generation: generation})
 	if err != nil {
 		r.options.Logger.Error("retry share not confirmed", "error", err.Error())
 		return
@@ -223,7 +223,7 @@
 	}
 	members := r.nodes.withCapability(capabilityRetryShares)
 	for i, member := range members {
-		if confirmation := confirmed[member.Name]; confirmation.Start == member.Incarnation {
+		if confirmation := confirmed[member.Name]; confirmation.Incarnation == member.Incarnation {
 			members[i].Confirmed = confirmation.Generation
 		}
 	}
--- a/router/watchers.go
+++ b/router/watchers.go
@@ -54,8 +54,8 @@
 
 // untilTurn returns the time until the next turn of a watcher. Turns are derived from the time of day, which
 // is about the same on all nodes, and not from the start of a watch: otherwise nodes that start, leave or are
-// partitioned would leave gaps between the turns. A node whose clock is wrong merely has its turn at another
-// moment.
+// partitioned would leave gaps between the turns. A node whose clock is wrong has its turn at another moment, which
+// costs the others nothing.
 func untilTurn(now time.Time, position, watchers int) time.Duration {
 	cycle := watchInterval * time.Duration(watchers)
 	turn := watchInterval * time.Duration(position)
--- a/router/watchstore.go
+++ b/router/watchstore.go
@@ -228,7 +228,7 @@
 // less than that, so that the list is nearly complete, and each node can determine whether it must watch the store.
 const registrationTime = time.Second
 
-// joinTime is how long after its start this node lists the others.
+// joinTime returns how long after its start this node lists the others.
 func (r *Router) joinTime() time.Duration {
 	if r.options.Settings.FirstStart {
 		return registrationTime
