--- a/sim/rehearsal/generate.go
+++ b/sim/rehearsal/generate.go
@@ -9,7 +9,7 @@
 	"github.com/reelrun/reelrun/sim/enginesim"
 )
 
-// longOutput is the longest answer of the class "long".
+// longOutput is the maximum number of output tokens of the long classes.
 const longOutput = 20000
 
 // Shape is the size of a generated configuration.
@@ -24,15 +24,15 @@
 	EnginesPerPool int
 	Tenants        int
 	Services       int
-	// ChecksFence states whether the engines check fences.
-	ChecksFence bool
+	// ChecksFencingToken is set if the engines check fencing tokens.
+	ChecksFencingToken bool
 }
 
 // Token returns the bearer token of a generated tenant.
 func Token(tenant int) string { return fmt.Sprintf("token-%d", tenant) }
 
 // Generate returns a configuration of the given shape. Each tenant may use the
-// classes of one model: a short one, whose answers end with the prefill, and a long
+// classes of one model: a short one, whose output ends with the prefill, and a long
 // one.
 func Generate(shape Shape) api.Configuration {
 	var generated api.Configuration
@@ -48,7 +48,7 @@
 		classes = append(classes, long, short)
 		for number := range shape.PoolsPerModel {
 			zone := shape.Zones[(model+number)%len(shape.Zones)]
-			pool := api.Pool{Name: fmt.Sprintf("pool-%d-%d", model, number), Model: name, Zone: zone, ChecksFencingToken: shape.ChecksFence}
+			pool := api.Pool{Name: fmt.Sprintf("pool-%d-%d", model, number), Model: name, Zone: zone, ChecksFencingToken: shape.ChecksFencingToken}
 			for member := range shape.EnginesPerPool {
 				role := []api.Role{api.RolePrefill, api.RoleDecode}[member%2]
 				pool.Engines = append(pool.Engines, api.Engine{
@@ -87,10 +87,10 @@
 // EngineOptions returns options of stand-in engines that match the defaults of a
 // configuration.
 func EngineOptions() enginesim.Options {
-	const linger, cacheBlocks = 5 * time.Second, 4096
+	const retention, cacheBlocks = 5 * time.Second, 4096
 	return enginesim.Options{
 		Slots: api.DefaultSlots, KVTokens: api.DefaultKVTokens, PrefillTokensPerSecond: api.DefaultPrefillTokensPerSecond,
 		StepTime: api.DefaultStepTime, LinkTokensPerSecond: api.DefaultLinkTokensPerSecond, Hold: api.DefaultHold,
-		StreamRetention: linger, LoadLag: 500 * time.Millisecond, CacheBlocks: cacheBlocks, CacheDelay: time.Second, CacheGapEvery: 17,
+		StreamRetention: retention, LoadLag: 500 * time.Millisecond, CacheBlocks: cacheBlocks, CacheDelay: time.Second, CacheGapEvery: 17,
 	}
 }
--- a/sim/rehearsal/monitor.go
+++ b/sim/rehearsal/monitor.go
@@ -15,9 +15,9 @@
 const (
 	// monitorInterval is the time between two checks of the nodes.
 	monitorInterval = 250 * time.Millisecond
-	// InForceWithin is the time in which an accepted configuration must be in force
-	// at all nodes.
-	InForceWithin = 6 * time.Second
+	// ActiveWithin is the time in which an accepted configuration must be active at
+	// all nodes.
+	ActiveWithin = 6 * time.Second
 	// LeavingWithin is the time after which a leaving backend must get no new work,
 	// from when the platform's list reports it as leaving.
 	LeavingWithin = 5 * time.Second
@@ -80,7 +80,7 @@
 		}
 		m.seen[running] = version
 		if running.Core.AcceptsWork() && version < required {
-			m.violatef("%s takes work with version %d, %d was accepted over %s ago", running.Name, version, required, InForceWithin)
+			m.violatef("%s accepts work with version %d, %d was accepted over %s ago", running.Name, version, required, ActiveWithin)
 		}
 	}
 }
@@ -99,11 +99,11 @@
 	}
 }
 
-// required returns the newest version that must be in force at all nodes.
+// required returns the newest version that must be active at all nodes.
 func (m *Monitor) required(now time.Time) uint64 {
 	var version uint64
 	for _, seen := range m.versions {
-		if now.Sub(seen.at) > InForceWithin {
+		if now.Sub(seen.at) > ActiveWithin {
 			version = max(version, seen.version)
 		}
 	}
@@ -137,7 +137,7 @@
 }
 
 // isLate reports whether work began later than LeavingWithin after its backend was
-// listed as leaving. The time starts anew while no node can read the list, since no
+// listed as leaving. The time restarts whenever no node can read the list, since no
 // node can learn of the change then.
 func (m *Monitor) isLate(began, since time.Time) bool {
 	for _, at := range m.unreadable {
