--- a/processtest/fleet_test.go
+++ b/processtest/fleet_test.go
@@ -152,12 +152,12 @@
 	configuration   api.Configuration
 }
 
-const limit = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
-// eventually waits for a condition; the limit is only reached by a test that fails.
+// eventually waits for a condition. Only a failing test reaches the timeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		if condition() {
 			return
 		}
@@ -228,10 +228,10 @@
 	})
 }
 
-func (f *fleet) awaitReady(t *testing.T, waited *node) {
+func (f *fleet) awaitReady(t *testing.T, awaited *node) {
 	t.Helper()
-	eventually(t, waited.name+" being ready", func() bool {
-		return status(f.security.client(), f.security.url(waited.caller)+"/readyz") == http.StatusOK
+	eventually(t, awaited.name+" being ready", func() bool {
+		return status(f.security.client(), f.security.url(awaited.caller)+"/readyz") == http.StatusOK
 	})
 }
 
@@ -331,9 +331,9 @@
 	return done
 }
 
-func expectAnswer(t *testing.T, result load.Result) {
+func expectAnswered(t *testing.T, result load.Result) {
 	t.Helper()
 	if result.Ending != load.EndingAnswered || result.DuplicateTokens != 0 {
-		t.Fatalf("%s after %d attempts, %d tokens repeated: %s %v", result.Ending, result.Attempts, result.DuplicateTokens, result.Detail, result.Failure)
+		t.Fatalf("%s after %d attempts, %d duplicate tokens: %s %v", result.Ending, result.Attempts, result.DuplicateTokens, result.Detail, result.Failure)
 	}
 }
--- a/processtest/security_test.go
+++ b/processtest/security_test.go
@@ -93,12 +93,12 @@
 	secured := newSecurity(t)
 	f := startFleetWith(t, 3, secured)
 	for _, through := range f.nodes {
-		expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, through))
+		expectAnswered(t, <-f.send(context.Background(), newKey(t), 10, through))
 	}
 	done := f.send(context.Background(), newKey(t), 150, f.nodes[0], f.nodes[1], f.nodes[2])
 	eventually(t, "decoding", func() bool { return f.countEntries(enginesim.EntryDecodeStart) == len(f.nodes)+1 })
 	f.nodes[0].kill(t)
-	expectAnswer(t, <-done)
+	expectAnswered(t, <-done)
 
 	before := servedSerial(f.nodes[1].caller, secured.clientConfig)
 	_, renewed := secured.issue(t, f.nodes[1].name)
@@ -106,15 +106,15 @@
 		t.Fatal("the certificate was not renewed")
 	}
 	eventually(t, "the renewed certificate", func() bool { return servedSerial(f.nodes[1].caller, secured.clientConfig) == renewed })
-	expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[1]))
+	expectAnswered(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[1]))
 }
 
 // TestNodesRejectUnknownCertificates checks that the port between nodes accepts neither
 // a connection without a certificate nor a certificate of another authority.
 func TestNodesRejectUnknownCertificates(t *testing.T) {
-	secured, foreign := newSecurity(t), newSecurity(t)
+	secured, other := newSecurity(t), newSecurity(t)
 	f := startFleetWith(t, 2, secured)
-	files, _ := foreign.issue(t, "stranger")
+	files, _ := other.issue(t, "unknown")
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
 		t.Fatal(err)
@@ -135,20 +135,20 @@
 		t.Run(name, func(t *testing.T) {
 			config := secured.clientConfig.Clone()
 			config.Certificates = attempt.certificates
-			if accepted := answersPeer(f.nodes[0].peer, config); accepted != attempt.accepted {
+			if accepted := answersPeerCall(f.nodes[0].peer, config); accepted != attempt.accepted {
 				t.Fatalf("accepted: %t", accepted)
 			}
 		})
 	}
 }
 
-// answersPeer reports whether a node answers a peer's call over TLS.
-func answersPeer(address string, config *tls.Config) bool {
+// answersPeerCall reports whether a node answers the call of a peer over TLS.
+func answersPeerCall(address string, config *tls.Config) bool {
 	dialer := &tls.Dialer{Config: config}
 	dial := func(ctx context.Context, to string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", to) }
 	client := peer.NewClient("member", dial, timeline.NewClock(time.Now))
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	_, err := client.Call(ctx, address, &peerpb.Request{Body: &peerpb.Request_FetchStatus{FetchStatus: &peerpb.FetchStatus{}}})
 	return err == nil
--- a/processtest/signals_test.go
+++ b/processtest/signals_test.go
@@ -10,21 +10,21 @@
 	"github.com/reelrun/reelrun/sim/fault"
 )
 
-// TestKilledNode kills the node of a running answer. The caller retries at another
-// node and gets the rest of the same stream.
+// TestKilledNode kills the node that serves a running response. The caller retries at
+// another node and gets the rest of the same stream.
 func TestKilledNode(t *testing.T) {
 	f := startFleet(t, 3)
 	done := f.send(context.Background(), newKey(t), 150, f.nodes[0], f.nodes[1], f.nodes[2])
 	eventually(t, "decoding", func() bool { return f.countEntries(enginesim.EntryDecodeStart) == 1 })
 	f.nodes[0].signal(t, syscall.SIGKILL)
-	expectAnswer(t, <-done)
+	expectAnswered(t, <-done)
 	if starts := f.countEntries(enginesim.EntryDecodeStart); starts != 1 {
 		t.Fatalf("the request was decoded %d times", starts)
 	}
-	eventually(t, "freedom of the engines", func() bool { return f.heldStreams() == 0 })
+	eventually(t, "release of the engines", func() bool { return f.heldStreams() == 0 })
 }
 
-// TestFrozenNodeHoldsNothing freezes the node of a running answer, and its caller
+// TestFrozenNodeHoldsNothing freezes the node that serves a running response, and the caller
 // disconnects. The engine must be released while the node is still frozen, and the
 // node must serve again after it is resumed.
 func TestFrozenNodeHoldsNothing(t *testing.T) {
@@ -35,14 +35,14 @@
 	f.nodes[0].signal(t, syscall.SIGSTOP)
 	disconnect()
 	<-done
-	eventually(t, "freedom of the engines", func() bool { return f.heldStreams() == 0 })
+	eventually(t, "release of the engines", func() bool { return f.heldStreams() == 0 })
 	f.nodes[0].signal(t, syscall.SIGCONT)
 	f.awaitReady(t, f.nodes[0])
-	expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[0]))
+	expectAnswered(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[0]))
 }
 
-// TestThawedNodeCancelsNothing freezes the nodes that own no part of a running answer
-// and resumes them. They must not consider the other nodes lost and cancel the answer.
+// TestThawedNodeCancelsNothing freezes the nodes that do not serve a running response,
+// and resumes them. They must not consider the other nodes lost and cancel the response.
 func TestThawedNodeCancelsNothing(t *testing.T) {
 	f := startFleet(t, 3)
 	done := f.send(context.Background(), newKey(t), 600, f.nodes[0])
@@ -50,12 +50,12 @@
 	for _, other := range f.nodes[1:] {
 		other.signal(t, syscall.SIGSTOP)
 	}
-	eventually(t, "half of the answer", func() bool { return f.producedTokens() > 300 })
+	eventually(t, "half of the output", func() bool { return f.producedTokens() > 300 })
 	for _, other := range f.nodes[1:] {
 		other.signal(t, syscall.SIGCONT)
 	}
 	result := <-done
-	expectAnswer(t, result)
+	expectAnswered(t, result)
 	if result.Attempts != 1 || f.countEntries(enginesim.EntryDecodeCancelled) != 0 {
 		t.Fatalf("%d attempts, %d streams cancelled", result.Attempts, f.countEntries(enginesim.EntryDecodeCancelled))
 	}
@@ -77,21 +77,21 @@
 	return produced
 }
 
-// TestPlannedStop stops the node of a running answer by SIGTERM.
+// TestPlannedStop stops the node that serves a running response with SIGTERM.
 func TestPlannedStop(t *testing.T) {
 	f := startFleet(t, 2)
 	done := f.send(context.Background(), newKey(t), 200, f.nodes[0])
 	eventually(t, "decoding", func() bool { return f.countEntries(enginesim.EntryDecodeStart) == 1 })
 	f.nodes[0].signal(t, syscall.SIGTERM)
 	result := <-done
-	expectAnswer(t, result)
+	expectAnswered(t, result)
 	if result.Attempts != 1 {
-		t.Fatalf("the caller needed %d connections", result.Attempts)
+		t.Fatalf("the caller needed %d attempts", result.Attempts)
 	}
 	if err := <-f.nodes[0].ended; err != nil {
 		t.Fatalf("the node ended with %v", err)
 	}
-	expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[1]))
+	expectAnswered(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[1]))
 }
 
 // TestPlatformOutage makes the platform unavailable: service continues, a restarted node
@@ -99,7 +99,7 @@
 func TestPlatformOutage(t *testing.T) {
 	f := startFleet(t, 3)
 	setFaults(t, f.platformAddress, fault.Faults{Outage: true})
-	expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[0]))
+	expectAnswered(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[0]))
 	f.nodes[2].signal(t, syscall.SIGKILL)
 	<-f.nodes[2].ended
 	f.nodes[2].process = start(t, "reelrund", f.nodes[2].arguments...)
@@ -108,7 +108,7 @@
 	if err != nil || current.Version != 1 {
 		t.Fatalf("got %+v, %v", current, err)
 	}
-	expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[2]))
+	expectAnswered(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[2]))
 	plan, err := f.client(f.nodes[0]).Plan(context.Background(), operator.Intent{Action: operator.ActionRemove, References: []string{"tenants/tenant"}})
 	if err != nil {
 		t.Fatal(err)
@@ -130,5 +130,5 @@
 		}
 		return getJSON("http://"+f.engines[3]+"/v1/load", &load) && load.Role == "prefill"
 	})
-	expectAnswer(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[0]))
+	expectAnswered(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[0]))
 }
