--- a/soak/configuration_test.go
+++ b/soak/configuration_test.go
@@ -15,7 +15,7 @@
 const (
 	// configurationStream numbers the random stream of the faults injected during configuration changes.
 	configurationStream = 7
-	// applyTime is how long after its acknowledgement a configuration is in force at every connected node, and
+	// applyTime is how long after its acknowledgement a configuration is active at every connected node, and
 	// reconnectTime how long after its last disturbance a node counts as connected again.
 	applyTime     = 3 * time.Second
 	reconnectTime = 4 * time.Second
@@ -58,10 +58,10 @@
 	// After all faults have ended, a last change must reach every node.
 	checks.addRoute()
 	checks.sending.Wait()
-	violations, judged := checks.judge()
-	t.Logf("seed %d: %d nodes, %d configurations, %d of %d answers judged", seed, len(h.nodes), len(h.addedRoutes), judged, len(checks.answers))
-	if judged < len(h.nodes) {
-		t.Errorf("only %d answers judged", judged)
+	violations, checked := checks.check()
+	t.Logf("seed %d: %d nodes, %d configurations, %d of %d responses checked", seed, len(h.nodes), len(h.addedRoutes), checked, len(checks.responses))
+	if checked < len(h.nodes) {
+		t.Errorf("only %d responses checked", checked)
 	}
 	for _, violation := range violations {
 		t.Error(violation)
@@ -80,7 +80,7 @@
 	n := h.nodes[random.IntN(len(h.nodes))]
 	nodes := random.Perm(len(h.nodes))[:len(h.nodes)/3]
 	faultDuration := time.Duration(200+random.IntN(3000)) * time.Millisecond
-	mode := []proxyMode{modeDelay, modeSilent, modeOneWay, modeRefuse}[random.IntN(4)]
+	mode := []proxyMode{modeDelay, modeHold, modeOneWay, modeRefuse}[random.IntN(4)]
 	each := func(do func(n *node)) func() {
 		return func() {
 			var all sync.WaitGroup
@@ -106,14 +106,14 @@
 	case 4:
 		return each(func(n *node) { h.holdConnections(n.store, mode, faultDuration) })
 	case 5:
-		return each(func(n *node) { n.store.silence(true, true) })
+		return each(func(n *node) { n.store.stall(true, true) })
 	default:
 		return func() { n.store.reset() }
 	}
 }
 
-// configurationAnswer is a node's answer to a request on an added route.
-type configurationAnswer struct {
+// configurationResponse is a node's response to a request on an added route.
+type configurationResponse struct {
 	node    int
 	route   string
 	sent    time.Time
@@ -126,8 +126,8 @@
 	harness *harness
 	sending sync.WaitGroup
 
-	mu      sync.Mutex
-	answers []configurationAnswer
+	mu        sync.Mutex
+	responses []configurationResponse
 }
 
 // change adds routes one after the other until the given time.
@@ -138,8 +138,8 @@
 	}
 }
 
-// addRoute stores a configuration with one more route, and sends each node a request for it when it has to be in
-// force and at two later times.
+// addRoute stores a configuration with one more route, and sends each node a request for it when it has to be
+// active and at two later times.
 func (c *configurationChecks) addRoute() {
 	route := c.harness.nextAdded()
 	c.harness.configure()
@@ -154,7 +154,7 @@
 	}
 }
 
-// nextAdded names a route that is part of all later versions.
+// nextAdded returns the name of a new route, which is part of all later versions.
 func (h *harness) nextAdded() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -164,29 +164,30 @@
 }
 
 func (c *configurationChecks) send(n *node, route string, addedAt time.Time) {
-	answer := configurationAnswer{node: n.index, route: route, sent: time.Now(), addedAt: addedAt}
-	o := send(&http.Transport{DisableKeepAlives: true}, n, kind(route), fmt.Sprintf("%s-%d-%d", route, n.index, answer.sent.UnixNano()), true, steadyTenant)
-	answer.status = o.status
+	response := configurationResponse{node: n.index, route: route, sent: time.Now(), addedAt: addedAt}
+	o := send(&http.Transport{DisableKeepAlives: true}, n, kind(route), fmt.Sprintf("%s-%d-%d", route, n.index, response.sent.UnixNano()), true, steadyTenant)
+	response.status = o.status
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answers = append(c.answers, answer)
+	c.responses = append(c.responses, response)
 }
 
-// judge returns which connected nodes refused a route that was in force, and how many answers came from connected nodes.
-func (c *configurationChecks) judge() (violations []string, judged int) {
+// check returns which connected nodes did not have a route that was active, and how many responses came from
+// connected nodes.
+func (c *configurationChecks) check() (violations []string, checked int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, answer := range c.answers {
-		if answer.status == 0 || !c.harness.connected(answer.node, answer.sent) {
+	for _, response := range c.responses {
+		if response.status == 0 || !c.harness.connected(response.node, response.sent) {
 			continue
 		}
-		judged++
-		if answer.status == http.StatusNotFound {
+		checked++
+		if response.status == http.StatusNotFound {
 			violations = append(violations, fmt.Sprintf("node %d does not have route %s %v after it was acknowledged",
-				answer.node, answer.route, answer.sent.Sub(answer.addedAt)))
+				response.node, response.route, response.sent.Sub(response.addedAt)))
 		}
 	}
-	return violations, judged
+	return violations, checked
 }
 
 // connected reports whether neither a node nor its connection to the store was disturbed for reconnectTime before at.
@@ -215,8 +216,8 @@
 // overlaps reports whether a disturbance overlaps a period.
 func (d disturbance) overlaps(from, to time.Time) bool { return d.from.Before(to) && d.to.After(from) }
 
-// TestConnectedNoticesEachDisturbance checks a node before, during and after a disturbance.
-func TestConnectedNoticesEachDisturbance(t *testing.T) {
+// TestConnectedDetectsEachDisturbance checks a node before, during and after a disturbance.
+func TestConnectedDetectsEachDisturbance(t *testing.T) {
 	g := NewWithT(t)
 	storeProxy, err := newProxy("127.0.0.1:1")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -229,10 +230,10 @@
 	for after, want := range map[time.Duration]bool{
 		-time.Second: true, time.Second / 2: false, 2 * time.Second: false, time.Second + reconnectTime: true,
 	} {
-		g.Expect(h.connected(0, moment.Add(after))).To(Equal(want), "%v after it began", after)
+		g.Expect(h.connected(0, moment.Add(after))).To(Equal(want), "%v after the disturbance began", after)
 		g.Expect(h.connected(1, moment.Add(after))).To(BeTrue())
 	}
-	storeProxy.silence(true, true)
+	storeProxy.stall(true, true)
 	g.Expect(h.connected(1, time.Now().Add(reconnectTime/2))).To(BeFalse())
 	g.Expect(h.connected(1, time.Now().Add(2*reconnectTime))).To(BeTrue())
 }
--- a/soak/crashes_test.go
+++ b/soak/crashes_test.go
@@ -124,9 +124,9 @@
 	return c.retries
 }
 
-// judgeCrashes returns violations of the guarantee that a request which has crashed its backends reaches no
-// more of them. Retries through nodes that were disturbed shortly before are not judged.
-func judgeCrashes(retries []crashRetry, crashes []time.Time, received map[string][]standin.Run, disturbances []disturbance) []string {
+// checkCrashes returns violations of the guarantee that a request which has crashed its backends reaches no
+// more of them. Retries through nodes that were disturbed shortly before are not checked.
+func checkCrashes(retries []crashRetry, crashes []time.Time, received map[string][]standin.Run, disturbances []disturbance) []string {
 	if len(crashes) < crashThreshold {
 		return nil
 	}
@@ -134,8 +134,8 @@
 	until := crashes[crashThreshold-1].Add(quarantineTime)
 	var reached []string
 	for _, retry := range retries {
-		around := observation{node: retry.node, began: retry.sent.Add(-quarantineDelay), ended: retry.sent.Add(time.Second)}
-		if retry.sent.Before(from) || retry.sent.After(until) || disturbed(around, disturbances) {
+		span := observation{node: retry.node, began: retry.sent.Add(-quarantineDelay), ended: retry.sent.Add(time.Second)}
+		if retry.sent.Before(from) || retry.sent.After(until) || disturbed(span, disturbances) {
 			continue
 		}
 		if len(received[retry.id]) > 0 {
@@ -145,11 +145,12 @@
 	if len(reached) <= maxQuarantinedRetries {
 		return nil
 	}
-	return []string{fmt.Sprintf("a request that ended %d back ends reached them %d times more: %v", len(crashes), len(reached), reached)}
+	return []string{fmt.Sprintf("a request that crashed %d backends reached backends %d more times: %v", len(crashes), len(reached), reached)}
 }
 
-// TestJudgeNoticesCrashes counts retries: early ones, those through disturbed nodes and a few others are allowed.
-func TestJudgeNoticesCrashes(t *testing.T) {
+// TestChecksDetectCrashingRequests counts retries. Early ones, those through disturbed nodes and a few others are
+// allowed.
+func TestChecksDetectCrashingRequests(t *testing.T) {
 	g := NewWithT(t)
 	at := func(seconds int) time.Time { return time.Unix(int64(seconds), 0) }
 	received := map[string][]standin.Run{}
@@ -160,9 +161,9 @@
 		received[id] = []standin.Run{{ID: id}}
 	}
 	crashes := []time.Time{at(0), at(1)}
-	g.Expect(judgeCrashes(retries[:7], crashes, received, nil)).To(BeEmpty())
-	g.Expect(judgeCrashes(retries, crashes, received, nil)).To(HaveLen(1))
-	g.Expect(judgeCrashes(retries, crashes[:1], received, nil)).To(BeEmpty())
-	g.Expect(judgeCrashes(retries, crashes, received, []disturbance{{node: 0, from: at(5), to: at(9)}})).To(BeEmpty())
-	g.Expect(judgeCrashes(retries, crashes, nil, nil)).To(BeEmpty())
+	g.Expect(checkCrashes(retries[:7], crashes, received, nil)).To(BeEmpty())
+	g.Expect(checkCrashes(retries, crashes, received, nil)).To(HaveLen(1))
+	g.Expect(checkCrashes(retries, crashes[:1], received, nil)).To(BeEmpty())
+	g.Expect(checkCrashes(retries, crashes, received, []disturbance{{node: 0, from: at(5), to: at(9)}})).To(BeEmpty())
+	g.Expect(checkCrashes(retries, crashes, nil, nil)).To(BeEmpty())
 }
--- a/soak/departures_test.go
+++ b/soak/departures_test.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// disconnectingCount is how many callers disconnect before their answers are complete.
+	// disconnectingCount is how many callers disconnect before their responses are complete.
 	disconnectingCount = 3
-	// cancelTimeout is how long a request may still be worked on after its caller has disconnected.
+	// cancelTimeout is how long a request may still be processed after its caller has disconnected.
 	cancelTimeout = 500 * time.Millisecond
-	// maxOrphanedShare is the share of such requests that may be worked on longer, and minDisconnects the smallest
-	// number of disconnects for which the share is judged.
+	// maxOrphanedShare is the maximum share of such requests that may be processed longer, and minDisconnects the
+	// minimum number of disconnects for which the share is checked.
 	maxOrphanedShare = 0.25
 	minDisconnects   = 8
 )
 
-// disconnect is a caller that closed its connection before the end of its answer.
+// disconnect is a caller that closed its connection before the end of its response.
 type disconnect struct {
 	id   string
 	node int
@@ -87,7 +87,7 @@
 	return append([]disconnect(nil), c.disconnected...)
 }
 
-// countOrphaned counts the disconnects whose requests were worked on for longer than cancelTimeout, among those
+// countOrphaned counts the disconnects whose requests were processed for longer than cancelTimeout, among those
 // that overlap no disturbance of their node and no interruption of connections to backends.
 func countOrphaned(disconnected []disconnect, endings map[string]time.Time, disturbances, interruptions []disturbance) (orphaned, counted int) {
 	for _, d := range disconnected {
@@ -114,17 +114,17 @@
 	return false
 }
 
-// judgeOrphaned returns a violation if too many requests continued without their callers.
-func judgeOrphaned(orphaned, counted int) []string {
+// checkOrphaned returns a violation if too many requests continued without their callers.
+func checkOrphaned(orphaned, counted int) []string {
 	if counted < minDisconnects || float64(orphaned) <= maxOrphanedShare*float64(counted) {
 		return nil
 	}
-	return []string{fmt.Sprintf("%d of %d requests were worked on half a second after their callers had left", orphaned, counted)}
+	return []string{fmt.Sprintf("%d of %d requests were still processed half a second after their callers had disconnected", orphaned, counted)}
 }
 
-// TestJudgeNoticesOrphanedRequests lets runs continue after their callers have disconnected, among them some
+// TestChecksDetectOrphanedRequests lets runs continue after their callers have disconnected, among them some
 // that are exempt.
-func TestJudgeNoticesOrphanedRequests(t *testing.T) {
+func TestChecksDetectOrphanedRequests(t *testing.T) {
 	g := NewWithT(t)
 	at := time.Unix(100, 0)
 	var disconnected []disconnect
@@ -137,13 +137,13 @@
 	orphaned, counted := countOrphaned(disconnected, endings, nil, nil)
 	g.Expect(orphaned).To(BeZero())
 	g.Expect(counted).To(Equal(12))
-	g.Expect(judgeOrphaned(orphaned, counted)).To(BeEmpty())
+	g.Expect(checkOrphaned(orphaned, counted)).To(BeEmpty())
 	for _, id := range []string{"0", "2", "4", "6"} {
 		endings[id] = at.Add(time.Second)
 	}
 	orphaned, counted = countOrphaned(disconnected, endings, nil, nil)
 	g.Expect(orphaned).To(Equal(4))
-	g.Expect(judgeOrphaned(orphaned, counted)).To(HaveLen(1))
+	g.Expect(checkOrphaned(orphaned, counted)).To(HaveLen(1))
 	killed := []disturbance{{node: 0, from: at, to: at.Add(time.Second)}}
 	orphaned, counted = countOrphaned(disconnected, endings, killed, nil)
 	g.Expect(orphaned).To(BeZero())
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -23,9 +23,9 @@
 	h.clearFaults()
 }
 
-// injectSilenceFaults silences connections and stores large configurations, in parallel with the other faults. It
+// injectStallFaults stalls connections and stores large configurations, in parallel with the other faults. It
 // has its own random stream, so that seeds that failed before it was added still draw the same faults.
-func (h *harness) injectSilenceFaults(random *rand.Rand, duration time.Duration) {
+func (h *harness) injectStallFaults(random *rand.Rand, duration time.Duration) {
 	until := time.Now().Add(duration)
 	for time.Now().Before(until) {
 		towardsTarget, towardsCaller := random.IntN(3) > 0, random.IntN(3) > 0
@@ -35,11 +35,11 @@
 		h.mu.Unlock()
 		switch random.IntN(4) {
 		case 0:
-			n.store.silence(towardsTarget, towardsCaller)
+			n.store.stall(towardsTarget, towardsCaller)
 		case 1:
-			h.silenceBackends(b.proxy)
+			h.stallBackends(b.proxy)
 		case 2:
-			h.silenceAll()
+			h.stallAll()
 		default:
 			h.configureWith(1000 + random.IntN(4000))
 		}
@@ -47,18 +47,18 @@
 	}
 }
 
-// silenceBackends silences the open connections to some backends.
-func (h *harness) silenceBackends(proxies ...*proxy) {
-	h.recordInterruption(time.Now(), time.Now().Add(silencedRequestTime))
+// stallBackends stalls the open connections to some backends.
+func (h *harness) stallBackends(proxies ...*proxy) {
+	h.recordInterruption(time.Now(), time.Now().Add(stalledRequestTime))
 	for _, p := range proxies {
-		p.silence(true, true)
+		p.stall(true, true)
 	}
 }
 
-// silenceAll silences the open connections of all nodes to the store and to backends.
-func (h *harness) silenceAll() {
+// stallAll stalls the open connections of all nodes to the store and to backends.
+func (h *harness) stallAll() {
 	for _, n := range h.nodes {
-		n.store.silence(true, true)
+		n.store.stall(true, true)
 	}
 	h.mu.Lock()
 	var proxies []*proxy
@@ -66,11 +66,11 @@
 		proxies = append(proxies, b.proxy)
 	}
 	h.mu.Unlock()
-	h.silenceBackends(proxies...)
+	h.stallBackends(proxies...)
 }
 
-// silencedRequestTime is how long requests may stay in progress on a connection that was silenced.
-const silencedRequestTime = 6 * time.Second
+// stalledRequestTime is how long requests may stay in progress on a connection that was stalled.
+const stalledRequestTime = 6 * time.Second
 
 // drawFault returns a fault with all random values already drawn.
 func (h *harness) drawFault(random *rand.Rand) func() {
@@ -79,7 +79,7 @@
 	h.mu.Lock()
 	b := h.backends[random.IntN(len(h.backends))]
 	h.mu.Unlock()
-	mode := []proxyMode{modeDelay, modeSilent, modeOneWay, modeRefuse}[random.IntN(4)]
+	mode := []proxyMode{modeDelay, modeHold, modeOneWay, modeRefuse}[random.IntN(4)]
 	count := 1 + random.IntN(4)
 	switch random.IntN(12) {
 	case 0:
--- a/soak/harness_test.go
+++ b/soak/harness_test.go
@@ -185,18 +185,18 @@
 // Ports of nodes lie below the system's range of ephemeral ports, and each seed has its own
 // range, so that no other process takes a port while a node is down.
 const (
-	firstPort   = 10_000
-	portsOfSeed = 320
-	seedsApart  = 70
-	portsOfNode = 5
+	firstPort    = 10_000
+	portsPerSeed = 320
+	portRanges   = 70
+	portsPerNode = 5
 )
 
 // nodePorts returns the ports of a node. Other processes may run the same seed on this
 // machine: the ports depend on the process, and the next free ones are used.
 func nodePorts(t *testing.T, seed uint64, index int) []int {
-	first := (int(seed%seedsApart) + os.Getpid()) % seedsApart
-	for shift := range seedsApart {
-		base := firstPort + (first+shift)%seedsApart*portsOfSeed + index*portsOfNode
+	first := (int(seed%portRanges) + os.Getpid()) % portRanges
+	for shift := range portRanges {
+		base := firstPort + (first+shift)%portRanges*portsPerSeed + index*portsPerNode
 		if ports, free := portsFrom(base); free {
 			return ports
 		}
@@ -207,7 +207,7 @@
 
 // portsFrom returns consecutive ports for a node, beginning with base, if all of them are free.
 func portsFrom(base int) ([]int, bool) {
-	ports := make([]int, portsOfNode)
+	ports := make([]int, portsPerNode)
 	for i := range ports {
 		ports[i] = base + i
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", ports[i]))
@@ -286,7 +286,7 @@
 	h.announce(b, "ready", stage)
 }
 
-// recordStart records the start of an incarnation; the harness is locked.
+// recordStart records the start of an incarnation; the caller holds the harness's lock.
 func (b *backend) recordStart() {
 	now := time.Now()
 	b.startedMillis.Store(now.UnixMilli())
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -33,14 +33,14 @@
 	// sent is set once the whole request was written; without it, the only check is that the
 	// request did not run twice.
 	sent bool
-	// status is 0 if there was no answer.
+	// status is 0 if there was no response.
 	status int
 	// complete is set if the response was read to its regular end.
 	complete  bool
 	body      string
 	signature string
 	requestID string
-	// leaving is set if the backend announced in the answer that it is leaving.
+	// leaving is set if the backend announced in the response that it is leaving.
 	leaving bool
 	began   time.Time
 	ended   time.Time
@@ -58,8 +58,8 @@
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-// judge returns violations of guarantees. runs is the number of runs by request.
-func judge(observations []observation, runs map[string]int, disturbances []disturbance) []string {
+// checkObservations returns violations of guarantees. runs is the number of runs by request.
+func checkObservations(observations []observation, runs map[string]int, disturbances []disturbance) []string {
 	var violations []string
 	report := func(o observation, what string) {
 		violations = append(violations, fmt.Sprintf("%s %s at node %d: %s (status %d, complete %t, runs %d, began %s, took %v)",
@@ -71,33 +71,33 @@
 			report(o, "ran more than once")
 		}
 		if notRunStatuses[o.status] && runs[o.id] > 0 {
-			report(o, "was promised not to run and ran")
+			report(o, "ran although its status guarantees that it did not")
 		}
 		if o.status == http.StatusOK {
-			judgeSuccess(o, report)
+			checkSuccess(o, report)
 		}
 		if o.status == http.StatusNotFound {
 			report(o, "its route was not found")
 		}
 		if o.sent && o.status == 0 && runs[o.id] > 0 && !disturbed(o, disturbances) {
-			report(o, "was passed on and got no answer")
+			report(o, "was forwarded and got no response")
 		}
 	}
 	return violations
 }
 
-func judgeSuccess(o observation, report func(observation, string)) {
+func checkSuccess(o observation, report func(observation, string)) {
 	want := standin.Body(o.id)
 	if o.kind == kindStream || o.kind == kindResumable {
 		want = standin.StreamText(o.id, events)
 	}
 	switch {
 	case o.requestID != o.id || o.signature == "":
-		report(o, "got a success that is not its server's")
+		report(o, "got a success with another request's ID or without a signature")
 	case !strings.HasPrefix(want, o.body):
-		report(o, "got other bytes than its server's")
+		report(o, "got other bytes than its backend sends")
 	case o.complete && o.body != want:
-		report(o, "got a part that looks complete")
+		report(o, "got a partial response that looks complete")
 	}
 }
 
@@ -112,28 +112,28 @@
 	return false
 }
 
-// TestJudgeNoticesEachDefect seeds one defect for each check.
-func TestJudgeNoticesEachDefect(t *testing.T) {
+// TestChecksDetectEachDefect seeds one defect for each check.
+func TestChecksDetectEachDefect(t *testing.T) {
 	valid := observation{id: "r", kind: kindNonIdempotent, sent: true, status: 200, complete: true, body: standin.Body("r"), signature: "s", requestID: "r"}
 	cases := map[string]struct {
 		change func(*observation)
 		runs   int
 		want   string
 	}{
-		"sound":       {func(*observation) {}, 1, ""},
-		"twice":       {func(*observation) {}, 2, "more than once"},
-		"promise":     {func(o *observation) { o.status = 503 }, 1, "promised"},
-		"refused":     {func(o *observation) { o.status = 503 }, 0, ""},
-		"other":       {func(o *observation) { o.requestID = "q" }, 1, "not its server's"},
-		"unsigned":    {func(o *observation) { o.signature = "" }, 1, "not its server's"},
-		"bytes":       {func(o *observation) { o.body = "x" }, 1, "other bytes"},
-		"part":        {func(o *observation) { o.body = o.body[:3] }, 1, "looks complete"},
-		"broken":      {func(o *observation) { o.body, o.complete = o.body[:3], false }, 1, ""},
-		"not found":   {func(o *observation) { o.status = 404 }, 0, "not found"},
-		"no answer":   {func(o *observation) { o.status, o.complete = 0, false }, 1, "no answer"},
-		"crossed":     {func(o *observation) { o.status, o.complete = 0, false }, 0, ""},
-		"stream part": {func(o *observation) { o.kind, o.body = kindResumable, standin.StreamText("r", 2) }, 1, "looks complete"},
-		"joined": {func(o *observation) {
+		"valid":                 {func(*observation) {}, 1, ""},
+		"run twice":             {func(*observation) {}, 2, "more than once"},
+		"ran despite rejection": {func(o *observation) { o.status = 503 }, 1, "guarantees"},
+		"rejected":              {func(o *observation) { o.status = 503 }, 0, ""},
+		"other ID":              {func(o *observation) { o.requestID = "q" }, 1, "another request's ID or without a signature"},
+		"unsigned":              {func(o *observation) { o.signature = "" }, 1, "another request's ID or without a signature"},
+		"other bytes":           {func(o *observation) { o.body = "x" }, 1, "other bytes"},
+		"partial":               {func(o *observation) { o.body = o.body[:3] }, 1, "looks complete"},
+		"truncated":             {func(o *observation) { o.body, o.complete = o.body[:3], false }, 1, ""},
+		"not found":             {func(o *observation) { o.status = 404 }, 0, "not found"},
+		"no response":           {func(o *observation) { o.status, o.complete = 0, false }, 1, "no response"},
+		"not forwarded":         {func(o *observation) { o.status, o.complete = 0, false }, 0, ""},
+		"partial stream":        {func(o *observation) { o.kind, o.body = kindResumable, standin.StreamText("r", 2) }, 1, "looks complete"},
+		"joined streams": {func(o *observation) {
 			o.kind, o.body = kindResumable, standin.EventText("r", 1)+standin.EventText("r", 1)
 		}, 2, "other bytes"},
 		"resumed": {func(o *observation) { o.kind, o.body = kindResumable, standin.StreamText("r", events) }, 2, ""},
@@ -143,7 +143,7 @@
 			g := NewWithT(t)
 			changed := valid
 			c.change(&changed)
-			violations := judge([]observation{changed}, map[string]int{"r": c.runs}, nil)
+			violations := checkObservations([]observation{changed}, map[string]int{"r": c.runs}, nil)
 			if c.want == "" {
 				g.Expect(violations).To(BeEmpty())
 				return
@@ -152,9 +152,9 @@
 		})
 	}
 	g := NewWithT(t)
-	cut := valid
-	cut.status, cut.complete = 0, false
-	cut.began, cut.ended = time.Unix(10, 0), time.Unix(12, 0)
+	interrupted := valid
+	interrupted.status, interrupted.complete = 0, false
+	interrupted.began, interrupted.ended = time.Unix(10, 0), time.Unix(12, 0)
 	killed := []disturbance{{node: 0, from: time.Unix(11, 0), to: time.Unix(13, 0)}}
-	g.Expect(judge([]observation{cut}, map[string]int{"r": 1}, killed)).To(BeEmpty())
+	g.Expect(checkObservations([]observation{interrupted}, map[string]int{"r": 1}, killed)).To(BeEmpty())
 }
--- a/soak/notices_test.go
+++ b/soak/notices_test.go
@@ -16,21 +16,21 @@
 const (
 	// noticeStream numbers the random stream of the backends that send notices.
 	noticeStream = 5
-	// leavingGrace is how long after a node has forwarded a backend's leaving notice it may still send callers'
-	// requests to that backend.
+	// leavingGrace is how long a node may still send callers' requests to a backend after it has forwarded the
+	// backend's leaving notice.
 	leavingGrace = 2 * time.Second
 	// backoffTime is the backoff that backends ask for, and backoffText the same on the wire.
 	backoffTime = 1500 * time.Millisecond
 	backoffText = "1.5"
-	// inFlightTime is how long after that requests already in flight may still arrive, and maxInBackoff how many
-	// requests of one node may arrive later.
+	// inFlightTime is how long requests in flight may still arrive after a backend has asked for backoff, and
+	// maxInBackoff how many requests of one node may arrive later.
 	inFlightTime = 500 * time.Millisecond
 	maxInBackoff = 2
 	// drainingTime is how long a leaving backend still serves after its entry has the state "draining".
 	drainingTime = 2500 * time.Millisecond
 )
 
-// setCondition replaces the condition that a backend reports in its answers.
+// setCondition replaces the condition that a backend reports in its responses.
 func (b *backend) setCondition(condition standin.Condition) {
 	if b.engine != nil {
 		b.engine.SetCondition(condition)
@@ -47,7 +47,7 @@
 	return b.server.Arrivals()
 }
 
-// injectNoticeFaults has backends announce in their answers that they leave, long before their entries do, and ask
+// injectNoticeFaults has backends announce in their responses that they leave, long before their entries do, and ask
 // for backoff: one backend, one for a share of its requests, or all backends of a service.
 func (h *harness) injectNoticeFaults(random *rand.Rand, duration time.Duration) {
 	until := time.Now().Add(duration)
@@ -100,7 +100,7 @@
 	return found
 }
 
-// announceLeaving adds a backend and has another one announce in its answers that it leaves. The entry of the
+// announceLeaving adds a backend and has another one announce in its responses that it leaves. The entry of the
 // leaving one follows after untilEntry, and is removed after drainingTime.
 func (h *harness) announceLeaving(b *backend, untilEntry time.Duration) {
 	stage := b.stage
@@ -146,7 +146,7 @@
 	arrivals     map[string][]standin.Arrival
 	incarnations map[string][]time.Time
 	// starts are the starts of nodes, disturbances their disturbances, and interruptions the times in which
-	// the connections of each backend were held, cut or silenced.
+	// the connections of each backend were held, closed or stalled.
 	starts        []nodeStart
 	disturbances  []disturbance
 	interruptions map[string][]disturbance
@@ -201,9 +201,9 @@
 	return true
 }
 
-// judgeLeaving returns the requests that reached backends from nodes that had already forwarded their leaving
+// checkLeaving returns the requests that reached backends from nodes that had already forwarded their leaving
 // notice, and the number of such notices.
-func judgeLeaving(observations []observation, record noticeRecord) (violations []string, notices int) {
+func checkLeaving(observations []observation, record noticeRecord) (violations []string, notices int) {
 	type pair struct {
 		backend string
 		node    int
@@ -223,7 +223,7 @@
 			sender, known := record.senders[arrival.Request]
 			ignored := known && sender.node == source.node && sender.at.After(at.Add(leavingGrace))
 			if ignored && record.sameIncarnation(source.backend, at.Add(-leavingGrace), arrival.At) && record.undisturbed(source.node, at, sender.at) {
-				violations = append(violations, fmt.Sprintf("%s reached %s from node %d %v after its word that it leaves",
+				violations = append(violations, fmt.Sprintf("%s reached %s from node %d %v after its leaving notice",
 					arrival.Request, source.backend, source.node, sender.at.Sub(at)))
 			}
 		}
@@ -231,14 +231,14 @@
 	return violations, len(firstSeen)
 }
 
-// judgeBackoffs returns the backends that got too many requests during a backoff that they had asked a node for, and
-// the number of backoffs judged.
-func judgeBackoffs(record noticeRecord) (violations []string, backoffs int) {
+// checkBackoffs returns the backends that got too many requests during a backoff that they had asked a node for, and
+// the number of backoffs checked.
+func checkBackoffs(record noticeRecord) (violations []string, backoffs int) {
 	for backend, arrivals := range record.arrivals {
 		for i, asked := range arrivals {
 			sender, known := record.senders[asked.Request]
 			ends := asked.At.Add(backoffTime)
-			// A node does not see an answer that is held or lost, and a request that is held arrives late.
+			// A node does not see a response that is held or lost, and a request that is held arrives late.
 			span := observation{began: asked.At.Add(-inFlightTime), ended: ends}
 			if !asked.Rejected || !known || !record.undisturbed(sender.node, span.began, ends) ||
 				!record.sameIncarnation(backend, asked.At, ends) || interruptedDuring(span, record.interruptions[backend]) {
@@ -261,14 +261,14 @@
 	return violations, backoffs
 }
 
-// TestJudgeNoticesRequestsToLeavingBackends has a request reach a backend early and late after its notice, and late
+// TestChecksDetectRequestsToLeavingBackends has a request reach a backend early and late after its notice, and late
 // where that is exempt.
-func TestJudgeNoticesRequestsToLeavingBackends(t *testing.T) {
+func TestChecksDetectRequestsToLeavingBackends(t *testing.T) {
 	g := NewWithT(t)
 	at := func(seconds float64) time.Time {
 		return time.Unix(100, 0).Add(time.Duration(seconds * float64(time.Second)))
 	}
-	notice := observation{id: "word", node: 1, leaving: true, signature: "sig.b", ended: at(0)}
+	notice := observation{id: "notice", node: 1, leaving: true, signature: "sig.b", ended: at(0)}
 	record := func(sent float64) noticeRecord {
 		return noticeRecord{
 			senders:      map[string]nodeEvent{"late": {1, at(sent)}, "other": {2, at(sent)}},
@@ -276,31 +276,31 @@
 			incarnations: map[string][]time.Time{},
 		}
 	}
-	judged := func(r noticeRecord) []string {
-		violations, notices := judgeLeaving([]observation{notice}, r)
+	check := func(r noticeRecord) []string {
+		violations, notices := checkLeaving([]observation{notice}, r)
 		g.Expect(notices).To(Equal(1))
 		return violations
 	}
-	g.Expect(judged(record(1.9))).To(BeEmpty())
-	g.Expect(judged(record(2.1))).To(HaveLen(1))
-	excused := record(2.1)
-	excused.incarnations["b"] = []time.Time{at(1)}
-	g.Expect(judged(excused)).To(BeEmpty(), "its next life")
-	excused = record(2.1)
-	excused.starts = []nodeStart{{nodeEvent: nodeEvent{1, at(1)}}}
-	g.Expect(judged(excused)).To(BeEmpty(), "a node that started again")
-	excused.starts[0].node = 2
-	g.Expect(judged(excused)).To(HaveLen(1))
-	excused.starts = []nodeStart{{nodeEvent{1, at(-9)}, true}}
-	g.Expect(judged(excused)).To(BeEmpty(), "an older build")
-	excused.starts = append(excused.starts, nodeStart{nodeEvent{1, at(-5)}, false})
-	g.Expect(judged(excused)).To(HaveLen(1), "no longer")
-	excused.disturbances = []disturbance{{node: 1, from: at(0.5), to: at(1)}}
-	g.Expect(judged(excused)).To(BeEmpty(), "a node that stood still")
+	g.Expect(check(record(1.9))).To(BeEmpty())
+	g.Expect(check(record(2.1))).To(HaveLen(1))
+	exempt := record(2.1)
+	exempt.incarnations["b"] = []time.Time{at(1)}
+	g.Expect(check(exempt)).To(BeEmpty(), "its next incarnation")
+	exempt = record(2.1)
+	exempt.starts = []nodeStart{{nodeEvent: nodeEvent{1, at(1)}}}
+	g.Expect(check(exempt)).To(BeEmpty(), "a restarted node")
+	exempt.starts[0].node = 2
+	g.Expect(check(exempt)).To(HaveLen(1))
+	exempt.starts = []nodeStart{{nodeEvent{1, at(-9)}, true}}
+	g.Expect(check(exempt)).To(BeEmpty(), "an older build")
+	exempt.starts = append(exempt.starts, nodeStart{nodeEvent{1, at(-5)}, false})
+	g.Expect(check(exempt)).To(HaveLen(1), "the older build was replaced")
+	exempt.disturbances = []disturbance{{node: 1, from: at(0.5), to: at(1)}}
+	g.Expect(check(exempt)).To(BeEmpty(), "a frozen node")
 }
 
-// TestJudgeNoticesBackoffs has requests of one node reach a backend that has asked the node for backoff.
-func TestJudgeNoticesBackoffs(t *testing.T) {
+// TestChecksDetectIgnoredBackoffs has requests of one node reach a backend that has asked the node for backoff.
+func TestChecksDetectIgnoredBackoffs(t *testing.T) {
 	g := NewWithT(t)
 	began := time.Unix(100, 0)
 	record := noticeRecord{senders: map[string]nodeEvent{}, arrivals: map[string][]standin.Arrival{}}
@@ -314,14 +314,14 @@
 	arrive("second", 1, inFlightTime+2*time.Millisecond, false)
 	arrive("other", 2, inFlightTime+3*time.Millisecond, false)
 	arrive("after", 1, backoffTime, false)
-	violations, backoffs := judgeBackoffs(record)
+	violations, backoffs := checkBackoffs(record)
 	g.Expect(violations).To(BeEmpty())
 	g.Expect(backoffs).To(Equal(1))
 	arrive("third", 1, backoffTime-time.Millisecond, false)
-	violations, _ = judgeBackoffs(record)
+	violations, _ = checkBackoffs(record)
 	g.Expect(violations).To(HaveLen(1))
 	record.interruptions = map[string][]disturbance{"b": {{from: began, to: began.Add(time.Second)}}}
-	violations, backoffs = judgeBackoffs(record)
+	violations, backoffs = checkBackoffs(record)
 	g.Expect(violations).To(BeEmpty())
 	g.Expect(backoffs).To(BeZero())
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -15,8 +15,8 @@
 	modePass proxyMode = iota
 	// modeDelay delays all bytes by proxyDelay.
 	modeDelay
-	// modeSilent holds all bytes back until the mode changes.
-	modeSilent
+	// modeHold holds all bytes back until the mode changes.
+	modeHold
 	// modeOneWay holds back the bytes sent to the caller.
 	modeOneWay
 	// modeRefuse closes new connections.
@@ -32,16 +32,16 @@
 	mode    proxyMode
 	changed chan struct{}
 	open    map[net.Conn]struct{}
-	// muted holds the muted directions of each open connection.
-	muted map[*mutedDirections]struct{}
-	// interrupted are the times in which the proxy held, cut or silenced connections.
+	// stalled holds the stalled directions of each open connection.
+	stalled map[*stalledDirections]struct{}
+	// interrupted are the times in which the proxy held, closed or stalled connections.
 	interrupted []disturbance
 	closed      bool
 	done        sync.WaitGroup
 }
 
-// mutedDirections records which directions of one connection no longer carry anything.
-type mutedDirections struct{ towardsTarget, towardsCaller atomic.Bool }
+// stalledDirections records which directions of one connection no longer carry anything.
+type stalledDirections struct{ towardsTarget, towardsCaller atomic.Bool }
 
 const proxyDelay = 150 * time.Millisecond
 
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, changed: make(chan struct{}), open: map[net.Conn]struct{}{}, muted: map[*mutedDirections]struct{}{}}
+	p := &proxy{listener: listener, target: target, changed: make(chan struct{}), open: map[net.Conn]struct{}{}, stalled: map[*stalledDirections]struct{}{}}
 	p.done.Go(p.accept)
 	return p, nil
 }
@@ -77,35 +77,35 @@
 		return
 	}
 	defer func() { _ = upstream.Close() }()
-	muted := &mutedDirections{}
-	if !p.track(muted, client, upstream) {
+	stalled := &stalledDirections{}
+	if !p.track(stalled, client, upstream) {
 		return
 	}
-	defer p.untrack(muted, client, upstream)
+	defer p.untrack(stalled, client, upstream)
 	var both sync.WaitGroup
-	both.Go(func() { p.pass(upstream, client, &muted.towardsTarget, false) })
-	both.Go(func() { p.pass(client, upstream, &muted.towardsCaller, true) })
+	both.Go(func() { p.pass(upstream, client, &stalled.towardsTarget, false) })
+	both.Go(func() { p.pass(client, upstream, &stalled.towardsCaller, true) })
 	both.Wait()
 }
 
-// silence makes the connections that are open now drop everything, both bytes and the close of the connection. New
+// stall makes the connections that are open now drop everything, both bytes and the close of the connection. New
 // connections work.
-func (p *proxy) silence(towardsTarget, towardsCaller bool) {
+func (p *proxy) stall(towardsTarget, towardsCaller bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.recordCut()
-	for muted := range p.muted {
-		muted.towardsTarget.Store(muted.towardsTarget.Load() || towardsTarget)
-		muted.towardsCaller.Store(muted.towardsCaller.Load() || towardsCaller)
+	p.recordInstant()
+	for stalled := range p.stalled {
+		stalled.towardsTarget.Store(stalled.towardsTarget.Load() || towardsTarget)
+		stalled.towardsCaller.Store(stalled.towardsCaller.Load() || towardsCaller)
 	}
 }
 
 // pass copies bytes in one direction, and closes both ends when one closes. The receiving end of a
-// muted direction is not closed.
-func (p *proxy) pass(to, from net.Conn, muted *atomic.Bool, towardsCaller bool) {
+// stalled direction is not closed.
+func (p *proxy) pass(to, from net.Conn, stalled *atomic.Bool, towardsCaller bool) {
 	defer func() {
 		_ = from.Close()
-		if !muted.Load() {
+		if !stalled.Load() {
 			_ = to.Close()
 		}
 	}()
@@ -116,7 +116,7 @@
 			if !p.hold(towardsCaller) {
 				return
 			}
-			if muted.Load() {
+			if stalled.Load() {
 				continue
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -142,7 +142,7 @@
 		case mode == modeDelay:
 			time.Sleep(proxyDelay)
 			return true
-		case mode == modeSilent || mode == modeOneWay && towardsCaller:
+		case mode == modeHold || mode == modeOneWay && towardsCaller:
 			<-changed
 		default:
 			return true
@@ -165,14 +165,14 @@
 	p.changed = make(chan struct{})
 }
 
-// recordCut records that connections are cut or silenced now; the lock is held.
-func (p *proxy) recordCut() {
+// recordInstant records that connections are closed or stalled now; the caller holds the lock.
+func (p *proxy) recordInstant() {
 	now := time.Now()
 	p.interrupted = append(p.interrupted, disturbance{from: now, to: now})
 }
 
-// recordMode records the beginning or the end of a time in which connections are held; the lock is held. Until its
-// end is recorded, the time is entered with an end one hour from now.
+// recordMode records the beginning or the end of a time in which connections are held; the caller holds the lock.
+// Until its end is recorded, the time has an end one hour from now.
 func (p *proxy) recordMode(mode proxyMode) {
 	now := time.Now()
 	if p.mode != modePass {
@@ -183,7 +183,7 @@
 	}
 }
 
-// interruptions returns the times in which the proxy held, cut or silenced connections.
+// interruptions returns the times in which the proxy held, closed or stalled connections.
 func (p *proxy) interruptions() []disturbance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,7 +194,7 @@
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.recordCut()
+	p.recordInstant()
 	for conn := range p.open {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
@@ -203,20 +203,20 @@
 	}
 }
 
-func (p *proxy) track(muted *mutedDirections, conns ...net.Conn) bool {
+func (p *proxy) track(stalled *stalledDirections, conns ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.muted[muted] = struct{}{}
+	p.stalled[stalled] = struct{}{}
 	for _, conn := range conns {
 		p.open[conn] = struct{}{}
 	}
 	return !p.closed
 }
 
-func (p *proxy) untrack(muted *mutedDirections, conns ...net.Conn) {
+func (p *proxy) untrack(stalled *stalledDirections, conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.muted, muted)
+	delete(p.stalled, stalled)
 	for _, conn := range conns {
 		delete(p.open, conn)
 	}
--- a/soak/repeats_test.go
+++ b/soak/repeats_test.go
@@ -86,9 +86,9 @@
 	return b.server.Misdirected()
 }
 
-// judgeUpstreamRetries returns the services that got more upstream retries than the rule allows, and the number of
-// upstream retries in all. Older builds have faults in this, and are not judged.
-func (h *harness) judgeUpstreamRetries() (violations []string, retries int) {
+// checkUpstreamRetries returns the services that got more upstream retries than the rule allows, and the number of
+// upstream retries in all. Older builds have faults in this, and are not checked.
+func (h *harness) checkUpstreamRetries() (violations []string, retries int) {
 	if h.older != "" {
 		return nil, 0
 	}
@@ -98,15 +98,15 @@
 			arrivals = append(append(arrivals, b.arrivals()...), b.misdirected()...)
 		}
 		retries += len(standin.UpstreamRetries(arrivals))
-		if worst, broken := retryRule.Worst(h.requests.times(service), arrivals); broken {
+		if worst, exceeded := retryRule.Worst(h.requests.times(service), arrivals); exceeded {
 			violations = append(violations, fmt.Sprintf("%s got %v", service, worst))
 		}
 	}
 	return violations, retries
 }
 
-// TestJudgeNoticesUpstreamRetries has a backend get one upstream retry more than the rule allows.
-func TestJudgeNoticesUpstreamRetries(t *testing.T) {
+// TestChecksDetectUpstreamRetries has a backend get one upstream retry more than the rule allows.
+func TestChecksDetectUpstreamRetries(t *testing.T) {
 	g := NewWithT(t)
 	h := &harness{t: t}
 	h.backends = []*backend{{service: "app", server: standin.NewServer("b")}}
@@ -121,10 +121,10 @@
 		arrive(strconv.Itoa(i))
 		arrive(strconv.Itoa(i))
 	}
-	violations, retries := h.judgeUpstreamRetries()
+	violations, retries := h.checkUpstreamRetries()
 	g.Expect(violations).To(BeEmpty())
 	g.Expect(retries).To(Equal(int(retryRule.Slack)))
 	arrive("first")
-	violations, _ = h.judgeUpstreamRetries()
+	violations, _ = h.checkUpstreamRetries()
 	g.Expect(violations).To(HaveLen(1))
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -25,25 +25,25 @@
 	// again.
 	recoveryTime = 8 * time.Second
 	callerCount  = 12
-	// silenceStream numbers the random stream of the silence faults.
-	silenceStream = 2
+	// stallStream numbers the random stream of the stall faults.
+	stallStream = 2
 	// registryStream numbers the random stream of the faults of backends' entries.
 	registryStream = 3
 )
 
 // regressionSeeds are seeds that once failed, each with the cause.
 var regressionSeeds = []uint64{
-	3004, // a hangup during a planned stop ended the process (TestHangupDuringAStop)
-	// A hangup reached a process 3 ms after its start, before the runtime handles signals, and
+	3004, // a SIGHUP during a planned stop terminated the process (TestHangupDuringAStop)
+	// A SIGHUP reached a process 3 ms after its start, before the runtime handles signals, and
 	// the process was not started again.
 	115187816,
-	// The node's log says that a request was answered with 504 after 4 s, but its caller got no answer;
+	// The node's log says that a request was answered with 504 after 4 s, but its caller got no response;
 	// seen once for each of these seeds among 50 seeds under parallel load, not again in six runs. Cause unknown.
 	115187855, 115187857,
 	// A backend had restarted and asked for backoff before its new incarnation was known: the notice was
 	// attributed to the previous incarnation, and three requests followed.
 	56016, 56049,
-	// Processes were stalled for four to five seconds under parallel load, while callers wait six seconds in all.
+	// Processes did not run for four to five seconds under parallel load, while callers wait six seconds in all.
 	91005, 91007, 91008,
 }
 
@@ -54,15 +54,15 @@
 	defer h.close()
 	h.awaitReady()
 	n := h.nodes[0]
-	answers := make(chan observation, 1)
+	responses := make(chan observation, 1)
 	go func() {
-		answers <- send(&http.Transport{DisableKeepAlives: true}, n, kindStream, "stopping", true, steadyTenant)
+		responses <- send(&http.Transport{DisableKeepAlives: true}, n, kindStream, "stopping", true, steadyTenant)
 	}()
 	time.Sleep(200 * time.Millisecond)
 	h.signal(n, syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
 	h.signal(n, syscall.SIGHUP)
-	if o := <-answers; !o.complete || o.body != standin.StreamText("stopping", events) {
+	if o := <-responses; !o.complete || o.body != standin.StreamText("stopping", events) {
 		t.Errorf("the stream is incomplete: %+v", o)
 	}
 	<-n.ended
@@ -133,7 +133,7 @@
 	disconnecting := startDisconnectingCallers(h, seed)
 	crashCaller := startCrashCaller(h, seed)
 	var injecting sync.WaitGroup
-	injecting.Go(func() { h.injectSilenceFaults(rand.New(rand.NewPCG(seed, silenceStream)), duration) })
+	injecting.Go(func() { h.injectStallFaults(rand.New(rand.NewPCG(seed, stallStream)), duration) })
 	injecting.Go(func() { h.injectRegistryFaults(rand.New(rand.NewPCG(seed, registryStream)), duration) })
 	injecting.Go(func() { h.injectNoticeFaults(rand.New(rand.NewPCG(seed, noticeStream)), duration) })
 	injecting.Go(func() { h.injectRejections(rand.New(rand.NewPCG(seed, rejectStream)), duration) })
@@ -144,23 +144,23 @@
 	load.stop()
 	crashRetries := crashCaller.stop()
 	h.restarting.Wait()
-	violations := judge(load.observations(), h.runs(), h.disturbances)
+	violations := checkObservations(load.observations(), h.runs(), h.disturbances)
 	orphaned, counted := countOrphaned(disconnecting.disconnects(), h.endings(), h.disturbances, h.interruptions)
-	violations = append(violations, judgeOrphaned(orphaned, counted)...)
-	violations = append(violations, judgeTenants(load.observations(), h.received())...)
-	violations = append(violations, judgeCrashes(crashRetries, h.crashes, h.received(), h.disturbances)...)
+	violations = append(violations, checkOrphaned(orphaned, counted)...)
+	violations = append(violations, checkTenants(load.observations(), h.received())...)
+	violations = append(violations, checkCrashes(crashRetries, h.crashes, h.received(), h.disturbances)...)
 	record := h.noticeRecord(load.observations(), disconnecting.disconnects())
-	ignoredNotices, leavingNotices := judgeLeaving(load.observations(), record)
-	ignoredBackoffs, backoffs := judgeBackoffs(record)
+	ignoredNotices, leavingNotices := checkLeaving(load.observations(), record)
+	ignoredBackoffs, backoffs := checkBackoffs(record)
 	violations = append(violations, append(ignoredNotices, ignoredBackoffs...)...)
-	violations = append(violations, h.judgeRecovery()...)
-	excessRetries, retries := h.judgeUpstreamRetries()
+	violations = append(violations, h.checkRecovery()...)
+	excessRetries, retries := h.checkUpstreamRetries()
 	violations = append(violations, excessRetries...)
 	statuses := map[int]int{}
 	for _, o := range load.observations() {
 		statuses[o.status]++
 	}
-	t.Logf("seed %d: %d nodes, %d requests, statuses %v, %d disturbances, %d of %d requests of disconnected callers continued, a crashing request was sent %d times and crashed %d backends, %d leaving notices, %d backoffs and %d upstream retries judged",
+	t.Logf("seed %d: %d nodes, %d requests, statuses %v, %d disturbances, %d of %d requests of disconnected callers continued, a crashing request was sent %d times and crashed %d backends, %d leaving notices, %d backoffs and %d upstream retries checked",
 		seed, len(h.nodes), len(load.observations()), statuses, len(h.disturbances), orphaned, counted, len(crashRetries), len(h.crashes), leavingNotices, backoffs, retries)
 	for _, violation := range violations {
 		t.Error(violation)
@@ -213,8 +213,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// judgeRecovery sends each node requests of each kind, after the faults have ended.
-func (h *harness) judgeRecovery() []string {
+// checkRecovery sends each node requests of each kind, after the faults have ended.
+func (h *harness) checkRecovery() []string {
 	var sending sync.WaitGroup
 	served := make([]int, len(h.nodes))
 	for i, n := range h.nodes {
--- a/soak/tenants_test.go
+++ b/soak/tenants_test.go
@@ -101,56 +101,56 @@
 	h.store.Put("servers", fmt.Sprintf("foreign-%d", random.IntN(3)), entries[random.IntN(len(entries))])
 }
 
-// judgeTenants returns violations of the guarantees for tenants: requests without a known key that ran, keys
-// that were passed on to backends, wrong tenant names, and an exceeded limit.
-func judgeTenants(observations []observation, received map[string][]standin.Run) []string {
+// checkTenants returns violations of the guarantees for tenants: requests without a known key that ran, keys
+// that were sent to backends, wrong tenant names, and an exceeded limit.
+func checkTenants(observations []observation, received map[string][]standin.Run) []string {
 	var violations []string
 	var limited []time.Time
 	for _, o := range observations {
 		runs := received[o.id]
 		switch {
 		case o.tenant == "" && len(runs) > 0:
-			violations = append(violations, o.id+" reached a back end without a known key")
+			violations = append(violations, o.id+" reached a backend without a known key")
 		case o.tenant == "" && o.status != 0 && o.status != http.StatusUnauthorized && o.status != http.StatusServiceUnavailable:
 			violations = append(violations, fmt.Sprintf("%s without a known key was answered by %d", o.id, o.status))
 		case o.tenant != "" && o.status == http.StatusUnauthorized:
 			violations = append(violations, fmt.Sprintf("%s of %s was rejected at node %d", o.id, o.tenant, o.node))
 		}
 		for _, run := range runs {
-			if name, keyShown := standin.IdentityOf(run); name != o.tenant || keyShown {
-				violations = append(violations, fmt.Sprintf("%s of %q was named %q, key shown %t", o.id, o.tenant, name, keyShown))
+			if name, keySent := standin.IdentityOf(run); name != o.tenant || keySent {
+				violations = append(violations, fmt.Sprintf("%s of %q was sent to a backend as tenant %q, key sent %t", o.id, o.tenant, name, keySent))
 			}
 		}
 		if o.tenant == limitedTenant && len(runs) > 0 {
 			limited = append(limited, o.began)
 		}
 	}
-	if most, allowed := mostInWindow(limited), limitAllowed(); most > allowed {
-		violations = append(violations, fmt.Sprintf("%d requests of %s ran in %v, allowed %d", most, limitedTenant, limitWindow, allowed))
+	if ran, allowed := maxInWindow(limited), limitAllowed(); ran > allowed {
+		violations = append(violations, fmt.Sprintf("%d requests of %s ran in %v, allowed %d", ran, limitedTenant, limitWindow, allowed))
 	}
 	return violations
 }
 
-// limitAllowed is how many requests of the limited tenant may run in a window.
+// limitAllowed returns how many requests of the limited tenant may run in a window.
 func limitAllowed() int {
 	return int((limitRate*limitWindow.Seconds()+limitBurst)*(1+limitOvershoot)) + limitSlack
 }
 
-// mostInWindow returns the largest number of times within one window.
-func mostInWindow(times []time.Time) int {
+// maxInWindow returns the maximum number of times within one window.
+func maxInWindow(times []time.Time) int {
 	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
-	most, first := 0, 0
+	maximum, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= limitWindow {
 			first++
 		}
-		most = max(most, i-first+1)
+		maximum = max(maximum, i-first+1)
 	}
-	return most
+	return maximum
 }
 
-// TestJudgeTenantsNoticesEachDefect seeds one defect for each check.
-func TestJudgeTenantsNoticesEachDefect(t *testing.T) {
+// TestTenantChecksDetectEachDefect seeds one defect for each check.
+func TestTenantChecksDetectEachDefect(t *testing.T) {
 	named := func(tenant, key string) standin.Run {
 		run := standin.Run{Header: http.Header{}}
 		standin.CallerHeaders{Key: key, Tenant: tenant}.Set(run.Header)
@@ -162,17 +162,17 @@
 		runs   []standin.Run
 		want   string
 	}{
-		"sound":        {steadyTenant, 200, []standin.Run{named(steadyTenant, "")}, ""},
+		"valid":        {steadyTenant, 200, []standin.Run{named(steadyTenant, "")}, ""},
 		"rejected":     {"", 401, nil, ""},
 		"not ready":    {"", 503, nil, ""},
 		"unknown ran":  {"", 200, []standin.Run{named("", "")}, "without a known key"},
 		"unknown 404":  {"", 404, nil, "answered by 404"},
 		"known 401":    {steadyTenant, 401, nil, "was rejected"},
-		"key shown":    {steadyTenant, 200, []standin.Run{named(steadyTenant, "k")}, "key shown true"},
-		"other tenant": {steadyTenant, 200, []standin.Run{named("forged", "")}, `named "forged"`},
+		"key sent":     {steadyTenant, 200, []standin.Run{named(steadyTenant, "k")}, "key sent true"},
+		"other tenant": {steadyTenant, 200, []standin.Run{named("forged", "")}, `as tenant "forged"`},
 	} {
 		g := NewWithT(t)
-		violations := judgeTenants([]observation{{id: "r", tenant: c.tenant, status: c.status}}, map[string][]standin.Run{"r": c.runs})
+		violations := checkTenants([]observation{{id: "r", tenant: c.tenant, status: c.status}}, map[string][]standin.Run{"r": c.runs})
 		if c.want == "" {
 			g.Expect(violations).To(BeEmpty(), name)
 			continue
@@ -187,6 +187,6 @@
 		over = append(over, observation{id: id, tenant: limitedTenant, status: 200, began: time.Unix(int64(i)/20, 0)})
 		received[id] = []standin.Run{named(limitedTenant, "")}
 	}
-	g.Expect(judgeTenants(over, received)).To(ContainElement(ContainSubstring("allowed")))
-	g.Expect(judgeTenants(over[1:], received)).To(BeEmpty())
+	g.Expect(checkTenants(over, received)).To(ContainElement(ContainSubstring("allowed")))
+	g.Expect(checkTenants(over[1:], received)).To(BeEmpty())
 }
