--- a/engine/dialect/answer.go
+++ b/engine/dialect/events.go
@@ -11,23 +11,23 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// answerBody converts an engine's stream into the events that a caller receives.
-type answerBody struct {
+// eventBody converts an engine's stream into the events that a caller receives.
+type eventBody struct {
 	stream *engine.Stream
 	// next is the offset of the first token that the caller lacks.
 	next int
-	// release frees what the engines keep: the prefill result, and the stream unless it is
-	// complete.
-	release func(whole bool)
+	// release frees what the engines keep of the request: the prefill result, and the stream
+	// unless it is complete.
+	release func(complete bool)
 	// pending is the unread part of the last event.
-	pending bytes.Buffer
-	whole   bool
+	pending  bytes.Buffer
+	complete bool
 }
 
 // Read implements io.Reader. It fails if the stream ends before its last token.
-func (b *answerBody) Read(buffer []byte) (int, error) {
+func (b *eventBody) Read(buffer []byte) (int, error) {
 	for b.pending.Len() == 0 {
-		if b.whole {
+		if b.complete {
 			return 0, io.EOF
 		}
 		if err := b.advance(); err != nil {
@@ -38,11 +38,11 @@
 }
 
 // advance reads the next token, or the end, from the stream.
-func (b *answerBody) advance() error {
+func (b *eventBody) advance() error {
 	token, _, err := b.stream.Next()
 	switch {
 	case errors.Is(err, io.EOF):
-		b.whole = true
+		b.complete = true
 		return nil
 	case err != nil:
 		return err
@@ -57,8 +57,8 @@
 
 // Close implements io.Closer. Engines keep prefill results and streams until they are
 // cancelled.
-func (b *answerBody) Close() error {
+func (b *eventBody) Close() error {
 	b.stream.Close()
-	b.release(b.whole)
+	b.release(b.complete)
 	return nil
 }
--- a/engine/dialect/generate.go
+++ b/engine/dialect/generate.go
@@ -55,16 +55,16 @@
 	if err == nil {
 		return &gateway.PrefillResult{Address: target.Address, Handle: handle{attempt.Number, result.ResultID}.String()}, nil, nil
 	}
-	refusal, err := refusalOf(err)
-	if refusal == nil && !errors.Is(err, gateway.ErrNotSent) {
+	rejection, err := rejectionOf(err)
+	if rejection == nil && !errors.Is(err, gateway.ErrNotSent) {
 		d.cancel(ctx, target.Address, attempt)
 	}
-	return nil, refusal, err
+	return nil, rejection, err
 }
 
-// refusalOf returns the answer of an engine that has rejected a call, or the error of one
-// that did not answer.
-func refusalOf(err error) (*gateway.Answer, error) {
+// rejectionOf returns the response of an engine that has rejected a call, or the error of a call
+// that failed otherwise.
+func rejectionOf(err error) (*gateway.Answer, error) {
 	var apiErr *api.Error
 	switch {
 	case !errors.As(err, &apiErr):
@@ -101,16 +101,16 @@
 		Model: body.Model, MaxTokens: body.MaxTokens,
 	})
 	if err != nil {
-		refusal, err := refusalOf(err)
-		if refusal == nil && !errors.Is(err, gateway.ErrNotSent) {
+		rejection, err := rejectionOf(err)
+		if rejection == nil && !errors.Is(err, gateway.ErrNotSent) {
 			d.cancel(ctx, target.Address, attempt)
 		}
-		return refusal, err
+		return rejection, err
 	}
 	header := http.Header{"Content-Type": {"text/event-stream"}, http.CanonicalHeaderKey(HeaderRequestID): {request.ID}}
-	return &gateway.Answer{Status: http.StatusOK, Header: header, Body: &answerBody{stream: stream, next: next, release: func(whole bool) {
+	return &gateway.Answer{Status: http.StatusOK, Header: header, Body: &eventBody{stream: stream, next: next, release: func(complete bool) {
 		d.cancel(ctx, options.Prefill.Address, attempt)
-		if !whole {
+		if !complete {
 			d.cancel(ctx, target.Address, attempt)
 		}
 	}}}, nil
