--- a/soak/repeats_test.go
+++ b/soak/retries_test.go
@@ -21,7 +21,7 @@
 // retryRule limits the upstream retries of the nodes. Its window is short, so that a run contains many windows.
 var retryRule = standin.RetryRule{Ratio: 0.2, Slack: 20, Window: 2 * time.Second}
 
-// requestLog holds when callers sent requests, by the service of the request's route. It is safe for
+// requestLog records when callers sent requests, by the service of the request's route. It is safe for
 // concurrent use.
 type requestLog struct {
 	mu   sync.Mutex
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -21,8 +21,8 @@
 	defaultDuration = 6 * time.Second
 	// startTime is how long the nodes have to become ready.
 	startTime = 15 * time.Second
-	// recoveryTime is how long after the last fault requests must be served reliably
-	// again.
+	// recoveryTime is the time after the last fault within which the nodes must serve
+	// requests reliably again.
 	recoveryTime = 8 * time.Second
 	callerCount  = 12
 	// stallStream numbers the random stream of the stall faults.
