--- a/coordinator/assign_test.go
+++ b/coordinator/assign_test.go
@@ -31,7 +31,7 @@
 				now += 2 * time.Second
 				slow.state("s").prefill.complete(now, id, "p")
 			}
-			ask := func(id string) Assignment {
+			assign := func(id string) Assignment {
 				request := requestOf(id, 0)
 				request.Late = retry
 				return slow.Assign(t.Context(), request)
@@ -39,8 +39,8 @@
 			// The decode engine takes the first prompt that cannot be served in time; it takes one
 			// at a time.
 			slow.state("s").localPrefill.add(now, "d", ledger.Run{ID: "read by d", Prompt: 8000})
-			g.Expect(ask("idle").Prefill).To(Equal("p"))
-			g.Expect(ask("busy").Decode).To(BeEmpty())
+			g.Expect(assign("idle").Prefill).To(Equal("p"))
+			g.Expect(assign("busy").Decode).To(BeEmpty())
 		})
 	}
 }
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -100,7 +100,7 @@
 		if !found {
 			return Assignment{}, failure
 		}
-		assignment, err := c.ask(ctx, node, request)
+		assignment, err := c.assignAt(ctx, node, request)
 		if err == nil {
 			c.recordRun(request, assignment)
 			c.answered(node.Address)
@@ -173,9 +173,9 @@
 	return Node{}, false
 }
 
-// ask calls one coordinator, first without waiting for capacity, so that an unresponsive one costs
-// little time.
-func (c *Client) ask(ctx context.Context, node Node, request Request) (Assignment, error) {
+// assignAt requests engines from one coordinator, first without waiting for capacity, so that an
+// unresponsive one costs little time.
+func (c *Client) assignAt(ctx context.Context, node Node, request Request) (Assignment, error) {
 	request.Run.Holder = c.fleet.Own()
 	if node.Address == c.fleet.Own() {
 		return c.local.Assign(ctx, &request), nil
--- a/coordinator/learned_test.go
+++ b/coordinator/learned_test.go
@@ -39,13 +39,13 @@
 		trained.End(RunResult{Service: "s", ID: id, Duration: 3 * time.Second, Output: 1000, FirstEvent: time.Second, RestTokens: 900})
 	}
 	next.Adopt("s", decodeLearned(encodeLearned(trained.Learned("s"))))
-	ask := func(asked *Coordinator) Assignment {
+	assign := func(target *Coordinator) Assignment {
 		request := requestOf("first", 0)
 		request.Run.MaxOutput = 4000
 		request.Objective = time.Minute
-		return asked.Assign(t.Context(), request)
+		return target.Assign(t.Context(), request)
 	}
-	before, after, without := ask(trained), ask(next), ask(untrained)
+	before, after, without := assign(trained), assign(next), assign(untrained)
 	g.Expect(after.Output).To(BeNumerically("~", before.Output, before.Output/10))
 	g.Expect(after.PromptReady).To(BeNumerically("~", before.PromptReady, before.PromptReady/10))
 	g.Expect(next.State("s").DecodeRate).To(BeNumerically("~", trained.State("s").DecodeRate, 1))
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -14,7 +14,7 @@
 	pauseUnavailable = 2 * time.Second
 )
 
-// Request asks for engines.
+// Request is a request for the engines of one run.
 type Request struct {
 	Service string
 	Run     ledger.Run
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -118,14 +118,14 @@
 			ID: strconv.Itoa(i), Prompt: 1500 + random.IntN(3000), Output: 200 + random.IntN(800), MaxOutput: 4000, Holder: "node",
 		}
 		hot := r.hotAboveRate > 0 && random.Float64()*rate > r.hotAboveRate
-		callers.Go(func() { r.ask(ctx, run, false, hot) })
+		callers.Go(func() { r.attempt(ctx, run, false, hot) })
 	}
 	callers.Wait()
 	return r.counts
 }
 
-// ask is one attempt of a client.
-func (r *overloadReplay) ask(ctx *testing.T, run ledger.Run, late, hot bool) {
+// attempt is one attempt of a client.
+func (r *overloadReplay) attempt(ctx *testing.T, run ledger.Run, late, hot bool) {
 	request := &Request{
 		Service: "s", Run: run, Wait: replayObjective, Objective: replayObjective, Late: late, AboveUsual: hot && r.marked,
 	}
@@ -142,7 +142,7 @@
 	if !late {
 		time.Sleep(min(assignment.RetryAfter, 4500*time.Millisecond))
 		run.ID += "again"
-		r.ask(ctx, run, true, hot)
+		r.attempt(ctx, run, true, hot)
 	}
 }
 
