--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -33,7 +33,8 @@
 	// TenantPriority is the priority of the tenant, and Priority that of the route, which orders
 	// requests of equal tenant priority; 0 is the highest.
 	TenantPriority, Priority int
-	// AboveUsual is set if the tenant has nearly used up its limit.
+	// AboveUsual is set if the tenant has nearly used up its limit, which is well above its usual
+	// rate.
 	AboveUsual bool
 	// Avoid names engines that must not be assigned.
 	Avoid []string
