--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -43,13 +43,13 @@
 func TestPicksCoverAllBackends(t *testing.T) {
 	const (
 		backends = 1350
-		choices  = 40_000
+		picks  = 40_000
 	)
 	counts := map[string]int{}
 	for _, zone := range []string{"a", "b", "c", "d", "e"} {
 		handler := newPickHandler(backends)
 		handler.options.Zone = zone
-		for range choices / 5 {
+		for range picks / 5 {
 			counts[handler.pick("s", backend.RoleNone, nil).ID()]++
 		}
 	}
@@ -59,7 +59,7 @@
 		most = max(most, count)
 	}
 	g.Expect(len(counts)).To(BeNumerically(">", backends*99/100))
-	g.Expect(most).To(BeNumerically("<", 2*choices/backends+10))
+	g.Expect(most).To(BeNumerically("<", 2*picks/backends+10))
 }
 
 // TestPickFallsBackToAllBackends excludes all but one of many backends as attempted.
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -24,7 +24,8 @@
 	firstAttemptShare = 0.5
 	// noBackendRetryAfter is the Retry-After for a service without backends.
 	noBackendRetryAfter = 1000 * time.Millisecond
-	// rejectedRetryAfter is the Retry-After of a request that no backend accepted.
+	// rejectedRetryAfter is the Retry-After of a request that no backend accepted, for example because all
+	// were full.
 	rejectedRetryAfter = 400 * time.Millisecond
 )
 
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -20,8 +20,8 @@
 	// releaseTimeout bounds the calls that free reservations and prompts.
 	releaseTimeout = 2 * time.Second
 	// maxFreeDelay is the longest time for which such a call is delayed until the backoff of its engine
-	// ends. What engines keep for a request expires by itself, reservations after 2 s on the supported
-	// deployments and prompts soon after.
+	// ends. With a longer backoff the call is not made: what engines keep for a request expires by itself,
+	// reservations after 2 s on the supported deployments and prompts soon after.
 	maxFreeDelay = 5 * time.Second
 	// reserveInterval is the pause between two rounds over all engines.
 	reserveInterval = 40 * time.Millisecond
--- a/sim/hollow/measure_test.go
+++ b/sim/hollow/measure_test.go
@@ -12,9 +12,9 @@
 	"github.com/reelrun/reelrun/sim/rehearsal"
 )
 
-// TestRoundsOfASmallFleet runs every measurement in virtual time: the figures of a
+// TestMeasureSmallFleet runs every measurement in virtual time: the figures of a
 // fleet without defects must be within its guarantees.
-func TestRoundsOfASmallFleet(t *testing.T) {
+func TestMeasureSmallFleet(t *testing.T) {
 	runtime.GC()
 	runtime.GC() // Empties the global pool of timers of yamux; see inVirtualTime in package rehearsal.
 	synctest.Test(t, func(t *testing.T) {
