--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -43,7 +43,7 @@
 func TestPicksCoverAllBackends(t *testing.T) {
 	const (
 		backends = 1350
-		picks  = 40_000
+		picks    = 40_000
 	)
 	counts := map[string]int{}
 	for _, zone := range []string{"a", "b", "c", "d", "e"} {
