--- a/claim/property_test.go
+++ b/claim/property_test.go
@@ -174,8 +174,8 @@
 	})
 }
 
-// TestOracleDetectsUndoneClaim verifies the check of atMostOnce. A late owner that works must not undo the claim
-// that its successor made; a faulty writer that removes the claims of other attempts must be detected.
+// TestOracleDetectsUndoneClaim verifies the check of atMostOnce. A late owner that works must not undo the
+// claim that its successor made; a faulty writer that removes the claims of other attempts must be detected.
 func TestOracleDetectsUndoneClaim(t *testing.T) {
 	attempts := []attempt{
 		// The first owner writes the claim and answers too late; the successor grants.
--- a/controller/engineorder/reconciler_test.go
+++ b/controller/engineorder/reconciler_test.go
@@ -140,10 +140,10 @@
 	}
 }
 
-// TestTakeoverWaitsForOrdersInFlight takes over a lease while no order is in flight. For an
+// TestTakeoverWaitsWithoutFencingTokens takes over a lease while no order is in flight. For an
 // engine that does not check fencing tokens, the new holder must still wait for the longest
 // time that an order can be in flight.
-func TestTakeoverWaitsForOrdersInFlight(t *testing.T) {
+func TestTakeoverWaitsWithoutFencingTokens(t *testing.T) {
 	for _, checksFence := range []bool{true, false} {
 		g := NewWithT(t)
 		f := newFixture(t, checksFence)
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -22,7 +22,8 @@
 	coordinatorCheckInterval = 100 * time.Millisecond
 	// syncInterval is how often a node sends all its runs to a coordinator.
 	syncInterval = time.Second
-	// endTimeout bounds the calls that report ends of runs, finished prefills and failures, and syncs.
+	// endTimeout bounds the calls that report ended runs, finished prefills and failures, and the
+	// syncs.
 	endTimeout = 300 * time.Millisecond
 	// missLimit is how many consecutive calls a coordinator may leave unanswered.
 	missLimit = 3
--- a/coordinator/shortlist_test.go
+++ b/coordinator/shortlist_test.go
@@ -86,8 +86,8 @@
 const fillingRequests = 2000
 
 // fillService assigns runs to a large service and ends random ones so that at most maxRunning
-// remain. It returns the number of rejected runs, and the load of the fullest engine relative to the
-// mean.
+// remain. It returns the number of rejected runs, and the number of runs of the fullest engine
+// relative to the mean.
 func fillService(t *testing.T, shortlist bool, maxRunning int) (rejected int, fullest float64) {
 	t.Helper()
 	const requests = fillingRequests
--- a/coordinator/wire_test.go
+++ b/coordinator/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// TestRunResultRoundTrip encodes and decodes a run result. A coordinator never receives a field
-// that the encoding loses from other nodes.
+// TestRunResultRoundTrip encodes and decodes a run result. If the encoding lost a field, the
+// coordinator would never receive it from other nodes.
 func TestRunResultRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	result := RunResult{Service: "s", ID: "run", Duration: 3500 * time.Millisecond, Output: 640, FirstEvent: 210 * time.Millisecond, RestTokens: 631, Rejection: RejectionFull}
--- a/engine/client.go
+++ b/engine/client.go
@@ -77,9 +77,9 @@
 	return streams, err
 }
 
-// Ended reports whether the engine's process is known to have terminated: the
-// connection to its address is refused. It is false if that cannot be determined
-// before the context ends.
+// Ended reports whether the engine's process is known to have terminated: nothing
+// listens at its address, so the connection is refused. It is false if that cannot be
+// determined before the context ends.
 func (c *Client) Ended(ctx context.Context, address string) bool {
 	target := url.URL{Scheme: "http", Host: address, Path: PathLoad}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), http.NoBody)
--- a/engine/dialect/dialect_test.go
+++ b/engine/dialect/dialect_test.go
@@ -209,8 +209,9 @@
 	f.expectNothingHeld(g)
 }
 
-// TestFullEngineRejects requests more tokens than an engine's memory holds. The caller must
-// get a Retry-After header, and no prefill result may be kept.
+// TestFullEngineRejects requests more tokens than an engine's memory holds. Nothing has run,
+// so the caller must get status 503 with a Retry-After header, and no prefill result may be
+// kept.
 func TestFullEngineRejects(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, time.Millisecond)
--- a/engine/dialect/generate.go
+++ b/engine/dialect/generate.go
@@ -16,8 +16,8 @@
 	"github.com/reelrun/reelrun/gateway"
 )
 
-// minPrefillOnlyTokens is the smallest MaxTokens for which a prefill engine only prefills the
-// prompt; with one token, it answers the request without a decode engine.
+// minPrefillOnlyTokens is the smallest MaxTokens for which a prefill engine only prefills
+// the prompt; with one token, it answers the request without a decode engine.
 const minPrefillOnlyTokens = 2
 
 // handle identifies a prefilled prompt: the number of its attempt and the engine's result.
@@ -62,8 +62,8 @@
 	return nil, rejection, err
 }
 
-// rejectionOf returns the response of an engine that has rejected a call, or the error of a call
-// that failed otherwise.
+// rejectionOf returns the response of an engine that has rejected a call, or the error of
+// a call that failed otherwise.
 func rejectionOf(err error) (*gateway.Answer, error) {
 	var apiErr *api.Error
 	switch {
--- a/estimate/prefill.go
+++ b/estimate/prefill.go
@@ -22,8 +22,8 @@
 	timeoutFactor = 2
 )
 
-// PrefillTime estimates the duration of prefills as a fixed part per prompt and a part per token. An
-// engine's estimate comes from its own prefills, and for an engine without any from those of all
+// PrefillTime estimates the duration of prefills as a fixed part per prompt and a part per token.
+// An engine's estimate comes from its own prefills, and for an engine without any from those of all
 // engines. The zero value uses an initial estimate. Sizes are in tokens and above zero. It is not
 // safe for concurrent use.
 type PrefillTime struct {
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -88,7 +88,7 @@
 	// unknown, if that is lightLoadEngines or more: the initial share is not more accurate than
 	// that, and in a fleet of thousands the tolerance saves hundreds of orders, each of which makes
 	// an engine unavailable for seconds. In smaller fleets every engine in the wrong role is needed
-	// in the first burst, and would change roles in the middle of it.
+	// in the other one in the first burst, and would change in the middle of it.
 	shareTolerance = 0.03
 	// A role is lightly loaded if at most lightLoad of it is busy and at least lightLoadEngines are
 	// free: another allocation would serve none of its requests sooner. The best allocation has
--- a/sim/model/compare.go
+++ b/sim/model/compare.go
@@ -71,7 +71,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// The requests have a random stream of their own, so that they are the same for all policies.
+	// The requests have their own random stream, so that they are the same for all
+	// policies.
 	const requestStream, engineStream, policyStream = 1, 2, 3
 	parameters := options.Parameters
 	rate, prefills := capacity(mix, parameters)
