--- a/router/capabilities.go
+++ b/router/capabilities.go
@@ -12,7 +12,7 @@
 // capability is a role that a build can take for the fleet. Nodes of two builds run side by side during a
 // rolling upgrade: a role is only assigned to nodes whose build supports it, because a node that does not
 // would answer each call of the role with an error. Where no supporting node is live, each node decides
-// locally, within the bound that applies then.
+// locally, within the bound that applies to this case.
 type capability string
 
 const (
@@ -69,8 +69,8 @@
 
 // hasCapability reports whether the node's build has a capability. Seeds, which are nodes without an
 // object, count as builds that list none.
-func (n knownNode) hasCapability(wanted capability) bool {
-	bit := slices.Index(ownCapabilities(), wanted)
+func (n knownNode) hasCapability(required capability) bool {
+	bit := slices.Index(ownCapabilities(), required)
 	return n.capabilities&(1<<bit) != 0
 }
 
--- a/router/capabilities_test.go
+++ b/router/capabilities_test.go
@@ -11,8 +11,8 @@
 	"github.com/reelrun/reelrun/replica"
 )
 
-// TestRolesRequireCapability has nodes of three builds: one that lists no capabilities, one that lacks
-// a capability, and one with a capability that is unknown to this build.
+// TestRolesRequireCapability checks which of three builds are eligible for each role: one that lists no
+// capabilities, one that lacks a capability, and one with a capability that is unknown to this build.
 func TestRolesRequireCapability(t *testing.T) {
 	g := NewWithT(t)
 	var nodes nodeList
--- a/router/engines.go
+++ b/router/engines.go
@@ -13,7 +13,7 @@
 	"github.com/reelrun/reelrun/placement"
 )
 
-// now returns the time by which runs, limits and crashes are measured.
+// now returns the time since the router was created, by which runs, limits and crashes are measured.
 func (r *Router) now() time.Duration { return r.options.Clock.Since(r.origin) }
 
 // handlePeer answers the calls of other nodes.
@@ -51,7 +51,7 @@
 // Candidates implements coordinator.Fleet. A node is a candidate while it has an object in the store, so that all
 // nodes agree: not before it has registered, and no longer once it has withdrawn. Nodes with little capacity are
 // no candidates, nor are nodes whose build lacks the capability. Where less than half of the fleet is responsive
-// there is no candidate, because the larger part of the fleet has another one.
+// there is no candidate, because the other, larger part of the fleet has its own.
 func (r *Router) Candidates(scope string) []coordinator.Node {
 	return r.fleet().candidates[capabilityFor(scope)]
 }
@@ -63,12 +63,12 @@
 func (r *Router) Unresponsive(address string, err error) { r.syncer.ReportFailure(address, err) }
 
 // shortlistSize is the number of engines of each role that are sampled for a request before all engines are
-// considered: so many of the whole service, and so many in the zone of the request's node.
+// considered: this many of the whole service, and as many again in the zone of the request's node.
 const shortlistSize = 48
 
-// fullScanLimit is the number of engines of a role up to which all are considered instead of a sample. If the
-// engines are full, the sample fails and all are considered in addition, and the coordinator of a full service has
-// the least time for that.
+// fullScanLimit is the number of engines of a role up to which all are considered instead of a sample. Where the
+// engines are full, a sample fails and all are considered after it; the coordinator of a full service has the least
+// time for this extra step.
 const fullScanLimit = 160
 
 // engines returns the engines of a service that accept new work.
--- a/router/fleetview.go
+++ b/router/fleetview.go
@@ -28,7 +28,7 @@
 	watchers []knownNode
 	// zoneRelays are the first responsive nodes of each zone, possibly including this one.
 	zoneRelays map[string][]knownNode
-	// candidates are the nodes that may coordinate, by the capability that their builds need.
+	// candidates are the nodes that may coordinate, by the capability that this requires.
 	candidates map[capability][]coordinator.Node
 }
 
@@ -70,8 +70,8 @@
 	}
 	view.responsiveCount++
 	if 2*len(responsive) >= inputs.nodeCount {
-		for _, wanted := range ownCapabilities() {
-			view.candidates[wanted] = strongest(responsive, wanted)
+		for _, required := range ownCapabilities() {
+			view.candidates[required] = strongest(responsive, required)
 		}
 	}
 	return view
@@ -102,25 +102,25 @@
 
 // strongest returns the nodes with a capability, except those with much less processor capacity than
 // the strongest.
-func strongest(responsive []knownNode, wanted capability) []coordinator.Node {
+func strongest(responsive []knownNode, required capability) []coordinator.Node {
 	greatest := 0.0
 	for _, node := range responsive {
-		if node.hasCapability(wanted) {
+		if node.hasCapability(required) {
 			greatest = max(greatest, node.capacity)
 		}
 	}
 	var strong []coordinator.Node
 	for _, node := range responsive {
-		if node.hasCapability(wanted) && node.capacity >= minCapacityShare*greatest {
+		if node.hasCapability(required) && node.capacity >= minCapacityShare*greatest {
 			strong = append(strong, node.Node)
 		}
 	}
 	return strong
 }
 
-// compareWatchers ranks nodes: those with the widest links watch the store first, because it sends
-// whole objects for any change in them. Nodes with equal links are ranked by a hash of their addresses,
-// which mixes the zones.
+// compareWatchers ranks nodes: those with the widest links watch the store first, because the store
+// sends a whole object for each change of it. Nodes with equal links are ranked by a hash of their
+// addresses, which mixes the zones.
 func compareWatchers(a, b knownNode) int {
 	return cmp.Or(cmp.Compare(b.linkBytes, a.linkBytes), cmp.Compare(a.addressHash, b.addressHash))
 }
--- a/router/nodes.go
+++ b/router/nodes.go
@@ -52,7 +52,7 @@
 	return l.changeCount
 }
 
-// apply adds a newer version of a node's object.
+// apply applies a newer version of a node's object.
 func (l *nodeList) apply(record replica.Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,12 +146,12 @@
 }
 
 // withCapability returns the nodes whose builds have a capability, sorted by name.
-func (l *nodeList) withCapability(wanted capability) []retrybudget.Member {
+func (l *nodeList) withCapability(required capability) []retrybudget.Member {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	var members []retrybudget.Member
 	for _, name := range slices.Sorted(maps.Keys(l.byName)) {
-		if node := l.byName[name]; node.hasCapability(wanted) {
+		if node := l.byName[name]; node.hasCapability(required) {
 			members = append(members, retrybudget.Member{Name: name, Incarnation: node.Incarnation})
 		}
 	}
--- a/router/fleet.go
+++ b/router/registration.go
@@ -62,8 +62,8 @@
 // nodeCount returns the number of known nodes, including this one.
 func (r *Router) nodeCount() int { return max(1, r.nodes.count()) }
 
-// stayRegistered writes the node's object, so that others discover it, and again if another node considered
-// this one lost and removed it.
+// stayRegistered writes the node's object, so that others discover the node, and writes it again whenever
+// another node has considered this one lost and removed the object.
 func (r *Router) stayRegistered(ctx context.Context) {
 	if !r.options.Settings.FirstStart {
 		r.awaitNodes(ctx)
@@ -117,12 +117,12 @@
 const (
 	// lostAfter is how long a node is unresponsive before its object is removed.
 	lostAfter = time.Minute
-	// removeInterval is the interval between checks for such nodes.
+	// removeInterval is the interval between checks for lost nodes.
 	removeInterval = 10 * time.Second
 )
 
-// removeLost removes the objects of lost nodes until the context ends. A single watcher does so; a removed node
-// that is still live registers again.
+// removeLost removes the objects of lost nodes until the context ends. Only the first responsive node does so; a
+// removed node that is still live registers again.
 func (r *Router) removeLost(ctx context.Context) {
 	periodic.Run(ctx, removeInterval, func(ctx context.Context) {
 		if !r.isFirst() {
@@ -179,11 +179,11 @@
 // registerAnew replaces the object that the store has, if any.
 func (r *Router) registerAnew(ctx context.Context, spec json.RawMessage) (objectapi.Object, error) {
 	store, name := r.options.Environment.Store, r.options.Settings.Name
-	known, err := store.Get(ctx, kindNode, name)
+	stored, err := store.Get(ctx, kindNode, name)
 	if err != nil && !errors.Is(err, objectapi.ErrNotFound) {
 		return objectapi.Object{}, err
 	}
-	return store.Put(ctx, objectapi.Object{Kind: kindNode, Name: name, Version: known.Version, Spec: spec})
+	return store.Put(ctx, objectapi.Object{Kind: kindNode, Name: name, Version: stored.Version, Spec: spec})
 }
 
 // withdraw removes the node's object, so that others stop calling the node.
--- a/router/reports.go
+++ b/router/reports.go
@@ -29,7 +29,7 @@
 
 // next returns the engines to poll: all for which isBusy holds, and some of the others in
 // rotation.
-func (t *reportRotation) next(engines []string, isBusy func(engine string) bool) []string {
+func (r *reportRotation) next(engines []string, isBusy func(engine string) bool) []string {
 	var polled, idle []string
 	for _, engine := range engines {
 		if isBusy(engine) {
@@ -40,14 +40,14 @@
 	}
 	count := min(idleReports, len(idle))
 	for i := range count {
-		polled = append(polled, idle[(t.offset+i)%len(idle)])
+		polled = append(polled, idle[(r.offset+i)%len(idle)])
 	}
-	t.offset += count
+	r.offset += count
 	return polled
 }
 
 // pollReports polls the decode engines that this node coordinates for the memory they use,
-// until the context ends. Their reports include the runs that nodes started which are lost by now.
+// until the context ends. Their reports include runs that were started by nodes that are now lost.
 func (r *Router) pollReports(ctx context.Context) {
 	var rotation reportRotation
 	periodic.Run(ctx, reportInterval, func(ctx context.Context) {
--- a/router/retryshares.go
+++ b/router/retryshares.go
@@ -17,7 +17,7 @@
 
 const (
 	// kindRetryShares is the kind of the object that allocates the retry budget to the nodes. It is kept in the store
-	// and exchanged between the nodes, so that no node watches it.
+	// and exchanged between the nodes, so that no node needs to watch it.
 	kindRetryShares objectapi.Kind = "retryshares"
 	// nameRetryShares is the name of that object.
 	nameRetryShares = "main"
@@ -34,7 +34,7 @@
 	isolationLimit = lostAfter / 2
 )
 
-// retryConfirmationSpec is the content of such a record.
+// retryConfirmationSpec is the content of a confirmation record.
 type retryConfirmationSpec struct {
 	// Incarnation identifies the start of the node, and Generation the newest shares that it has applied.
 	Incarnation string `json:"start"`
@@ -45,17 +45,17 @@
 // single goroutine.
 type retryShares struct {
 	holder *retrybudget.Holder
-	// known is the newest known allocation, and version that of its object.
-	known   retrybudget.Allocation
-	version int64
+	// allocation is the newest known one, and version the version of its object.
+	allocation retrybudget.Allocation
+	version    int64
 	// isolatedSince is when the node lost contact with most of the others; zero while it has contact.
 	isolatedSince time.Time
-	// missing holds, by name of a node that has a share but no object, since when it has had none.
-	missing map[string]time.Time
-	// members is the number of nodes that could have a share at the last check, and writtenAt when this node last
+	// missingSince holds, by name, the nodes that have a share but no object, and when their object was first missing.
+	missingSince map[string]time.Time
+	// memberCount is the number of nodes that could have a share at the last check, and writtenAt when this node last
 	// wrote the shares.
-	members   int
-	writtenAt time.Time
+	memberCount int
+	writtenAt   time.Time
 }
 
 // maintainRetryShares applies this node's share, and allocates the budget if this node is responsible for it,
@@ -78,15 +78,15 @@
 		if err != nil {
 			// Another writer may have corrupted the object. No node has a share until it is written again.
 			r.options.Logger.Error("retry shares rejected", "revision", record.Object.Version, "error", err.Error())
-			allocation = retrybudget.Allocation{Generation: r.retryShares.known.Generation}
+			allocation = retrybudget.Allocation{Generation: r.retryShares.allocation.Generation}
 		}
-		r.retryShares.known, r.retryShares.version = allocation, record.Object.Version
+		r.retryShares.allocation, r.retryShares.version = allocation, record.Object.Version
 	}
 }
 
 // applyRetryShare applies the node's share, and confirms it if it has become smaller.
 func (r *Router) applyRetryShare() {
-	share := r.retryShares.known.Shares[r.options.Settings.Name]
+	share := r.retryShares.allocation.Shares[r.options.Settings.Name]
 	if share.Incarnation != r.incarnation() || r.isIsolated() {
 		r.retryShares.holder.SetShare(retrybudget.Share{})
 		return
@@ -99,7 +99,7 @@
 
 // confirmRetryShare announces to the other nodes which generation this node has applied.
 func (r *Router) confirmRetryShare() {
-	generation := r.retryShares.known.Generation
+	generation := r.retryShares.allocation.Generation
 	spec, err := json.Marshal(retryConfirmationSpec{Incarnation: r.incarnation(), Generation: generation})
 	if err != nil {
 		r.options.Logger.Error("retry share not confirmed", "error", err.Error())
@@ -136,13 +136,13 @@
 	}
 	members := r.retryMembers()
 	// Nodes that start together register within a second or so. The first allocation includes all of them.
-	settling := r.retryShares.version == 0 && len(members) != r.retryShares.members
-	r.retryShares.members = len(members)
+	settling := r.retryShares.version == 0 && len(members) != r.retryShares.memberCount
+	r.retryShares.memberCount = len(members)
 	if settling || len(members) == 0 {
 		return
 	}
 	members = append(members, r.awaitedMembers(members)...)
-	next, changed := r.retryShares.known.Next(members, r.allocatedRetries())
+	next, changed := r.retryShares.allocation.Next(members, r.allocatedRetries())
 	if !changed {
 		return
 	}
@@ -183,30 +183,30 @@
 }
 
 // awaitedMembers returns the nodes that have a share but have had no object for less than lostAfter. A node that
-// restarts is absent for some seconds and then uses its share again; if others had received it, it would have to
-// wait for their confirmations and for a window.
+// restarts is absent for some seconds and then uses its share again; if others had received the share, the node
+// would have to wait for their confirmations and for a window of the budget.
 func (r *Router) awaitedMembers(present []retrybudget.Member) []retrybudget.Member {
 	now := r.options.Clock.Now()
 	isPresent := make(map[string]bool, len(present))
 	for _, member := range present {
 		isPresent[member.Name] = true
 	}
-	missing := map[string]time.Time{}
+	missingSince := map[string]time.Time{}
 	var awaited []retrybudget.Member
-	for name, share := range r.retryShares.known.Shares {
+	for name, share := range r.retryShares.allocation.Shares {
 		if isPresent[name] {
 			continue
 		}
-		since, known := r.retryShares.missing[name]
+		since, known := r.retryShares.missingSince[name]
 		if !known {
 			since = now
 		}
-		missing[name] = since
+		missingSince[name] = since
 		if now.Sub(since) < lostAfter {
 			awaited = append(awaited, retrybudget.Member{Name: name, Incarnation: share.Incarnation})
 		}
 	}
-	r.retryShares.missing = missing
+	r.retryShares.missingSince = missingSince
 	return awaited
 }
 
--- a/router/rolechange.go
+++ b/router/rolechange.go
@@ -57,7 +57,7 @@
 // other. They are not kept in the store.
 const kindRoleChange objectapi.Kind = "rolechanges"
 
-// roleChangeSpec is the content of such a record.
+// roleChangeSpec is the content of a role change record.
 type roleChangeSpec struct {
 	Engine string       `json:"engine"`
 	Role   backend.Role `json:"role"`
@@ -87,7 +87,7 @@
 	return change.Engine + "/" + strconv.FormatUint(fencingToken, 10) + "/" + string(change.Role)
 }
 
-// withdrawRole announces to all nodes that an announced order will not be given.
+// withdrawRole announces to all nodes that an announced order will not be sent.
 func (r *Router) withdrawRole(change roles.Change, fencingToken uint64) {
 	object := objectapi.Object{Kind: kindRoleChange, Name: roleChangeName(change, fencingToken), Version: versionWithdrawn}
 	r.replica.Apply(replica.SourceStore, replica.Record{Object: object, Deleted: true})
--- a/router/router.go
+++ b/router/router.go
@@ -118,7 +118,7 @@
 	roles                 *roles.Controller
 	// retryShares is the state of the retry budget's allocation.
 	retryShares retryShares
-	// started identifies this start of the node, and origin is the zero point of now.
+	// started identifies this start of the node, and origin is the time at which now is zero.
 	started time.Time
 	origin  time.Time
 	// storeCalls counts calls to the store since the last summary.
@@ -128,8 +128,8 @@
 	// traffic counts the bytes of calls to other nodes.
 	traffic  nodeTraffic
 	rejected rejectedEntries
-	// watching is set while this node watches the store, and staleness decides whether it must without being
-	// selected.
+	// watching is set while this node watches the store, and staleness decides whether it must although it is not
+	// selected as a watcher.
 	watching  atomic.Bool
 	staleness *staleness
 	// activeRevision is the revision of the object whose configuration is active.
@@ -304,8 +304,8 @@
 	return err
 }
 
-// backgroundTasks returns the tasks that run beside the servers: until a planned stop begins, or until the node
-// has drained.
+// backgroundTasks returns the tasks that run concurrently with the servers: some until a planned stop begins, the
+// others until the node has drained.
 func (r *Router) backgroundTasks(untilStop, untilDrained context.Context) []func() {
 	environment := r.options.Environment
 	tasks := []func(){
@@ -337,7 +337,7 @@
 	started := time.Now()
 	r.options.Logger.Info("stop", "grace_ms", r.options.Settings.Grace.Milliseconds())
 	r.gateway.Drain()
-	// Other nodes may receive this node's share as soon as it has withdrawn.
+	// Other nodes may receive this node's share of the retry budget as soon as it has withdrawn.
 	r.retryShares.holder.Close()
 	go r.withdraw(context.WithoutCancel(ctx))
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), started.Add(r.options.Settings.Grace-stopMargin))
--- a/router/staleness.go
+++ b/router/staleness.go
@@ -13,13 +13,13 @@
 	// staleJitter is the range by which the limits of nodes differ, so that of many nodes that are partitioned together
 	// the first watch the store and the others receive changes from them.
 	staleJitter = 600 * time.Millisecond
-	// staleWatchTime is the shortest time for which such a node watches the store. What it receives from others in that
-	// time may be its own changes.
+	// staleWatchTime is the shortest time for which a stale node watches the store. What the node receives from others
+	// in that time may be its own changes.
 	staleWatchTime = 15 * time.Second
 )
 
-// staleness decides whether a node that is not a watcher must watch the store nevertheless: the watchers may be
-// unreachable while the store and the callers are reachable. It is safe for concurrent use.
+// staleness decides whether a node that is not a watcher must watch the store all the same, because the watchers may
+// be unreachable while the store and the callers are reachable. It is safe for concurrent use.
 type staleness struct {
 	// limit is the highest acceptable age of the configuration.
 	limit time.Duration
--- a/router/staleness_test.go
+++ b/router/staleness_test.go
@@ -28,7 +28,8 @@
 	g.Expect(began).To(BeTrue())
 }
 
-// TestStaleLimitsDiffer checks the limits of many nodes.
+// TestStaleLimitsDiffer checks that nodes have different limits, so that nodes that are partitioned together do
+// not all start to watch the store at once.
 func TestStaleLimitsDiffer(t *testing.T) {
 	g := NewWithT(t)
 	limits := map[time.Duration]bool{}
--- a/router/watchers.go
+++ b/router/watchers.go
@@ -33,8 +33,8 @@
 	// milliseconds.
 	backendPause = 60 * time.Millisecond
 	// backendPauseJitter is the greatest random extension of backendPause for each other watcher. Of twelve
-	// watchers the first resumes after 85 ms on average and all after 225 ms, which takes a quarter of the calls
-	// that twelve make that all resume after 60 ms while backends keep changing.
+	// watchers the first resumes after 85 ms on average and all after 225 ms. While backends keep changing, this
+	// takes a quarter of the calls that they would make if all resumed after 60 ms.
 	backendPauseJitter = 30 * time.Millisecond
 )
 
@@ -67,15 +67,15 @@
 }
 
 // standbyWatchers is the number of nodes that monitor all watchers, in the order in which they would become
-// watchers themselves: as many as a loss of machines may take away before they are needed. All other nodes
+// watchers themselves: as many as a loss of machines may remove before they become watchers. All other nodes
 // monitor a few watchers, because a node that is monitored by the whole fleet has a connection to each node.
 const standbyWatchers = 4 * maxWatchers
 
 // watchersPerNode is the number of watchers that any other node monitors.
 const watchersPerNode = 2
 
-// monitored returns the other nodes that this one monitors: nodes that watch the store. The first of all
-// nodes monitors all others, because it removes the lost ones.
+// monitored returns the other nodes that this one monitors: nodes that watch the store. The first
+// responsive node monitors all others, because it removes the lost ones.
 func (r *Router) monitored() []string {
 	view := r.fleet()
 	switch {
@@ -91,8 +91,8 @@
 	return placement.Top(r.Own(), addressesOf(sameZone), watchersPerNode)
 }
 
-// remoteRelays returns a zone relay of each other zone. What this node receives from the store, or announces
-// itself, reaches the other zones through them.
+// remoteRelays returns a random zone relay of each other zone. What this node receives from the store, or
+// announces itself, reaches the other zones through them.
 func (r *Router) remoteRelays() []string {
 	var remoteRelays []string
 	for zone, zoneRelays := range r.fleet().zoneRelays {
--- a/router/watchstore.go
+++ b/router/watchstore.go
@@ -56,7 +56,7 @@
 	// expiryWindow is the time after a failed store call in which a missing entry may merely have expired because its
 	// backend could not renew it.
 	expiryWindow = 4 * time.Second
-	// expiryGrace is how long such an entry is still kept. Entries of live backends are back in the store about two
+	// expiryGrace is how long a missing entry is still kept. Entries of live backends are back in the store about two
 	// seconds after the failure.
 	expiryGrace = 1800 * time.Millisecond
 )
@@ -82,18 +82,18 @@
 	}
 }
 
-// longNodeList is the number of nodes that a starting node lists before it leaves the rest to others: if a thousand
-// nodes start together and each lists all, the responses take a quarter of a gigabyte. Lists of backends are left to
-// others after the first page.
+// longNodeList is the number of nodes that a starting node lists before it relies on other nodes for the rest: if a
+// thousand nodes start together and each lists all, the responses take a quarter of a gigabyte. Of the backends, it
+// lists only the first page.
 const longNodeList = 150
 
 // StoreAnswered implements objectapi.Handler.
 func (f *storeFeed) StoreAnswered(err error) { f.storeHealth.observe(f.kind, err) }
 
-// firstWatchDelay is the time from listing the other nodes to a node's first watch of the store. By then it knows
-// them, and most nodes leave the watches to a few: after a power failure of the whole fleet, each node that starts
-// watches at once makes three unnecessary calls. Changes in the meantime arrive with the watch or from other nodes,
-// well within the time that a configuration may take.
+// firstWatchDelay is the time from listing the other nodes to a node's first watch of the store. By then the node
+// knows the others, and most nodes need not watch at all: after a power failure of the whole fleet, each node that
+// starts watches at once makes three unnecessary calls. Changes during the delay arrive with the watch or from other
+// nodes, well within the time in which a configuration must reach all nodes.
 const firstWatchDelay = 1200 * time.Millisecond
 
 // BeforeWatch implements objectapi.Handler.
@@ -191,8 +191,8 @@
 	return r.started.Add(r.joinTime() + nodeListTimeout + discoveryTime)
 }
 
-// listNeighbours continues a long list of nodes with those whose names follow the node's own, and leaves the rest to
-// those nodes.
+// listNeighbours continues a long list of nodes with those whose names follow the node's own. The rest is received
+// from these nodes.
 func (r *Router) listNeighbours(ctx context.Context) {
 	if r.someNodesKnown.isSet() {
 		return
@@ -202,7 +202,7 @@
 	if pager, hasPages := r.options.Environment.Store.(objectapi.Pager); hasPages {
 		page, err := pager.ListPage(ctx, kindNode, name[:len(name)-1])
 		if err != nil {
-			r.options.Logger.Warn("nodes after the own name not listed", "error", err.Error())
+			r.options.Logger.Warn("failed to list the nodes that follow this one by name", "error", err.Error())
 		}
 		for _, object := range page.Objects {
 			r.replica.Apply(replica.SourceStore, replica.Record{Object: object})
