--- a/account/account.go
+++ b/account/account.go
@@ -282,7 +282,7 @@
 	case "role ordered":
 		return read.Engine + " ordered to " + read.Role
 	case "back end gone":
-		return read.Backend + " removed"
+		return read.Backend + " gone"
 	case "configuration in force":
 		return "configuration " + strconv.FormatInt(read.Version, 10)
 	case "start", "stop", "store lost", "store back":
--- a/account/answers.go
+++ b/account/answers.go
@@ -80,10 +80,10 @@
 }
 
 func (a *Account) writeLocalResponses(table io.Writer) {
-	row(table, "local response", "reason", "count", "after a send", "after a run", "untrue")
+	row(table, "own answer", "reason", "count", "after a send", "after a run", "untrue")
 	for _, response := range a.LocalResponses {
 		row(table, response.Status, response.Reason, response.Count, response.AfterSend, response.AfterRun, response.FalseNotRun())
 	}
-	row(table, "rejected for lack of engines while none waited and half was free", a.rejectedWhileIdle())
+	row(table, "refused for want of engines while none waited and half was free", a.rejectedWhileIdle())
 	row(table)
 }
--- a/account/plot.go
+++ b/account/plot.go
@@ -40,12 +40,12 @@
 		total := window.AllEngines()
 		point("memory, percent", float64(total.MemoryPercent))
 		point("waiting", float64(total.Waiting))
-		point("rejected in 2 s", float64(window.Total().Rejected))
+		point("refused in 2 s", float64(window.Total().Rejected))
 		point("prefill engines", float64(total.Prefill))
 		point("decode engines", float64(total.Decode))
 	}
 	lines := []any{}
-	for _, name := range []string{"memory, percent", "waiting", "rejected in 2 s", "prefill engines", "decode engines"} {
+	for _, name := range []string{"memory, percent", "waiting", "refused in 2 s", "prefill engines", "decode engines"} {
 		lines = append(lines, name, series[name])
 	}
 	if err := plotutil.AddLines(drawn, lines...); err != nil {
--- a/account/tenants.go
+++ b/account/tenants.go
@@ -32,7 +32,7 @@
 }
 
 func (a *Account) writeTenants(table io.Writer) {
-	row(table, "tenant", "asked", "in time", "late", "beyond its quota", "rejected otherwise", "failed")
+	row(table, "tenant", "asked", "in time", "late", "beyond its limit", "refused otherwise", "failed")
 	for _, name := range slices.Sorted(maps.Keys(a.Tenants)) {
 		counts := a.Tenants[name]
 		if name == "" {
--- a/account/write.go
+++ b/account/write.go
@@ -54,7 +54,7 @@
 }
 
 func (a *Account) writeUnserved(table io.Writer) {
-	row(table, "not served", "requests", "wait, mean", "p95", "longest")
+	row(table, "not served", "requests", "held, mean", "p95", "longest")
 	for _, unserved := range a.Unserved {
 		row(table, unserved.Reason, len(unserved.WaitTimes), milliseconds(unserved.Mean()), milliseconds(unserved.Quantile(p95)), milliseconds(unserved.Quantile(1)))
 	}
@@ -62,7 +62,7 @@
 }
 
 func (a *Account) writeWasted(table io.Writer) {
-	row(table, "wasted prefill", "prompts", "tokens")
+	row(table, "read for nothing", "prompts", "tokens")
 	for _, wasted := range a.WastedPrefills {
 		row(table, wasted.Cause, wasted.Prompts, wasted.Tokens)
 	}
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -41,7 +41,7 @@
 
 func TestAsError(t *testing.T) {
 	g := NewWithT(t)
-	typed := NewError(404, CodeNotFound, OutcomeNotRun, "not found")
+	typed := NewError(404, CodeNotFound, OutcomeNotRun, "gone")
 	g.Expect(AsError(errors.Wrap(typed, "outer"), OutcomeUnknown)).To(Equal(typed))
 	hidden := AsError(errors.New("address 10.0.0.1"), OutcomeUnknown)
 	g.Expect(hidden.Code).To(Equal(CodeInternal))
@@ -62,8 +62,8 @@
 	}
 	text := faulty.Validate().String()
 	for _, part := range []string{
-		`tenants[a].token_hashes[0]`, `tenants[a].classes: "missing"`, `tenants[a].weight`, `tenants[a].name: "a" is used more than once`,
-		`pools[pool].engines[e].address`, `"e" is used more than once`, `slots and kv_tokens`, `services[s].backends[b].address`,
+		`tenants[a].token_hashes[0]`, `tenants[a].classes: "missing"`, `tenants[a].weight`, `tenants[a].name: "a" stands twice`,
+		`pools[pool].engines[e].address`, `"e" stands twice`, `slots and kv_tokens`, `services[s].backends[b].address`,
 	} {
 		g.Expect(text).To(ContainSubstring(part))
 	}
--- a/api/validate.go
+++ b/api/validate.go
@@ -63,7 +63,7 @@
 		findings.Addf(place+".name", "%q is not a DNS label", name)
 	}
 	if n[name] {
-		findings.Addf(place+".name", "%q is used more than once", name)
+		findings.Addf(place+".name", "%q stands twice", name)
 	}
 	n[name] = true
 }
@@ -78,7 +78,7 @@
 		place := "classes[" + class.Name + "]"
 		seen.check(findings, place, class.Name)
 		if !models[class.Model] {
-			findings.Addf(place+".model", "no pool serves model %q", class.Model)
+			findings.Addf(place+".model", "no pool holds model %q", class.Model)
 		}
 		if class.FirstToken <= 0 {
 			findings.Addf(place+".first_token", "must be above zero")
@@ -158,7 +158,7 @@
 				findings.Addf(hashPlace, "is not a hex SHA-256 digest")
 			}
 			if other, duplicate := hashes[hash]; duplicate {
-				findings.Addf(hashPlace, "already belongs to tenant %q", other)
+				findings.Addf(hashPlace, "belongs to tenant %q already", other)
 			}
 			hashes[hash] = tenant.Name
 		}
--- a/completion/service.go
+++ b/completion/service.go
@@ -135,7 +135,7 @@
 // failure returns the API error of a run that has ended without a response.
 func (r *run) failure(ctx context.Context, err error) *api.Error {
 	if ctx.Err() != nil {
-		return api.NewError(statusClientClosedRequest, api.CodeCancelled, r.outcome(), "the caller has disconnected")
+		return api.NewError(statusClientClosedRequest, api.CodeCancelled, r.outcome(), "the caller has gone")
 	}
 	return api.AsError(err, r.outcome())
 }
--- a/configuration/head.go
+++ b/configuration/head.go
@@ -182,5 +182,5 @@
 
 // Error implements error.
 func (e *ErrConflict) Error() string {
-	return fmt.Sprintf("configuration changed from version %d to %d: %s", e.Planned, e.Current, strings.Join(e.Moved, ", "))
+	return fmt.Sprintf("configuration moved from version %d to %d: %s", e.Planned, e.Current, strings.Join(e.Moved, ", "))
 }
--- a/operator/accept.go
+++ b/operator/accept.go
@@ -27,7 +27,7 @@
 // keep serving their version of the configuration. A change may therefore only be
 // accepted at a node in contact with at least half.
 var errPartitioned = api.NewError(http.StatusServiceUnavailable, api.CodeUnavailable, api.OutcomeNotRun,
-	"this node is in contact with less than half of the fleet; confirm at a node in contact with more, or when the partition has ended").WithRetryAfter(partitionRetryAfter)
+	"this node hears less than half of the fleet; confirm through a node that hears more, or when the fleet is whole again").WithRetryAfter(partitionRetryAfter)
 
 // apiError converts an error of Accept to an error of the API.
 func apiError(err error) error {
@@ -71,7 +71,7 @@
 		return configuration.Head{}, err
 	}
 	if computed.Digest != plan.Digest {
-		return configuration.Head{}, api.NewError(http.StatusConflict, api.CodeConflict, api.OutcomeNotRun, "the digest does not match the plan")
+		return configuration.Head{}, api.NewError(http.StatusConflict, api.CodeConflict, api.OutcomeNotRun, "the digest does not fit the plan")
 	}
 	published, err := configuration.Publish(ctx, a.Store, plan.BaseVersion, plan.Digest, computed.ChangedReferences(), *next)
 	if err != nil {
--- a/sim/rehearsal/defects_test.go
+++ b/sim/rehearsal/defects_test.go
@@ -134,7 +134,7 @@
 			if r.Method == http.MethodPost && strings.HasPrefix(r.URL.Path, "/services/") {
 				discarded := &discardingWriter{header: http.Header{}}
 				next.ServeHTTP(discarded, r)
-				api.NewError(http.StatusServiceUnavailable, api.CodeNoCapacity, api.OutcomeNotRun, "false rejection").WriteHTTP(w)
+				api.NewError(http.StatusServiceUnavailable, api.CodeNoCapacity, api.OutcomeNotRun, "said falsely").WriteHTTP(w)
 				return
 			}
 			next.ServeHTTP(w, r)
