--- a/admission/client.go
+++ b/admission/client.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// ErrNotReport is returned for a peer request that is not a load report.
+// ErrNotReport is returned for a peer request other than a load report.
 var ErrNotReport = errors.New("admission: not a report")
 
 // Handle answers the report of another node.
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -23,21 +23,22 @@
 	replanInterval = 50 * time.Millisecond
 	// reportLifetime is how long a node's last report counts. A node that fails sends no final report.
 	reportLifetime = 2500 * time.Millisecond
-	// busyUtilization is the utilization of a backend from which nodes report at the interval for load.
+	// busyUtilization is the utilization of a backend from which nodes report more often than at normalInterval.
 	busyUtilization = 0.8
-	// overloadUtilization is the mean utilization from which requests may be rejected. At 0.8 of what backends
-	// can do, chosen by weight alone, it is about 1; rejecting requests below this threshold has no benefit.
+	// overloadUtilization is the mean utilization from which requests may be rejected. With backends chosen by
+	// weight alone, a load of 0.8 of their capacity already gives a mean utilization of about 1; rejecting
+	// requests below this threshold has no benefit.
 	overloadUtilization = 1.5
 	// notableUtilization is the utilization from which a plan lists a backend.
 	notableUtilization = 0.5
 	// maxNamedBackends bounds the backends that a plan lists. In a service of a thousand backends with few
-	// requests each, all seem to differ, and plans that listed them all would grow with the service, for each
-	// node and second.
+	// requests each, all seem to differ. Plans that listed all of them would grow with the service, and each
+	// node receives one every second.
 	maxNamedBackends = 32
 	// notableWeightDeviation is the difference of a weight from 1 from which a plan lists a backend.
 	notableWeightDeviation = 0.1
 	// minRetryAfter and maxRetryAfter bound the delay that rejected callers are given. The minimum is above the
-	// age of a plan, the maximum above what callers wait.
+	// age of a plan, the maximum above the time that callers wait.
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
@@ -121,10 +122,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	states := map[string]State{}
-	for name, known := range c.services {
-		if now-known.plannedAt <= reportLifetime && known.plan.Interval < normalInterval {
+	for name, state := range c.services {
+		if now-state.plannedAt <= reportLifetime && state.plan.Interval < normalInterval {
 			states[name] = State{
-				Plan: known.plan, Offered: known.offered, Capacity: known.capacity, Utilization: known.utilization, Holders: len(known.reports),
+				Plan: state.plan, Offered: state.offered, Capacity: state.capacity, Utilization: state.utilization, Holders: len(state.reports),
 			}
 		}
 	}
@@ -143,18 +144,18 @@
 	capacity, shareSum := 0.0, 0.0
 	for _, id := range slices.Sorted(maps.Keys(slots)) {
 		slotCount := float64(max(1, slots[id]))
-		seen := sum.backends[id]
-		if seen == nil {
-			seen = &backendTotals{}
+		observed := sum.backends[id]
+		if observed == nil {
+			observed = &backendTotals{}
 		}
 		model := s.model(id)
-		model.observe(*seen, slotCount, weight)
-		utilization[id] = seen.load(slotCount) / slotCount
+		model.observe(*observed, slotCount, weight)
+		utilization[id] = observed.load(slotCount) / slotCount
 		if model.perRequest > 0 {
-			rate := model.rate(*seen, slotCount, sum.objective)
+			rate := model.rate(*observed, slotCount, sum.objective)
 			capacity += rate
 			// Squared because a request that fails at one backend may be answered by another.
-			successFactor := (1 - model.failing) * (1 - model.failing)
+			successFactor := (1 - model.failureRate) * (1 - model.failureRate)
 			shares[id] = rate * max(minCapacityShare, successFactor)
 			shareSum += shares[id]
 		}
@@ -164,16 +165,16 @@
 			delete(s.backends, id)
 		}
 	}
-	known := float64(len(shares))
-	if known == 0 {
+	modelled := float64(len(shares))
+	if modelled == 0 {
 		s.plan = admitAllPlan()
 		return
 	}
-	// A backend without data counts as an average one.
-	s.capacity = capacity / known * float64(len(slots)) / s.upstreamRetries.perRequest()
+	// A backend without data counts with the mean capacity of the others.
+	s.capacity = capacity / modelled * float64(len(slots)) / s.upstreamRetries.perRequest()
 	s.offered, s.utilization = sum.firstAttempts+sum.retries, meanOf(utilization)
 	s.admit(now, sum)
-	s.weigh(shares, utilization, shareSum/known, nodes)
+	s.weigh(shares, utilization, shareSum/modelled, nodes)
 }
 
 // meanOf returns the mean of the values.
@@ -187,12 +188,12 @@
 
 // model returns the model of a backend, which it creates if needed.
 func (s *serviceState) model(id string) *backendModel {
-	known := s.backends[id]
-	if known == nil {
-		known = &backendModel{}
-		s.backends[id] = known
+	model := s.backends[id]
+	if model == nil {
+		model = &backendModel{}
+		s.backends[id] = model
 	}
-	return known
+	return model
 }
 
 // admit sets the admitted shares: first attempts before client retries, because only a first attempt can still
@@ -225,7 +226,7 @@
 	maxUtilization := 0.0
 	for _, id := range slices.Sorted(maps.Keys(utilization)) {
 		current, weight := utilization[id], 1.0
-		if share, known := shares[id]; known {
+		if share, modelled := shares[id]; modelled {
 			weight = share / mean
 		}
 		maxUtilization = max(maxUtilization, current)
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -9,8 +9,8 @@
 	"github.com/reelrun/reelrun/admission"
 )
 
-// TestStalledBackendRecovers has one of two backends answer nothing for 5 s. It gets less meanwhile, and at
-// least half as much as the other one 2 s after it works again.
+// TestStalledBackendRecovers checks that a backend that answers nothing for 5 s gets less than 0.3 of the
+// mean load, and more than half of it 2 s after it works again.
 func TestStalledBackendRecovers(t *testing.T) {
 	g := NewWithT(t)
 	const interval = 100 * time.Millisecond
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -52,24 +52,24 @@
 
 // Put applies a plan.
 func (g *Gate) Put(now time.Duration, service string, plan Plan) {
-	held := receivedPlan{plan: plan, at: now, backends: make(map[string]BackendPlan, len(plan.Backends))}
+	received := receivedPlan{plan: plan, at: now, backends: make(map[string]BackendPlan, len(plan.Backends))}
 	for _, described := range plan.Backends {
-		held.backends[described.ID] = described
+		received.backends[described.ID] = described
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.plans[service] = held
+	g.plans[service] = received
 }
 
 // plan returns the active plan, or one that admits everything.
 func (g *Gate) plan(now time.Duration, service string) receivedPlan {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	held, known := g.plans[service]
-	if !known || now-held.at > planLifetime {
+	received, found := g.plans[service]
+	if !found || now-received.at > planLifetime {
 		return receivedPlan{plan: admitAllPlan()}
 	}
-	return held
+	return received
 }
 
 // Interval returns how often the node reports on a service.
@@ -79,16 +79,16 @@
 
 // Admit decides on a request; retry is set for a client retry.
 func (g *Gate) Admit(now time.Duration, service string, retry bool, random Random) Decision {
-	held := g.plan(now, service)
-	share := held.plan.FirstAttempts
+	received := g.plan(now, service)
+	share := received.plan.FirstAttempts
 	if retry {
-		share = held.plan.Retries
+		share = received.plan.Retries
 	}
 	if share >= 1 || random() < share {
-		return Decision{Admitted: true, Share: share, PlanAge: now - held.at}
+		return Decision{Admitted: true, Share: share, PlanAge: now - received.at}
 	}
 	jitter := 1 - retryAfterJitter + 2*retryAfterJitter*random()
-	return Decision{RetryAfter: time.Duration(float64(held.plan.RetryAfter) * jitter), Share: share, PlanAge: now - held.at}
+	return Decision{RetryAfter: time.Duration(float64(received.plan.RetryAfter) * jitter), Share: share, PlanAge: now - received.at}
 }
 
 // Candidate is a backend that a request may be sent to, as its node sees it.
@@ -111,12 +111,12 @@
 // the one with fewer requests in flight from this node: with a fixed order, all nodes that have the same plan
 // would choose the same backend.
 func (g *Gate) Choose(now time.Duration, service string, candidates []Candidate, random Random) int {
-	held := g.plan(now, service)
+	received := g.plan(now, service)
 	weights := make([]float64, len(candidates))
 	for i, candidate := range candidates {
-		weights[i] = held.weight(candidate)
+		weights[i] = received.weight(candidate)
 	}
-	isLocal := random() < held.localShare(candidates, weights)
+	isLocal := random() < received.localShare(candidates, weights)
 	for i, candidate := range candidates {
 		if isLocal && !candidate.SameZone || !isLocal && candidate.ZoneOnly {
 			weights[i] = 0
@@ -130,9 +130,9 @@
 }
 
 // weight returns the weight of a backend by the plan and by this node's own recent requests.
-func (h receivedPlan) weight(candidate Candidate) float64 {
+func (p receivedPlan) weight(candidate Candidate) float64 {
 	weight := 1.0
-	if described, known := h.backends[candidate.ID]; known {
+	if described, listed := p.backends[candidate.ID]; listed {
 		weight = described.Weight
 	}
 	successRate := 1 - candidate.FailureRate
@@ -144,21 +144,21 @@
 }
 
 // utilization returns the utilization of a backend by the plan.
-func (h receivedPlan) utilization(id string) float64 {
-	if described, known := h.backends[id]; known {
+func (p receivedPlan) utilization(id string) float64 {
+	if described, listed := p.backends[id]; listed {
 		return described.Utilization
 	}
-	return h.plan.RestUtilization
+	return p.plan.RestUtilization
 }
 
 // localShare returns the probability that a request stays in its zone: 1 while the backends there are less than
 // half utilized and as healthy as usual, 0 when they are full.
-func (h receivedPlan) localShare(candidates []Candidate, weights []float64) float64 {
+func (p receivedPlan) localShare(candidates []Candidate, weights []float64) float64 {
 	count, utilization, weight := 0, 0.0, 0.0
 	for i, candidate := range candidates {
 		if candidate.SameZone {
 			count++
-			utilization += h.utilization(candidate.ID)
+			utilization += p.utilization(candidate.ID)
 			weight += weights[i]
 		}
 	}
--- a/admission/meter.go
+++ b/admission/meter.go
@@ -34,38 +34,38 @@
 
 // service returns the counts of a service; the lock is held.
 func (m *Meter) service(now time.Duration, name string) *serviceMeter {
-	known := m.services[name]
-	if known == nil {
-		known = &serviceMeter{since: now, backends: map[string]*BackendCounts{}}
-		m.services[name] = known
+	meter := m.services[name]
+	if meter == nil {
+		meter = &serviceMeter{since: now, backends: map[string]*BackendCounts{}}
+		m.services[name] = meter
 	}
-	return known
+	return meter
 }
 
 func (s *serviceMeter) backend(id string) *BackendCounts {
-	known := s.backends[id]
-	if known == nil {
-		known = &BackendCounts{ID: id}
-		s.backends[id] = known
+	counts := s.backends[id]
+	if counts == nil {
+		counts = &BackendCounts{ID: id}
+		s.backends[id] = counts
 	}
-	return known
+	return counts
 }
 
 // Offered counts a caller's request, admitted or not.
 func (m *Meter) Offered(now time.Duration, service string, objective time.Duration, retry, admitted bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	known := m.service(now, service)
+	meter := m.service(now, service)
 	if retry {
-		known.retries++
+		meter.retries++
 	} else {
-		known.firstAttempts++
+		meter.firstAttempts++
 	}
 	if admitted {
-		known.admitted++
+		meter.admitted++
 	}
-	if objective > 0 && (known.objective == 0 || objective < known.objective) {
-		known.objective = objective
+	if objective > 0 && (meter.objective == 0 || objective < meter.objective) {
+		meter.objective = objective
 	}
 }
 
@@ -107,20 +107,20 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var due []Report
-	for name, counted := range m.services {
-		since, usual := now-counted.since, interval(name)
-		if counted.urgent {
-			usual = max(busyInterval, usual/2) //nolint:mnd // half
+	for name, meter := range m.services {
+		since, reportInterval := now-meter.since, interval(name)
+		if meter.urgent {
+			reportInterval = max(busyInterval, reportInterval/2) //nolint:mnd // half
 		}
-		if since < usual {
+		if since < reportInterval {
 			continue
 		}
-		report := counted.report(name, m.holder, since)
+		report := meter.report(name, m.holder, since)
 		empty := report.FirstAttempts+report.Retries+len(report.Backends) == 0
-		if !empty || counted.reported {
+		if !empty || meter.reported {
 			due = append(due, report)
 		}
-		counted.begin(now, !empty)
+		meter.begin(now, !empty)
 	}
 	sort.Slice(due, func(i, j int) bool { return due[i].Service < due[j].Service })
 	return due
--- a/admission/model.go
+++ b/admission/model.go
@@ -16,67 +16,67 @@
 	// failing one is noticed.
 	minCapacityShare = 0.02
 	// idleLoad and queuedLoad bound, as multiples of the slots, the loads between which a backend is at times
-	// idle and at times has a queue. Between them a request seems to occupy its slot for up to a quarter longer
-	// than it does, so that only shorter times are learned.
+	// idle and at times has a queue. Between them, the measured time per request is up to a quarter too long, so
+	// that only a time shorter than the current estimate is used.
 	idleLoad   = 0.7
 	queuedLoad = 1.8
-	// stalledFactor is how much slower than before a backend that answers nothing is assumed to be: little
-	// enough that it is used again a second after it answers.
+	// stalledFactor is how much slower than before a backend that answers nothing is assumed to be: small
+	// enough that the backend is used again one second after it answers.
 	stalledFactor = 8
 )
 
 // backendModel is the learned model of one backend.
 type backendModel struct {
 	// perRequest is the estimated time in seconds for which a request occupies a slot now; zero if unknown.
-	// answered is the last estimate from requests that ended, without the increase for a stalled backend.
-	perRequest, answered float64
-	// failing is the share of the requests that fail, or are rejected while slots are free.
-	failing float64
+	// measured is the same without the increase for a stalled backend: it changes only when requests end.
+	perRequest, measured float64
+	// failureRate is the share of the requests that fail, or are rejected while slots are free.
+	failureRate float64
 }
 
 // observe updates the model from the totals since the last plan, with a weight from 0 to 1.
-func (m *backendModel) observe(seen backendTotals, slots, weight float64) {
-	busy := min(seen.busy, slots)
-	if seen.pending >= slots {
+func (m *backendModel) observe(observed backendTotals, slots, weight float64) {
+	busy := min(observed.busy, slots)
+	if observed.pending >= slots {
 		busy = slots
 	}
 	switch {
-	case seen.ended() > 0 && busy > 0:
+	case observed.ended() > 0 && busy > 0:
 		// By the utilization law, a slot is occupied for the number of busy slots over the rate at which
 		// requests end, however long the queue is.
-		perRequest, utilization := busy/seen.ended(), seen.load(slots)/slots
+		perRequest, utilization := busy/observed.ended(), observed.load(slots)/slots
 		if utilization <= idleLoad || utilization >= queuedLoad || perRequest < m.perRequest {
 			m.perRequest = smoothed(m.perRequest, perRequest, weight)
-			m.answered = smoothed(m.answered, perRequest, weight)
+			m.measured = smoothed(m.measured, perRequest, weight)
 		}
-	case seen.ended() == 0 && seen.pending >= slots && m.perRequest > 0:
-		m.perRequest = smoothed(m.perRequest, stalledFactor*m.answered, weight)
+	case observed.ended() == 0 && observed.pending >= slots && m.perRequest > 0:
+		m.perRequest = smoothed(m.perRequest, stalledFactor*m.measured, weight)
 	}
-	failures := seen.failed
-	if seen.pending < slots {
+	failures := observed.failed
+	if observed.pending < slots {
 		// A backend that rejects requests while it has free slots is faulty.
-		failures += seen.rejected
+		failures += observed.rejected
 	}
 	share := 0.0
-	if all := failures + seen.answered; all > 0 {
+	if all := failures + observed.answered; all > 0 {
 		share = failures / all
 	}
-	m.failing += weight * (share - m.failing)
+	m.failureRate += weight * (share - m.failureRate)
 }
 
 // smoothed returns a value moved towards an observation; zero is an unknown value.
-func smoothed(value, seen, weight float64) float64 {
+func smoothed(value, observed, weight float64) float64 {
 	if value == 0 {
-		return seen
+		return observed
 	}
-	return value + weight*(seen-value)
+	return value + weight*(observed-value)
 }
 
 // rate returns the requests a second that a backend should receive: its capacity, corrected by the distance of
 // its queue from the target length.
-func (m *backendModel) rate(seen backendTotals, slots float64, objective time.Duration) float64 {
+func (m *backendModel) rate(observed backendTotals, slots float64, objective time.Duration) float64 {
 	capacity := slots / m.perRequest
 	target := slots + capacity*queueShare*objective.Seconds()
-	wanted := capacity + (target-seen.load(slots))/correctionTime.Seconds()
-	return max(wanted, minCapacityShare*capacity)
+	corrected := capacity + (target-observed.load(slots))/correctionTime.Seconds()
+	return max(corrected, minCapacityShare*capacity)
 }
--- a/admission/named_test.go
+++ b/admission/plan_size_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestPlanSizeIsBounded checks that plans for 1,350 and 2,700 backends, which each node gets once a second,
-// have the same size and list the backends that other nodes have to know of.
+// have the same bound on their size and list the failing and the queueing backend.
 func TestPlanSizeIsBounded(t *testing.T) {
 	for _, count := range []int{1350, 2700} {
 		g := NewWithT(t)
--- a/admission/replay_test.go
+++ b/admission/replay_test.go
@@ -32,7 +32,7 @@
 	backends int
 	// ungated makes nodes send each request to any backend, and admit all.
 	ungated bool
-	// rate is the requests a second, burst those during the burst.
+	// rate is the number of requests a second, burst that during the burst.
 	rate, burst float64
 	// slowness multiplies the first backend's run time; failing is the share of its requests that it answers
 	// with a failure.
@@ -332,8 +332,8 @@
 	}
 }
 
-// TestFailingBackend checks that all nodes avoid a backend that fails most of its requests immediately, though
-// each has seen few of the failures.
+// TestFailingBackend checks that all nodes avoid a backend that fails most of its requests, although each node
+// has seen few of the failures.
 func TestFailingBackend(t *testing.T) {
 	for _, nodes := range extremes {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -22,31 +22,32 @@
 	backends                         map[string]*backendTotals
 }
 
-// backendTotals is the part of one backend.
+// backendTotals holds the totals of one backend.
 type backendTotals struct {
+	// answered, failed and rejected are requests a second.
 	answered, failed, rejected float64
-	// busy is the mean number of requests it had, and pending the number it has now.
+	// busy is the mean number of requests in flight there, and pending the current number.
 	busy, pending float64
 }
 
-// totals adds up the last reports of all nodes. Each gives rates over its own interval.
+// totals adds up the last reports of all nodes. The counts of each are divided by its own interval.
 func (s *serviceState) totals(now time.Duration) totals {
 	sum := totals{backends: map[string]*backendTotals{}}
 	// A fixed order, because a floating-point sum depends on it.
 	for _, holder := range slices.Sorted(maps.Keys(s.reports)) {
-		held := s.reports[holder]
-		if now-held.at > reportLifetime {
+		received := s.reports[holder]
+		if now-received.at > reportLifetime {
 			delete(s.reports, holder)
 			continue
 		}
-		seconds := max(held.report.Interval, busyInterval/2).Seconds()
-		sum.firstAttempts += float64(held.report.FirstAttempts) / seconds
-		sum.retries += float64(held.report.Retries) / seconds
-		sum.admitted += float64(held.report.Admitted) / seconds
-		if objective := held.report.Objective; objective > 0 && (sum.objective == 0 || objective < sum.objective) {
+		seconds := max(received.report.Interval, busyInterval/2).Seconds()
+		sum.firstAttempts += float64(received.report.FirstAttempts) / seconds
+		sum.retries += float64(received.report.Retries) / seconds
+		sum.admitted += float64(received.report.Admitted) / seconds
+		if objective := received.report.Objective; objective > 0 && (sum.objective == 0 || objective < sum.objective) {
 			sum.objective = objective
 		}
-		for _, counts := range held.report.Backends {
+		for _, counts := range received.report.Backends {
 			sum.add(counts, seconds)
 		}
 	}
@@ -85,20 +86,20 @@
 
 // add adds a node's counts of a backend.
 func (t *totals) add(counts BackendCounts, seconds float64) {
-	known := t.backends[counts.ID]
-	if known == nil {
-		known = &backendTotals{}
-		t.backends[counts.ID] = known
+	backend := t.backends[counts.ID]
+	if backend == nil {
+		backend = &backendTotals{}
+		t.backends[counts.ID] = backend
 	}
-	known.answered += float64(counts.Answered) / seconds
-	known.failed += float64(counts.Failed) / seconds
-	known.rejected += float64(counts.Rejected) / seconds
-	known.busy += counts.Busy.Seconds() / seconds
-	known.pending += float64(counts.Pending)
+	backend.answered += float64(counts.Answered) / seconds
+	backend.failed += float64(counts.Failed) / seconds
+	backend.rejected += float64(counts.Rejected) / seconds
+	backend.busy += counts.Busy.Seconds() / seconds
+	backend.pending += float64(counts.Pending)
 }
 
-// load returns the number of requests at a backend: the mean, or the current one if that is not below its
-// slots.
+// load returns the number of requests at a backend: the mean number, or the current one if that is higher and
+// fills its slots.
 func (t backendTotals) load(slots float64) float64 {
 	if t.pending >= slots {
 		return max(t.pending, t.busy)
@@ -106,5 +107,5 @@
 	return t.busy
 }
 
-// ended returns how many requests a second end there, answered or not.
+// ended returns how many requests a second end at the backend, answered or not.
 func (t backendTotals) ended() float64 { return t.answered + t.failed }
--- a/admission/wire_test.go
+++ b/admission/wire_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestReportAndPlanRoundTrip encodes and decodes each field.
+// TestReportAndPlanRoundTrip checks that encoding and decoding preserves each field.
 func TestReportAndPlanRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	report := Report{
