--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -10,8 +10,9 @@
 // bucket is a token bucket whose limit may change. Its level may be negative: usage without a grant is a debt
 // that is paid before anything else is granted.
 type bucket struct {
-	level float64
-	at    time.Duration
+	// level is the number of units that may be used, as of updatedAt.
+	level     float64
+	updatedAt time.Duration
 	// limit is the limit at the last update of the level.
 	limit tenant.Quota
 	// share is the share of the limit at the last update.
@@ -20,12 +21,12 @@
 	elsewhere decayingSum
 }
 
-// newBucket returns the full bucket of a share of a limit. If coordinators are lost with all that nodes know of
-// them, a tenant may use its burst once more: with a half-full bucket, the first requests of tenants below
-// their limit are rejected three times as often (0.3 % in a replay of 27 seconds), and the tolerance of the
-// limits covers the excess.
+// newBucket returns the full bucket of a share of a limit. After the loss of a coordinator and of the nodes'
+// records of its grants, a tenant can therefore use its burst a second time. The tolerance of the limits covers
+// this excess. With a half-full bucket, the first requests of tenants below their limit would be rejected three
+// times as often (0.3 % in a replay of 27 seconds).
 func newBucket(now time.Duration, limit tenant.Quota, share float64) *bucket {
-	return &bucket{level: limit.Burst * share, at: now, limit: limit, share: share}
+	return &bucket{level: limit.Burst * share, updatedAt: now, limit: limit, share: share}
 }
 
 // refill updates the level to the current time, limit and share (from 0 to 1).
@@ -36,12 +37,12 @@
 	}
 	b.limit = limit
 	if share > b.share {
-		// Nodes that join bring their share of the credit, as far as it is unused.
+		// Nodes that join add their share of the credit, less what the tenant has used of it elsewhere.
 		b.level = min(b.level+limit.Burst*(share-b.share), limit.Burst*share*b.unusedBurst(now))
 	}
 	b.share = share
-	b.level = min(b.level+limit.Rate*share*(now-b.at).Seconds(), limit.Burst*share)
-	b.at = now
+	b.level = min(b.level+limit.Rate*share*(now-b.updatedAt).Seconds(), limit.Burst*share)
+	b.updatedAt = now
 }
 
 // unusedBurst returns the fraction of the burst that remains after what other coordinators granted recently:
@@ -52,7 +53,7 @@
 }
 
 // take takes units if the level suffices. A request above the whole burst is granted by a full bucket:
-// otherwise it could never be served.
+// otherwise, such a request could never be served.
 func (b *bucket) take(units, share float64) bool {
 	if b.level < min(units, b.limit.Burst*share) {
 		return false
--- a/quota/coordinator.go
+++ b/quota/coordinator.go
@@ -9,10 +9,11 @@
 
 const (
 	// presenceLifetime is how long a node belongs to a coordinator after its last call. Nodes call every half
-	// second. Until it expires, the share of nodes that a network partition separated is granted twice.
+	// second. Until this time has passed, the share of nodes that a network partition has separated is granted
+	// twice.
 	presenceLifetime = 800 * time.Millisecond
 	// aboveUsualLevel is the fraction of its burst below which a tenant counts as above its usual rate. A
-	// tenant at its usual rate, 0.55 of its limit, has a full bucket but for a few requests.
+	// tenant at its usual rate, 0.55 of its limit, has a bucket that lacks only the cost of a few requests.
 	aboveUsualLevel = 0.25
 	// fullShare is the fraction of the nodes that counts as all of them: the limits' own tolerance (a tenth on
 	// the supported deployments) covers what the others may use.
@@ -25,19 +26,19 @@
 type Charge struct {
 	// Tenant is the name of the tenant; empty if a node only registers with the coordinator.
 	Tenant string
-	// Holder is the address of the node that asks.
+	// Holder is the address of the calling node.
 	Holder string
 	// Units is the cost of the request.
 	Units float64
-	// Usages is what the coordinator has no record of, of this tenant or several.
+	// Usages holds the usage that the coordinator has no record of; it may be that of several tenants.
 	Usages []Usage
 }
 
 // Usage is what a node has used of a tenant's limit without a grant of the coordinator that it reports to.
 type Usage struct {
 	Tenant string
-	// Unreported is what was used without asking, while no coordinator answered. It is negative for refunds of
-	// requests that did not run.
+	// Unreported is what was used without a call to a coordinator, while none answered. It is negative for
+	// refunds of requests that did not run.
 	Unreported float64
 	// Recent is what another coordinator granted recently, as a sum that decays with recentTime. It is reported
 	// once, by a node that has changed its coordinator.
@@ -106,11 +107,11 @@
 	if !found.Quota.Limited() {
 		return Grant{Granted: true, TenantKnown: true}
 	}
-	held, share := c.current(now, found), c.currentShare(now)
-	if held.take(charge.Units, share) {
-		return Grant{Granted: true, TenantKnown: true, Level: held.level, AboveUsual: held.level < aboveUsualLevel*held.limit.Burst*share}
+	current, share := c.current(now, found), c.currentShare(now)
+	if current.take(charge.Units, share) {
+		return Grant{Granted: true, TenantKnown: true, Level: current.level, AboveUsual: current.level < aboveUsualLevel*current.limit.Burst*share}
 	}
-	return Grant{TenantKnown: true, Level: held.level, RetryAfter: held.wait(charge.Units, share)}
+	return Grant{TenantKnown: true, Level: current.level, RetryAfter: current.wait(charge.Units, share)}
 }
 
 // addUsage records usage without this coordinator's grant; the lock is held.
@@ -119,21 +120,21 @@
 	if found == nil || !found.Quota.Limited() {
 		return
 	}
-	held := c.current(now, found)
-	held.level = min(held.level-usage.Unreported, held.limit.Burst*c.currentShare(now))
-	held.grantedElsewhere(now, usage.Recent)
+	current := c.current(now, found)
+	current.level = min(current.level-usage.Unreported, current.limit.Burst*c.currentShare(now))
+	current.grantedElsewhere(now, usage.Recent)
 }
 
 // current returns the bucket of a tenant, refilled; the lock is held.
 func (c *Coordinator) current(now time.Duration, found *tenant.Tenant) *bucket {
 	share, limit := c.currentShare(now), c.options.Tolerance.limit(found.Quota)
-	held := c.buckets[found.Name]
-	if held == nil {
-		held = newBucket(now, limit, share)
-		c.buckets[found.Name] = held
+	current := c.buckets[found.Name]
+	if current == nil {
+		current = newBucket(now, limit, share)
+		c.buckets[found.Name] = current
 	}
-	held.refill(now, limit, share)
-	return held
+	current.refill(now, limit, share)
+	return current
 }
 
 // currentShare returns the share of each limit that belongs to the nodes that called recently; the lock is
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -9,7 +9,7 @@
 // No node may use a part of a limit that another one may use at the same time: a coordinator grants only the
 // share of each limit that belongs to the nodes that have called it recently, and a node that reaches no
 // coordinator uses a single node's equal share, and reports that to the next coordinator it reaches. If both
-// sides of a partition choose a coordinator, the two together grant one limit.
+// sides of a partition choose a coordinator, the two together grant no more than one limit.
 //
 // Coordinator decides on charges, and LocalLimiter on those that reach no coordinator. Neither does I/O. Client
 // carries charges between nodes.
--- a/quota/local.go
+++ b/quota/local.go
@@ -82,7 +82,7 @@
 	return granted
 }
 
-// AddUnreported adds units that were used without asking a coordinator, or refunded if negative.
+// AddUnreported adds units that were used without a call to a coordinator, or refunded if negative.
 func (l *LocalLimiter) AddUnreported(name string, units float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,7 +116,7 @@
 	return usages
 }
 
-// RestoreUnreported adds usage whose report was not answered.
+// RestoreUnreported adds usage back whose report was not answered.
 func (l *LocalLimiter) RestoreUnreported(usages []Usage) {
 	for _, usage := range usages {
 		l.AddUnreported(usage.Tenant, usage.Unreported)
--- a/quota/recent.go
+++ b/quota/recent.go
@@ -15,8 +15,8 @@
 )
 
 // recentUsage is what coordinators have granted to one node recently, by tenant. A new coordinator has no
-// record of it, and one that a node returns to only of its own grants: a tenant could use its burst at each of
-// them. It is safe for concurrent use.
+// record of it, and a coordinator that the node returns to has a record of its own grants only. Without this sum,
+// a tenant could use its burst at each coordinator. It is safe for concurrent use.
 type recentUsage struct {
 	mu       sync.Mutex
 	byTenant map[string]decayingSum
--- a/quota/replay_test.go
+++ b/quota/replay_test.go
@@ -13,7 +13,7 @@
 	"github.com/reelrun/reelrun/tenant"
 )
 
-// Parameters of the replays: those of the supported deployments, where these set them.
+// Parameters of the replays: those of the supported deployments, if the deployments specify them.
 const (
 	replayRate         = 60_000.0
 	replayWindow       = 8 * time.Second
@@ -38,13 +38,14 @@
 	local        []*LocalLimiter
 	// coordinatorOf is the coordinator that each node calls; negative for none.
 	coordinatorOf []int
-	// grantedBy is the coordinator whose grants recent holds.
+	// grantedBy is the coordinator that each node called last, negative for none; recent holds its grants.
 	grantedBy []int
 	recent    []*recentUsage
 	// answeredAt is when each node last had a response of a coordinator.
 	answeredAt []time.Duration
-	presentAt  []time.Duration
-	now        time.Duration
+	// presentAt is when each node last registered with its coordinator.
+	presentAt []time.Duration
+	now       time.Duration
 	// used holds each tenant's usage, by step.
 	used [][]float64
 	// requests counts the requests by tenant, rejected those that were rejected.
@@ -141,7 +142,7 @@
 // poisson draws a Poisson-distributed number of requests.
 func (r *replay) poisson(expected float64) int {
 	count := 0
-	for left := expected - r.random.ExpFloat64(); left > 0; left -= r.random.ExpFloat64() {
+	for remaining := expected - r.random.ExpFloat64(); remaining > 0; remaining -= r.random.ExpFloat64() {
 		count++
 	}
 	return count
@@ -155,15 +156,15 @@
 
 // worstOvershoot returns a tenant's excess in its worst window, as a fraction of what is allowed; negative if
 // it never exceeded it.
-func (r *replay) worstOvershoot(of int) float64 {
+func (r *replay) worstOvershoot(index int) float64 {
 	steps := int(replayWindow / replayStep)
-	limit := r.tenants[of].Quota
+	limit := r.tenants[index].Quota
 	allowed := limit.Rate*replayWindow.Seconds() + limit.Burst
 	worst, sum := 0.0, 0.0
-	for i, used := range r.used[of] {
+	for i, used := range r.used[index] {
 		sum += used
 		if i >= steps {
-			sum -= r.used[of][i-steps]
+			sum -= r.used[index][i-steps]
 		}
 		worst = max(worst, sum)
 	}
@@ -180,8 +181,8 @@
 }
 
 // hotFirst makes the first tenant send many times its usual load, and the others theirs.
-func hotFirst(of int) float64 {
-	if of == 0 {
+func hotFirst(index int) float64 {
+	if index == 0 {
 		return hotFactor
 	}
 	return 1
@@ -252,7 +253,7 @@
 	})
 }
 
-// TestLimitChangeAppliesImmediately lowers a limit far below what the tenant sends, and raises it again.
+// TestLimitChangeAppliesImmediately lowers a limit far below the load of its tenant, and raises it again.
 func TestLimitChangeAppliesImmediately(t *testing.T) {
 	g := NewWithT(t)
 	limited := &tenant.Tenant{Name: "a", Quota: tenant.Quota{Rate: 1000, Burst: 1000}}
@@ -274,7 +275,7 @@
 	g.Expect(take(10*time.Second)).To(BeTrue(), "a higher limit applies immediately")
 }
 
-// TestRefund charges, refunds, and charges again.
+// TestRefund checks that refunded units can be used again.
 func TestRefund(t *testing.T) {
 	g := NewWithT(t)
 	limited := &tenant.Tenant{Name: "a", Quota: tenant.Quota{Rate: 10, Burst: 1000}}
@@ -288,7 +289,7 @@
 	g.Expect(coordinator.Decide(0, Charge{Tenant: "a", Holder: "h", Units: 400}).Granted).To(BeTrue())
 }
 
-// TestRequestAboveBurstIsServed charges single requests that cost more than the whole burst.
+// TestRequestAboveBurstIsServed checks that a full bucket grants a request that costs more than the whole burst.
 func TestRequestAboveBurstIsServed(t *testing.T) {
 	g := NewWithT(t)
 	limited := &tenant.Tenant{Name: "a", Quota: tenant.Quota{Rate: 100, Burst: 100}}
--- a/quota/tolerance.go
+++ b/quota/tolerance.go
@@ -15,16 +15,16 @@
 	Overshoot, Slack float64
 }
 
-// grantedTolerance is the share of the tolerance that is granted to tenants. The rest is for what coordinators
-// do not know of each other: in random partitions that last two seconds or more, with a tenant at four times
-// its limit, they grant up to 0.3 of a window too much.
+// grantedTolerance is the share of the tolerance that is granted to tenants. The rest is for grants that
+// coordinators do not know of each other: in random partitions that last two seconds or more, with a tenant at
+// four times its limit, the coordinators together grant up to 0.3 of a window too much.
 const grantedTolerance = 0.25
 
 // limit returns a limit whose burst includes the granted share of the tolerance. A small tenant's burst is the
 // size of two or three of its requests, so that random variation alone causes rejections below its limit:
-// 212 of 1,420 generations on a day without faults, by their own limits alone.
-func (t Tolerance) limit(given tenant.Quota) tenant.Quota {
-	tolerated := t.Overshoot*(given.Rate*t.Window.Seconds()+given.Burst) + t.Slack
-	given.Burst += grantedTolerance * tolerated
-	return given
+// on a day without faults, the limits alone rejected 212 of 1,420 generations.
+func (t Tolerance) limit(limit tenant.Quota) tenant.Quota {
+	tolerated := t.Overshoot*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
+	limit.Burst += grantedTolerance * tolerated
+	return limit
 }
