--- a/retrybudget/account_test.go
+++ b/retrybudget/account_test.go
@@ -34,9 +34,9 @@
 			counting.requests[position(bucket)] += rapid.IntRange(0, 20).Draw(t, "requests")
 			counting.retries[position(bucket)] += rapid.IntRange(0, 5).Draw(t, "repeats")
 		}
-		got, wanted := counting.remaining(3, 0.2), remainingByWindow(counting, 3, 0.2)
-		if math.Abs(got-wanted) > 1e-9 {
-			t.Fatalf("remaining is %v, want %v", got, wanted)
+		got, want := counting.remaining(3, 0.2), remainingByWindow(counting, 3, 0.2)
+		if math.Abs(got-want) > 1e-9 {
+			t.Fatalf("remaining is %v, want %v", got, want)
 		}
 	})
 }
--- a/retrybudget/allocation.go
+++ b/retrybudget/allocation.go
@@ -28,11 +28,11 @@
 	}
 	for name, share := range allocation.Shares {
 		if min(share.Units, share.Unconfirmed) < 0 || max(share.Units, share.Unconfirmed) > total {
-			return Allocation{}, errors.Newf("share of %s is not within 0 and %d", name, total)
+			return Allocation{}, errors.Newf("share of %s is not between 0 and %d", name, total)
 		}
 	}
 	if allocation.Generation < 1 || allocation.free(total) < 0 {
-		return Allocation{}, errors.Newf("generation %d with more than %d retries", allocation.Generation, total)
+		return Allocation{}, errors.Newf("generation %d is below 1, or its shares exceed %d retries", allocation.Generation, total)
 	}
 	return allocation, nil
 }
@@ -82,7 +82,7 @@
 }
 
 // changes reports whether the share of a current node differs from the earlier one. Shares of removed nodes need
-// no write until another node is to have them.
+// no write until their units are given to other nodes.
 func (a Allocation) changes(earlier Allocation) bool {
 	for name, share := range a.Shares {
 		if share != earlier.Shares[name] {
--- a/retrybudget/allocation_test.go
+++ b/retrybudget/allocation_test.go
@@ -23,14 +23,15 @@
 }
 
 func units(a retrybudget.Allocation) map[string]int {
-	held := map[string]int{}
+	byNode := map[string]int{}
 	for name, share := range a.Shares {
-		held[name] = share.Units
+		byNode[name] = share.Units
 	}
-	return held
+	return byNode
 }
 
-// TestSharesGrowAfterOthersConfirm follows a fleet that grows and shrinks.
+// TestSharesGrowAfterOthersConfirm checks that a new node gets units only once another node has confirmed that
+// it has given them up, and that a remaining node gets the units of removed ones.
 func TestSharesGrowAfterOthersConfirm(t *testing.T) {
 	g := NewWithT(t)
 	const total = 12
@@ -54,15 +55,16 @@
 	g.Expect(units(shrunk)).To(Equal(map[string]int{"a": 12}))
 }
 
-// TestRemainderIsDistributed has totals above and below the number of nodes, none of them a multiple of it.
+// TestRemainderIsDistributed checks that shares are about equal and add up to the total, for totals that are not
+// a multiple of the number of nodes.
 func TestRemainderIsDistributed(t *testing.T) {
 	g := NewWithT(t)
 	for _, total := range []int{2, 5, 13} {
 		allocation, _ := retrybudget.Allocation{}.Next(members("a", "b", "c", "d"), total)
 		sum := 0
-		for _, held := range units(allocation) {
-			g.Expect(held).To(BeNumerically("~", total/4, 1))
-			sum += held
+		for _, share := range units(allocation) {
+			g.Expect(share).To(BeNumerically("~", total/4, 1))
+			sum += share
 		}
 		g.Expect(sum).To(Equal(total))
 	}
@@ -86,7 +88,7 @@
 }
 
 // TestNextIncarnationInheritsShare checks that a restarted node gets the share of its previous start, which no
-// other node has had meanwhile.
+// other node has had in between.
 func TestNextIncarnationInheritsShare(t *testing.T) {
 	g := NewWithT(t)
 	first, _ := retrybudget.Allocation{}.Next(members("a"), 4)
--- a/retrybudget/share.go
+++ b/retrybudget/holder.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Holder tracks how much of an allocation this start of a node may spend. An increase of a share belonged to
-// another node, which may have spent it until it gave it up, so it becomes usable a window later. A reduction
-// applies immediately. A share that no other node has had is usable immediately, as far as the budget allows in
-// a start's first window. It is safe for concurrent use.
+// Holder tracks how much of an allocation this start of a node may spend. The units by which a share increases
+// belonged to another node, which may have spent them until it gave them up, so they become usable one window
+// later. A reduction applies immediately. A share that no other node has had is usable immediately, but the
+// budget has no burst in a start's first window. It is safe for concurrent use.
 type Holder struct {
 	window time.Duration
 	now    func() time.Time
 
 	mu     sync.Mutex
 	closed bool
-	// history holds the shares of the last window and the one before these, the oldest first.
+	// history holds the shares set within the last window and the one set before them, the oldest first.
 	history []shareChange
 }
 
-// shareChange is a share from a point in time.
+// shareChange is a share and the time from which it applies.
 type shareChange struct {
 	since time.Time
 	units int
--- a/retrybudget/property_test.go
+++ b/retrybudget/property_test.go
@@ -16,8 +16,8 @@
 	burst  = 7.0
 )
 
-// TestNoWindowHoldsMoreThanAllowed checks that every span of a window holds at most what the platform allows,
-// with requests and retries close together.
+// TestNoWindowHoldsMoreThanAllowed checks that no window, wherever it begins, holds more retries than the platform
+// allows, with requests and retries close together.
 func TestNoWindowHoldsMoreThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -94,9 +94,9 @@
 func expectNoWindowAbove(t interface{ Fatalf(string, ...any) }, requests, retries []time.Time, slack float64) {
 	for _, at := range retries {
 		for _, from := range []time.Time{at, at.Add(1 - window)} {
-			held := within(retries, from.Add(-1), from.Add(window-1))
-			if allowed := allowedInWindow(requests, from, slack); float64(held) > allowed+1e-9 {
-				t.Fatalf("%d retries in the window from %v, %.1f allowed", held, from.Sub(time.Unix(0, 0)), allowed)
+			count := within(retries, from.Add(-1), from.Add(window-1))
+			if allowed := allowedInWindow(requests, from, slack); float64(count) > allowed+1e-9 {
+				t.Fatalf("%d retries in the window from %v, %.1f allowed", count, from.Sub(time.Unix(0, 0)), allowed)
 			}
 		}
 	}
@@ -168,8 +168,8 @@
 	inFlight bool
 }
 
-// TestDelayedGrants has requests wait with what they were granted, send it and have it arrive at any time
-// before their end. No window may hold more arrived retries than allowed.
+// TestDelayedGrants has requests send the retries that they were granted, and these arrive, at any time before the
+// end of the request. No window may hold more arrived retries than allowed.
 func TestDelayedGrants(t *testing.T) {
 	const slack, most = 6.0, 4
 	rapid.Check(t, func(t *rapid.T) {
@@ -192,22 +192,22 @@
 				}
 			}
 			var later []*waitingGrant
-			for _, one := range waiting {
+			for _, pending := range waiting {
 				switch {
 				case rapid.Bool().Draw(t, "waits"):
-					later = append(later, one)
-				case one.inFlight:
-					one.grant.Arrived(one.reserved)
-					one.grant.Release()
-				case one.grant.MaySend(one.reserved):
+					later = append(later, pending)
+				case pending.inFlight:
+					pending.grant.Arrived(pending.reserved)
+					pending.grant.Release()
+				case pending.grant.MaySend(pending.reserved):
 					// It arrives immediately, and the sender learns of it later.
-					for range one.reserved {
+					for range pending.reserved {
 						retries = append(retries, now)
 					}
-					one.inFlight = true
-					later = append(later, one)
+					pending.inFlight = true
+					later = append(later, pending)
 				default:
-					one.grant.Release()
+					pending.grant.Release()
 				}
 			}
 			waiting = later
