--- a/quarantine/archive.go
+++ b/quarantine/archive.go
@@ -33,10 +33,10 @@
 	wall func() time.Time
 	// loaded is set once the store's objects have been read since this node became the coordinator.
 	loaded bool
-	// loadedAt is when that was, by the coordinator's clock.
+	// loadedAt is when they were read last, by the coordinator's clock.
 	loadedAt time.Duration
-	// unread is set while the store's objects cannot be read.
-	unread bool
+	// unreadable is set while the store's objects cannot be read.
+	unreadable bool
 	// versions are those of the store's objects, by name.
 	versions map[string]int64
 }
@@ -62,7 +62,7 @@
 	active := map[string]bool{}
 	for _, announcement := range a.coordinator.Quarantined() {
 		if len(announcement.Backends) < quarantineCrashes {
-			// It ends before another coordinator could read it.
+			// Such a short quarantine ends before another coordinator could read it.
 			continue
 		}
 		active[announcement.Request.String()] = true
@@ -82,8 +82,8 @@
 
 // noteRead logs when the store's objects become unreadable, and when they can be read again.
 func (a *Archive) noteRead(err error) {
-	if failed := err != nil; failed != a.unread {
-		a.unread = failed
+	if failed := err != nil; failed != a.unreadable {
+		a.unreadable = failed
 		a.logger.Info("quarantines read", "error", logging.ErrorText(err))
 	}
 }
--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -16,10 +16,11 @@
 )
 
 const (
-	// crashTimeout is how long the coordinator may take to respond to a crash. The request whose backend failed
-	// waits for the response before it is sent anywhere else.
+	// crashTimeout is how long the coordinator may take to respond to the report of a crash. The request whose
+	// backend failed waits for the response before it is sent anywhere else.
 	crashTimeout = 60 * time.Millisecond
-	// checkInterval is how often a node checks for another coordinator, and sends it what it does not know.
+	// checkInterval is how often a node checks for another coordinator, and sends the coordinator what it has not
+	// received yet.
 	checkInterval = 250 * time.Millisecond
 	// reportTimeout bounds a call that no request waits for.
 	reportTimeout = 300 * time.Millisecond
@@ -100,10 +101,10 @@
 // status is Status with the lock held.
 func (c *Client) status(request Fingerprint) Status {
 	now := c.options.Now()
-	known, received := c.local.Status(now, request), c.received[request]
+	local, received := c.local.Status(now, request), c.received[request]
 	return Status{
-		Crashes:     max(known.Crashes, received.crashes),
-		Quarantined: max(known.Quarantined, received.quarantinedUntil-now, 0),
+		Crashes:     max(local.Crashes, received.crashes),
+		Quarantined: max(local.Quarantined, received.quarantinedUntil-now, 0),
 	}
 }
 
@@ -121,7 +122,8 @@
 	return c.Status(request)
 }
 
-// Answered records that a backend has answered a request to its end: the request does not crash what runs it.
+// Answered records that a backend has answered a request to its end: the request does not crash every backend that
+// runs it.
 func (c *Client) Answered(request Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,8 +164,8 @@
 	c.hasRecords.Store(true)
 }
 
-// Run sends the coordinator what it does not know, and everything that this node saw when there is another one,
-// until the context ends.
+// Run sends the coordinator what it has not received yet, and sends all evidence of this node to each new
+// coordinator, until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	periodic.Run(ctx, checkInterval, func(ctx context.Context) {
 		address, _ := c.options.Coordinators.Coordinator(Scope)
@@ -184,7 +186,7 @@
 	})
 }
 
-// setCoordinator records the coordinator's address. A new coordinator has been sent nothing.
+// setCoordinator records the coordinator's address. If that is a new one, all evidence is due to be sent again.
 func (c *Client) setCoordinator(address string) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,9 +194,9 @@
 		return false
 	}
 	c.coordinator, c.needsAll = address, true
-	for _, seen := range c.evidence {
-		for _, one := range seen {
-			one.reported = false
+	for _, crashes := range c.evidence {
+		for _, crash := range crashes {
+			crash.reported = false
 		}
 	}
 	return true
@@ -217,8 +219,8 @@
 // report returns the report in the form that is sent.
 func (p pendingReport) report() report {
 	reported := report{answered: p.answered, all: p.all}
-	for _, one := range p.evidence {
-		reported.evidence = append(reported.evidence, one.Evidence)
+	for _, crash := range p.evidence {
+		reported.evidence = append(reported.evidence, crash.Evidence)
 	}
 	return reported
 }
@@ -227,10 +229,10 @@
 func (c *Client) unreported() (unreported pendingReport, due bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, seen := range c.evidence {
-		for _, one := range seen {
-			if !one.reported {
-				unreported.evidence = append(unreported.evidence, one)
+	for _, crashes := range c.evidence {
+		for _, crash := range crashes {
+			if !crash.reported {
+				unreported.evidence = append(unreported.evidence, crash)
 			}
 		}
 	}
@@ -239,14 +241,14 @@
 	return unreported, unreported.all || len(unreported.evidence)+len(unreported.answered) > 0
 }
 
-// expire removes what no longer counts.
+// expire removes expired crashes and received statuses.
 func (c *Client) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.options.Now()
 	c.local.Expire(now)
 	for request, received := range c.received {
-		// The coordinator revokes it; this covers the case that none could.
+		// The coordinator usually revokes its announcement. This covers the case that no coordinator was able to.
 		if now >= received.quarantinedUntil+evidenceLifetime {
 			delete(c.received, request)
 		}
@@ -275,10 +277,10 @@
 	if unreported.all && address == c.coordinator {
 		c.needsAll = false
 	}
-	for i, one := range unreported.evidence {
-		one.reported = true
+	for i, crash := range unreported.evidence {
+		crash.reported = true
 		if i < len(response.statuses) && response.statuses[i].Suspect() {
-			c.receive(one.Request, response.statuses[i])
+			c.receive(crash.Request, response.statuses[i])
 		}
 	}
 	for _, announcement := range response.announced {
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -36,7 +36,7 @@
 
 	mu    sync.Mutex
 	table *Table
-	// announced is the last announced status of each request with an announcement.
+	// announced is the last announced status of each request, unless the announcement has been revoked.
 	announced map[Fingerprint]receivedStatus
 }
 
@@ -97,7 +97,7 @@
 	c.announce(c.options.Now(), request)
 }
 
-// Expire removes what no longer counts, and revokes its announcements.
+// Expire removes expired records, and revokes their announcements.
 func (c *Coordinator) Expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// FuzzDecodeRecord decodes arbitrary objects.
+// FuzzDecodeRecord checks that arbitrary objects yield an error, or a quarantine of a valid duration.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add(NewFingerprint(Content{}).String(), []byte(`{"backends":["a"],"untilMillis":1}`))
 	f.Add("", []byte(`[]`))
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -7,22 +7,21 @@
 )
 
 const (
-	// suspectCrashes is the number of crashes in a row from which a request is quarantined for a short time. On
-	// 81 days of ordinary crashes 359 requests were at one, and none at two; of the requests that run beside
-	// ones that crash their engines, a few in a hundred are at two.
+	// suspectCrashes is the number of crashes in a row from which a request is quarantined for suspectDuration. On
+	// 81 days of ordinary crashes 359 requests were at one, and none at two; of the requests that share engines
+	// with requests that crash them, a few in a hundred are at two.
 	suspectCrashes = 2
-	// quarantineCrashes is the number of backends that may end under a request before it is quarantined for
-	// long.
+	// quarantineCrashes is the number of crashes in a row from which a request is quarantined for quarantineDuration.
 	quarantineCrashes = 3
 	// suspectDuration is how long a request is quarantined after two crashes. Callers that retry immediately do
-	// not reach a third crash meanwhile: 427 of 500 streams beside four such requests were served, instead of
-	// 394. A request that only ran beside a crashing one is served half a minute later.
+	// not reach a third crash in this time: of 500 streams sent alongside four such requests, 427 were served,
+	// instead of 394. A request that only shared an engine with a crashing one is served half a minute later.
 	suspectDuration = 30 * time.Second
 	// evidenceLifetime is how long a crash counts. Callers retry within seconds; without a limit, a request
 	// that is sent once an hour would accumulate ordinary crashes for years.
 	evidenceLifetime = 10 * time.Minute
 	// quarantineDuration is how long a request is quarantined after three crashes. Its backends may be repaired
-	// meanwhile; until its evidence has expired as well, the next crash renews the quarantine.
+	// in this time. Until its evidence has expired as well, the next crash renews the quarantine.
 	quarantineDuration = time.Hour
 	// maxRequests bounds the recorded requests, at 320 bytes each (measured on a full table): 2.6 MB. A rack of
 	// 20 engines that fails has 1,280 in flight.
@@ -65,12 +64,12 @@
 
 // Add records that a backend incarnation ended with a request in flight, and returns the request's status.
 func (t *Table) Add(now time.Duration, request Fingerprint, backend string) Status {
-	known := t.history(now, request)
-	if _, counted := known.crashes[backend]; !counted {
-		known.crashes[backend] = now
-		known.quarantinedUntil = max(known.quarantinedUntil, now+durationAfter(len(known.crashes)))
+	entry := t.history(now, request)
+	if _, counted := entry.crashes[backend]; !counted {
+		entry.crashes[backend] = now
+		entry.quarantinedUntil = max(entry.quarantinedUntil, now+durationAfter(len(entry.crashes)))
 	}
-	return known.status(now)
+	return entry.status(now)
 }
 
 // durationAfter returns how long a request is quarantined after a number of crashes.
@@ -87,14 +86,14 @@
 
 // Restore applies an earlier announcement. Its crashes count from now, but do not start a quarantine.
 func (t *Table) Restore(now time.Duration, earlier Announcement) {
-	known := t.history(now, earlier.Request)
+	entry := t.history(now, earlier.Request)
 	for _, backend := range earlier.Backends {
-		if _, counted := known.crashes[backend]; !counted {
-			known.crashes[backend] = now
+		if _, counted := entry.crashes[backend]; !counted {
+			entry.crashes[backend] = now
 		}
 	}
 	if earlier.Quarantined > 0 {
-		known.quarantinedUntil = max(known.quarantinedUntil, now+earlier.Quarantined)
+		entry.quarantinedUntil = max(entry.quarantinedUntil, now+earlier.Quarantined)
 	}
 }
 
@@ -104,11 +103,11 @@
 
 // Status returns the status of a request.
 func (t *Table) Status(now time.Duration, request Fingerprint) Status {
-	known := t.requests[request]
-	if known == nil {
+	entry := t.requests[request]
+	if entry == nil {
 		return Status{}
 	}
-	return known.status(now)
+	return entry.status(now)
 }
 
 // announcedStatus returns the status to announce.
@@ -123,8 +122,8 @@
 // Quarantined returns the quarantined requests.
 func (t *Table) Quarantined(now time.Duration) []Fingerprint {
 	var quarantined []Fingerprint
-	for request, known := range t.requests {
-		if known.status(now).Quarantined > 0 {
+	for request, entry := range t.requests {
+		if entry.status(now).Quarantined > 0 {
 			quarantined = append(quarantined, request)
 		}
 	}
@@ -133,19 +132,19 @@
 
 // Backends returns the incarnations of the backends that ended under a request, sorted.
 func (t *Table) Backends(request Fingerprint) []string {
-	known := t.requests[request]
-	if known == nil {
+	entry := t.requests[request]
+	if entry == nil {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(known.crashes))
+	return slices.Sorted(maps.Keys(entry.crashes))
 }
 
-// Expire removes what no longer counts, and returns the requests without any record left.
+// Expire removes expired crashes, and returns the requests that have no record left.
 func (t *Table) Expire(now time.Duration) []Fingerprint {
 	var forgotten []Fingerprint
-	for request, known := range t.requests {
-		known.expire(now)
-		if known.isExpired(now) {
+	for request, entry := range t.requests {
+		entry.expire(now)
+		if entry.isExpired(now) {
 			t.forget(request)
 			forgotten = append(forgotten, request)
 		}
@@ -155,16 +154,16 @@
 
 // history returns the record of a request, which it creates if needed. A new one may evict another.
 func (t *Table) history(now time.Duration, request Fingerprint) *history {
-	known := t.requests[request]
-	if known == nil {
+	entry := t.requests[request]
+	if entry == nil {
 		if len(t.requests) >= maxRequests {
 			t.evictOldest(now)
 		}
-		known = &history{crashes: map[string]time.Duration{}}
-		t.requests[request] = known
+		entry = &history{crashes: map[string]time.Duration{}}
+		t.requests[request] = entry
 	}
-	known.expire(now)
-	return known
+	entry.expire(now)
+	return entry
 }
 
 // evictOldest removes the request whose last crash is the oldest. Quarantined requests are removed last.
@@ -176,8 +175,8 @@
 	var oldest Fingerprint
 	var oldestAt time.Duration
 	found := false
-	for request, known := range t.requests {
-		at := max(known.lastCrash(), known.quarantinedUntil)
+	for request, entry := range t.requests {
+		at := max(entry.lastCrash(), entry.quarantinedUntil)
 		if !found || at < oldestAt {
 			oldest, oldestAt, found = request, at, true
 		}
@@ -193,13 +192,12 @@
 	}
 }
 
-// status returns the current status.
+// status returns the status at a time.
 func (h *history) status(now time.Duration) Status {
 	return Status{Crashes: len(h.crashes), Quarantined: max(0, h.quarantinedUntil-now)}
 }
 
-// expire removes the crashes that no longer count. Those of a quarantine count until evidenceLifetime after its
-// end.
+// expire removes expired crashes. Those of a quarantine expire evidenceLifetime after its end.
 func (h *history) expire(now time.Duration) {
 	if now < h.quarantinedUntil+evidenceLifetime && h.quarantinedUntil > 0 {
 		return
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -16,7 +16,7 @@
 	At time.Duration
 }
 
-// report is what a node sends to the coordinator.
+// report is what a node reports to the coordinator.
 type report struct {
 	evidence []Evidence
 	answered []Fingerprint
