--- a/backend/entry.go
+++ b/backend/entry.go
@@ -12,8 +12,8 @@
 	failureHalfLife = 2 * time.Second
 	// outcomeWeight is the weight of one response or failure in the failure rate.
 	outcomeWeight = 0.2
-	// unhealthyFailures is the number of recent failures above which a backend gets no work that can go
-	// elsewhere.
+	// unhealthyFailures is the number of recent failures above which a backend gets no work that another one can
+	// take.
 	unhealthyFailures = 0.7
 )
 
@@ -30,14 +30,14 @@
 	requestedBackoff atomic.Bool
 
 	mu sync.Mutex
-	// seen holds this node's observations; nil for a backend to which it has never sent anything, as are most of
-	// thousands of backends.
-	seen *observations
+	// recorded holds this node's observations; nil for a backend to which it has never sent anything, which is
+	// most of the backends of a large service.
+	recorded *observations
 }
 
 // observations holds a node's observations of one backend.
 type observations struct {
-	// leavingAt is when it stopped taking new work, or was removed; zero while it takes work.
+	// leavingAt is when the backend stopped taking new work, or was removed; zero while it takes work.
 	leavingAt time.Time
 	// failures counts recent failures, weighted by age.
 	failures float64
@@ -52,25 +52,25 @@
 	noticeAt int64
 }
 
-// backoffPeriod is the time in which a backend wants no request from this node.
+// backoffPeriod is the time in which a backend has requested backoff from this node.
 type backoffPeriod struct{ from, until time.Time }
 
-// observed returns the observations for modification; the lock is held.
-func (e *Entry) observed() *observations {
-	if e.seen == nil {
-		e.seen = &observations{}
+// ensureObservations returns the observations for modification, which it creates if needed; the lock is held.
+func (e *Entry) ensureObservations() *observations {
+	if e.recorded == nil {
+		e.recorded = &observations{}
 	}
-	return e.seen
+	return e.recorded
 }
 
 // observations returns a copy of the observations.
 func (e *Entry) observations() observations {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.seen == nil {
+	if e.recorded == nil {
 		return observations{}
 	}
-	return *e.seen
+	return *e.recorded
 }
 
 func newEntry(described Backend, now func() time.Time) *Entry {
@@ -107,9 +107,9 @@
 	case e.announcedLeaving.Load():
 		// Discovery may be older than the notice.
 	case !leaving:
-		e.observed().leavingAt = time.Time{}
-	case e.observed().leavingAt.IsZero():
-		e.observed().leavingAt = e.now()
+		e.ensureObservations().leavingAt = time.Time{}
+	case e.ensureObservations().leavingAt.IsZero():
+		e.ensureObservations().leavingAt = e.now()
 	}
 }
 
@@ -123,46 +123,46 @@
 	return e.now().Sub(leavingAt)
 }
 
-// Begin counts a request that this node has in flight there. The returned function ends it.
+// Begin counts a request that this node sends to the backend. The returned function must be called when it ends.
 func (e *Entry) Begin() func() {
 	e.pending.Add(1)
 	var once sync.Once
 	return func() { once.Do(func() { e.pending.Add(-1) }) }
 }
 
-// Pending returns the number of requests that this node has in flight there.
+// Pending returns the number of requests that this node has in flight at the backend.
 func (e *Entry) Pending() int { return int(e.pending.Load()) }
 
 // RecordFailure records a failure of the backend itself.
 func (e *Entry) RecordFailure() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now, seen := e.now(), e.observed()
-	seen.failures = seen.decayed(seen.failures, now) + 1
-	seen.failureRate = seen.decayed(seen.failureRate, now)
-	seen.failureRate += outcomeWeight * (1 - seen.failureRate)
-	seen.failureAt = now
+	now, observed := e.now(), e.ensureObservations()
+	observed.failures = observed.decayed(observed.failures, now) + 1
+	observed.failureRate = observed.decayed(observed.failureRate, now)
+	observed.failureRate += outcomeWeight * (1 - observed.failureRate)
+	observed.failureAt = now
 }
 
 // RecordSuccess records a response.
 func (e *Entry) RecordSuccess() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.seen != nil {
-		e.seen.failureRate -= outcomeWeight * e.seen.failureRate
+	if e.recorded != nil {
+		e.recorded.failureRate -= outcomeWeight * e.recorded.failureRate
 	}
 }
 
-// FailureRate returns the estimated share of requests that fail there.
+// FailureRate returns the estimated share of requests that fail at the backend.
 func (e *Entry) FailureRate() float64 {
-	seen := e.observations()
-	return seen.decayed(seen.failureRate, e.now())
+	observed := e.observations()
+	return observed.decayed(observed.failureRate, e.now())
 }
 
 // Healthy reports whether the backend has not failed recently.
 func (e *Entry) Healthy() bool {
-	seen := e.observations()
-	return seen.decayed(seen.failures, e.now()) <= unhealthyFailures
+	observed := e.observations()
+	return observed.decayed(observed.failures, e.now()) <= unhealthyFailures
 }
 
 // decayed returns a value that held at the last failure, decayed to now.
@@ -177,8 +177,8 @@
 func (e *Entry) MarkFull(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.observed().fullUntil = e.now().Add(duration)
+	e.ensureObservations().fullUntil = e.now().Add(duration)
 }
 
-// IsFull reports whether the backend has recently been full.
+// IsFull reports whether the time given to MarkFull has not passed yet.
 func (e *Entry) IsFull() bool { return e.now().Before(e.observations().fullUntil) }
--- a/backend/notice.go
+++ b/backend/notice.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Notice is what a backend announces about itself beside a response.
+// Notice is what a backend announces about itself together with a response.
 type Notice struct {
-	// Leaving is set if it is about to end and wants no new requests.
+	// Leaving is set if the backend is about to terminate and takes no new requests.
 	Leaving bool
-	// Backoff is how long it wants no request from this node; zero if it did not request backoff.
+	// Backoff is how long the backend requests that this node sends it nothing; zero if it requests no backoff.
 	Backoff time.Duration
 }
 
@@ -25,7 +25,7 @@
 	changed := Notice{Leaving: notice.Leaving && e.recordLeaving(), Backoff: e.recordBackoff(notice.Backoff)}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.observed().noticeAt = at
+	e.ensureObservations().noticeAt = at
 	return changed
 }
 
@@ -36,14 +36,14 @@
 	if !e.announcedLeaving.CompareAndSwap(false, true) {
 		return false
 	}
-	if seen := e.observed(); seen.leavingAt.IsZero() {
-		seen.leavingAt = e.now()
+	if observed := e.ensureObservations(); observed.leavingAt.IsZero() {
+		observed.leavingAt = e.now()
 	}
 	return true
 }
 
-// recordBackoff records for how long the backend wants no request. It returns that time if it begins a backoff,
-// and zero if the backend is in backoff already or wants none.
+// recordBackoff records the backoff that the backend requests. It returns the backoff if this begins one, and zero
+// if the backend is in backoff already or requests none.
 func (e *Entry) recordBackoff(backoff time.Duration) time.Duration {
 	if backoff == 0 {
 		return 0
@@ -51,7 +51,7 @@
 	e.requestedBackoff.Store(true)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now, period := e.now(), &e.observed().backoff
+	now, period := e.now(), &e.ensureObservations().backoff
 	begins := !now.Before(period.until)
 	if begins {
 		period.from = now
@@ -65,8 +65,8 @@
 	return backoff
 }
 
-// BackoffRemaining returns for how much longer the backend wants no request from this node; zero if it is not
-// in backoff.
+// BackoffRemaining returns how much of the backoff that the backend requested remains; zero if it is not in
+// backoff.
 func (e *Entry) BackoffRemaining() time.Duration {
 	if !e.requestedBackoff.Load() {
 		return 0
@@ -83,7 +83,7 @@
 	return now.Sub(period.from)
 }
 
-// isWithheld reports whether this node gives the backend no work now because of a notice.
+// isWithheld reports whether this node currently gives the backend no work because of a notice.
 func (e *Entry) isWithheld() bool { return e.announcedLeaving.Load() || e.BackoffRemaining() > 0 }
 
 // adopt takes over the notices that the same incarnation sent before its entry was removed for a while.
@@ -101,23 +101,23 @@
 	e.requestedBackoff.Store(true)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.observed().backoff = period
+	e.ensureObservations().backoff = period
 }
 
 // uncertainLeavingBackoff is how long a new incarnation gets no work if it may be the one that announced that
 // it leaves. It is a few times as long as backends continue to serve after that (2 to 3 s on the supported
-// deployments). If it does leave, its next response or its entry shows it by then. If clocks disagree, and the
-// previous incarnation had announced it, the new one is used again.
+// deployments). If the new incarnation does leave, its next response or its entry shows that by then. If it was
+// the previous one that announced it and the clocks disagree, the new one is used again after this time.
 const uncertainLeavingBackoff = 10 * time.Second
 
 // inherit takes over the notices received from the previous incarnation, unless they came before this one
 // started. It reports whether there were any.
 func (e *Entry) inherit(before *Entry) bool {
-	seen := before.observations()
-	if seen.noticeAt < e.Backend().StartedAt {
+	observed := before.observations()
+	if observed.noticeAt < e.Backend().StartedAt {
 		return false
 	}
-	now, period := e.now(), seen.backoff
+	now, period := e.now(), observed.backoff
 	if before.announcedLeaving.Load() {
 		period = backoffPeriod{from: now, until: now.Add(uncertainLeavingBackoff)}
 	}
--- a/backend/notice_test.go
+++ b/backend/notice_test.go
@@ -24,8 +24,8 @@
 	return backend.Backend{ID: names[startedAt], RegisteredAs: "a", StartedAt: startedAt, Service: "first", State: state}
 }
 
-// TestLeavingNoticeOverridesDiscovery has discovery describe a backend as ready, in each way, after it has
-// announced that it leaves.
+// TestLeavingNoticeOverridesDiscovery checks that a backend that has announced that it leaves gets no work, even
+// if discovery changes it, describes it as ready again, or adds it again.
 func TestLeavingNoticeOverridesDiscovery(t *testing.T) {
 	g := NewWithT(t)
 	clock := newManualClock()
@@ -56,7 +56,7 @@
 	expectLeaving()
 }
 
-// TestNoticeWithoutEntryIsRecorded has a backend send a notice while its entry has expired.
+// TestNoticeWithoutEntryIsRecorded checks that notices sent while the entry is expired apply to the next entry.
 func TestNoticeWithoutEntryIsRecorded(t *testing.T) {
 	g := NewWithT(t)
 	clock := newManualClock()
@@ -71,7 +71,7 @@
 	g.Expect(registry.Lookup("a@1").BackoffRemaining()).To(Equal(time.Hour - time.Second))
 }
 
-// TestNextIncarnationIsUsed has a backend restart after it has announced that it leaves.
+// TestNextIncarnationIsUsed checks that a backend that announced that it leaves gets work after its restart.
 func TestNextIncarnationIsUsed(t *testing.T) {
 	g := NewWithT(t)
 	clock := newManualClock()
@@ -170,7 +170,8 @@
 	})
 }
 
-// TestBackoffLastsToItsEnd requests backoff again before the end, and has the entry expire meanwhile.
+// TestBackoffLastsToItsEnd checks that neither a shorter backoff requested later nor an expired entry ends a
+// backoff early.
 func TestBackoffLastsToItsEnd(t *testing.T) {
 	g := NewWithT(t)
 	clock := newManualClock()
--- a/backend/registry.go
+++ b/backend/registry.go
@@ -38,8 +38,9 @@
 }
 
 // removedLifetime is how long the notices of a removed incarnation are kept. An entry expires while the store
-// is unavailable, and is written again within seconds of its return, for a moment also in its previous form. A
-// backend without a start time that leaves and restarts under its identifier is used after this time.
+// is unavailable, and is written again within seconds of the store's return, at first possibly in its previous
+// form. A backend without a start time that leaves and restarts under its identifier is used again after this
+// time.
 const removedLifetime = time.Minute
 
 // NewRegistry returns an empty registry. The clock must be monotonic.
@@ -165,7 +166,7 @@
 // restore applies the kept notices of an incarnation that discovery describes again; the lock is held.
 func (r *Registry) restore(entry *Entry) {
 	id := entry.Backend().ID
-	if kept, known := r.removed[id]; known && r.now().Sub(kept.at) <= removedLifetime {
+	if kept, found := r.removed[id]; found && r.now().Sub(kept.at) <= removedLifetime {
 		entry.adopt(kept.entry)
 		r.notices[id] = entry
 	}
@@ -250,8 +251,8 @@
 	return r.byID[id]
 }
 
-// RecordNotice records the notice of a backend incarnation. It returns the part of the notice that was not known.
-// The incarnation's entry may have expired meanwhile, and may be written again in its previous form.
+// RecordNotice records the notice of a backend incarnation. It returns the part of the notice that is new. The
+// incarnation may have no entry: an expired entry may be written again in its previous form.
 func (r *Registry) RecordNotice(target Backend, notice Notice) Notice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -259,7 +260,7 @@
 	if entry == nil {
 		entry = r.removedEntryOf(target)
 	} else {
-		maps.DeleteFunc(r.notices, func(_ string, known *Entry) bool { return !known.isWithheld() })
+		maps.DeleteFunc(r.notices, func(_ string, noticed *Entry) bool { return !noticed.isWithheld() })
 		r.notices[target.ID] = entry
 	}
 	return entry.recordNotice(notice, r.wallClock().UnixMilli())
@@ -267,8 +268,8 @@
 
 // removedEntryOf returns the entry of an incarnation that discovery does not describe; the lock is held.
 func (r *Registry) removedEntryOf(target Backend) *Entry {
-	kept, known := r.removed[target.ID]
-	if !known {
+	kept, found := r.removed[target.ID]
+	if !found {
 		kept.entry = newEntry(target, r.now)
 	}
 	r.remember(target.ID, kept.entry)
--- a/backend/registry_test.go
+++ b/backend/registry_test.go
@@ -34,7 +34,7 @@
 	return ids
 }
 
-// TestReadyAfterAnyHistory compares the registry with a plain map.
+// TestReadyAfterAnyHistory compares the registry with a plain map after random updates and removals.
 func TestReadyAfterAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry := backend.NewRegistry(time.Now)
@@ -58,16 +58,16 @@
 				for _, entry := range registry.Ready(service, backend.RoleDecode) {
 					ids = append(ids, entry.Backend().ID)
 				}
-				if wanted := readyOf(all, service, backend.RoleDecode); fmt.Sprint(ids) != fmt.Sprint(wanted) {
-					t.Fatalf("got %v, want %v", ids, wanted)
+				if want := readyOf(all, service, backend.RoleDecode); fmt.Sprint(ids) != fmt.Sprint(want) {
+					t.Fatalf("got %v, want %v", ids, want)
 				}
 			}
 		}
 	})
 }
 
-// TestUpdateCostIsIndependentOfRegistrySize updates the state of one of many backends. A starting node does so
-// for each of them.
+// TestUpdateCostIsIndependentOfRegistrySize bounds the allocations of an update of one of many backends: a
+// starting node updates each of them.
 func TestUpdateCostIsIndependentOfRegistrySize(t *testing.T) {
 	const many = 3000
 	g := NewWithT(t)
--- a/backend/sample.go
+++ b/backend/sample.go
@@ -20,11 +20,11 @@
 type SampleOptions struct {
 	Service string
 	Role    Role
-	// Zone is the zone of all of them; empty for any.
+	// Zone is the zone of all sampled backends; empty for any.
 	Zone string
-	// Count is how many are drawn. Some may be drawn twice, and some may not take work.
+	// Count is how many backends are drawn. Some may be drawn twice, and some may not take work.
 	Count int
-	// AllUpTo is the number of backends up to which all are returned, if that is more than Count.
+	// AllUpTo is the number of backends up to which all of them are returned, if it is more than Count.
 	AllUpTo int
 }
 
@@ -48,7 +48,7 @@
 	}
 	drawn = make([]*Entry, 0, options.Count)
 	for range options.Count {
-		drawn = append(drawn, at(groups, random(total)))
+		drawn = append(drawn, entryAt(groups, random(total)))
 	}
 	return ready(drawn), false
 }
@@ -57,8 +57,8 @@
 // held.
 func (r *Registry) groupsOf(options SampleOptions) (groups [][]*Entry, total int) {
 	for key, entries := range r.groups {
-		isWanted := key.service == options.Service && key.role == options.Role
-		if isWanted && (options.Zone == "" || key.zone == options.Zone) {
+		matches := key.service == options.Service && key.role == options.Role
+		if matches && (options.Zone == "" || key.zone == options.Zone) {
 			groups = append(groups, entries)
 			total += len(entries)
 		}
@@ -66,8 +66,8 @@
 	return groups, total
 }
 
-// at returns an entry by its position in the concatenated groups.
-func at(groups [][]*Entry, position int) *Entry {
+// entryAt returns an entry by its position in the concatenated groups.
+func entryAt(groups [][]*Entry, position int) *Entry {
 	for _, entries := range groups {
 		if position < len(entries) {
 			return entries[position]
@@ -80,7 +80,7 @@
 // Union returns the backends of two samples, each once and sorted by identifier.
 func Union(first, second []*Entry) []*Entry { return ready(slices.Concat(first, second)) }
 
-// ready returns those that take new work, each once and sorted by identifier.
+// ready returns the entries that take new work, each once and sorted by identifier.
 func ready(entries []*Entry) []*Entry {
 	slices.SortFunc(entries, func(a, b *Entry) int { return cmp.Compare(a.ID(), b.ID()) })
 	entries = slices.Compact(entries)
--- a/backend/sample_test.go
+++ b/backend/sample_test.go
@@ -26,8 +26,8 @@
 	return registry
 }
 
-// TestSampleIsOfReadyBackends draws samples of services of all sizes, some of whose backends leave, or change
-// their role or zone.
+// TestSampleIsOfReadyBackends checks that samples contain only matching backends that take work, for services of
+// all sizes, some of whose backends leave, or change their role or zone.
 func TestSampleIsOfReadyBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry := backend.NewRegistry(time.Now)
@@ -54,7 +54,7 @@
 			t.Fatalf("got %d as all %d", len(drawn), len(all))
 		}
 		if len(drawn) > options.Count {
-			t.Fatalf("%d drawn, %d wanted", len(drawn), options.Count)
+			t.Fatalf("%d drawn, at most %d expected", len(drawn), options.Count)
 		}
 		for i, entry := range drawn {
 			if !slices.Contains(all, entry) || i > 0 && drawn[i-1].ID() >= entry.ID() {
