--- a/service/balancer.go
+++ b/service/balancer.go
@@ -16,10 +16,12 @@
 	leaving func(machine string) bool
 	now     func() time.Time
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// inFlight counts the calls in flight at each replica, by address.
 	inFlight map[string]int
-	failed   map[string]time.Time
-	// backoffs is until when replicas have requested backoff.
+	// failed holds when a replica last failed, if it has not succeeded since, by name.
+	failed map[string]time.Time
+	// backoffs holds the ends of the backoffs that replicas requested, by name.
 	backoffs map[string]time.Time
 	rotation int
 }
@@ -28,8 +30,8 @@
 	return &balancer{leaving: leaving, now: now, inFlight: map[string]int{}, failed: map[string]time.Time{}, backoffs: map[string]time.Time{}}
 }
 
-// order returns the replicas that may be called, the best first. Those that leave or are in backoff are
-// omitted; those that failed recently come last.
+// order returns the replicas that may be called, the one with the fewest calls in flight first. Those that leave
+// or are in backoff are omitted; those that failed recently come last.
 func (b *balancer) order(backends []api.Backend) []api.Backend {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,7 +55,7 @@
 	return usable
 }
 
-// backOff excludes a replica from calls for as long as it has requested.
+// backOff excludes a replica from calls for the time that it has requested.
 func (b *balancer) backOff(name string, duration time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/service/handler.go
+++ b/service/handler.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	// headerKey is the header that identifies a non-idempotent call.
+	// headerKey is the name of the header with the key of a non-idempotent call.
 	headerKey = "Idempotency-Key"
 	// maxNonIdempotentBody bounds the body of a non-idempotent call: it is held in memory, because its digest
 	// is part of the claim.
@@ -36,12 +36,13 @@
 	// retriesPerSecond and retryBurst bound the retries of a node's calls.
 	retriesPerSecond = 20
 	retryBurst       = 40
-	retryAfter       = time.Second
+	// retryAfter is the retry delay given to a caller if no replica requested one.
+	retryAfter = time.Second
 )
 
 // Claims makes claims for non-idempotent calls.
 type Claims interface {
-	Claim(ctx context.Context, key claim.Key, requestID string, body []byte) (string, error)
+	Claim(ctx context.Context, key claim.Key, requestID string, bodyDigest []byte) (string, error)
 	Withdraw(ctx context.Context, key claim.Key, claimID string) error
 }
 
@@ -136,13 +137,13 @@
 		return api.NewError(http.StatusBadRequest, api.CodeInvalidRequest, api.OutcomeNotRun, "the body could not be read")
 	}
 	if len(body) > maxNonIdempotentBody {
-		return api.NewError(http.StatusRequestEntityTooLarge, api.CodeTooLarge, api.OutcomeNotRun, "the body of this call may have %d bytes", maxNonIdempotentBody)
+		return api.NewError(http.StatusRequestEntityTooLarge, api.CodeTooLarge, api.OutcomeNotRun, "the body of a non-idempotent call may have at most %d bytes", maxNonIdempotentBody)
 	}
 	c.body = body
 	return nil
 }
 
-// attemptReplicas sends the call to replicas in turn while that is safe.
+// attemptReplicas sends the call to one replica after the other until one answers, as long as a retry is safe.
 func (h *Handler) attemptReplicas(ctx context.Context, w http.ResponseWriter, started *call) error {
 	replicas := h.balancer.order(started.service.Backends)
 	if len(replicas) == 0 {
@@ -234,8 +235,8 @@
 	}
 }
 
-// reader returns the body to send. Its type is hidden from net/http, which would otherwise resend a request
-// with an Idempotency-Key on its own when a reused connection breaks.
+// reader returns the body to send. Its type is hidden from net/http, which would otherwise resend a request that
+// has an Idempotency-Key when a reused connection breaks.
 func (c *call) reader() io.Reader {
 	if c.nonIdempotent {
 		return struct{ io.Reader }{bytes.NewReader(c.body)}
--- a/service/handler_test.go
+++ b/service/handler_test.go
@@ -152,11 +152,11 @@
 		status, _, header := send(newHandler(), http.MethodGet, "", "")
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(header).NotTo(HaveKey("X-Hop"))
-		for _, seen := range []*replica{first, second} {
-			if seen.ran.Load() == 0 {
+		for _, called := range []*replica{first, second} {
+			if called.ran.Load() == 0 {
 				continue
 			}
-			received := seen.header.Load().(http.Header)
+			received := called.header.Load().(http.Header)
 			Expect(received).NotTo(HaveKey("Authorization"))
 			Expect(received).NotTo(HaveKey("X-Drop"))
 			Expect(received.Get("Reelrun-Tenant")).To(Equal("tenant"))
@@ -193,7 +193,7 @@
 		Expect(runs()).To(BeEquivalentTo(2))
 	})
 
-	It("is not run when nothing can be reached, and its key stays usable", func() {
+	It("is not run when no replica can be reached, and its key stays usable", func() {
 		backends = []api.Backend{{Name: "gone", Address: closedAddress()}}
 		key := newKey()
 		_, failure, header := send(newHandler(), http.MethodPost, key, "reading")
