--- a/lease/lease.go
+++ b/lease/lease.go
@@ -56,12 +56,15 @@
 type Lease struct {
 	options Options
 
-	mu       sync.Mutex
-	observed Record
-	seenAt   time.Time
-	version  int64
-	held     bool
-	until    time.Time
+	mu sync.Mutex
+	// observed is the record as last read or written, and observedSince is since when it has been unchanged.
+	observed      Record
+	observedSince time.Time
+	// version is that of the stored record when it was last read.
+	version int64
+	// held is set while this node holds the lease, until heldUntil unless it is renewed.
+	held      bool
+	heldUntil time.Time
 	// takenOverAt is when the lease was taken from a holder that had neither released it nor marked it idle.
 	takenOverAt time.Time
 }
@@ -88,22 +91,22 @@
 	if err != nil {
 		return 0, err
 	}
-	wanted, mayTake := l.next(current)
+	proposed, mayTake := l.next(current)
 	if !mayTake {
 		return 0, ErrHeld
 	}
-	if err := l.write(ctx, wanted); err != nil {
+	if err := l.write(ctx, proposed); err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if current.Holder != "" && current.Holder != wanted.Holder && !current.Idle {
+	if current.Holder != "" && current.Holder != proposed.Holder && !current.Idle {
 		l.takenOverAt = l.options.Now()
 	}
-	l.observed, l.seenAt = wanted, l.options.Now()
+	l.observed, l.observedSince = proposed, l.options.Now()
 	l.held = true
-	l.until = started.Add(l.options.Duration)
-	return wanted.FencingToken, nil
+	l.heldUntil = started.Add(l.options.Duration)
+	return proposed.FencingToken, nil
 }
 
 // read fetches the record and tracks when it last changed.
@@ -121,8 +124,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version = object.Version
-	if l.seenAt.IsZero() || record != l.observed {
-		l.observed, l.seenAt = record, l.options.Now()
+	if l.observedSince.IsZero() || record != l.observed {
+		l.observed, l.observedSince = record, l.options.Now()
 	}
 	return record, nil
 }
@@ -132,20 +135,20 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Now()
-	wanted := current
-	wanted.Renewals++
-	wanted.DurationMillis = l.options.Duration.Milliseconds()
-	wanted.Idle = false
+	proposed := current
+	proposed.Renewals++
+	proposed.DurationMillis = l.options.Duration.Milliseconds()
+	proposed.Idle = false
 	if current.Holder == l.options.Holder {
-		return wanted, true
+		return proposed, true
 	}
 	duration := time.Duration(current.DurationMillis) * time.Millisecond
-	if current.Holder != "" && !current.Idle && now.Sub(l.seenAt) <= duration {
+	if current.Holder != "" && !current.Idle && now.Sub(l.observedSince) <= duration {
 		return Record{}, false
 	}
-	wanted.Holder = l.options.Holder
-	wanted.FencingToken++
-	return wanted, true
+	proposed.Holder = l.options.Holder
+	proposed.FencingToken++
+	return proposed, true
 }
 
 // write stores the record. A write with an unknown outcome does not make the node the holder; the next Acquire
@@ -173,7 +176,7 @@
 func (l *Lease) Check(maxDuration time.Duration) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.held || l.options.Now().Add(maxDuration+l.options.Margin).After(l.until) {
+	if !l.held || l.options.Now().Add(maxDuration+l.options.Margin).After(l.heldUntil) {
 		return ErrExpiring
 	}
 	return nil
@@ -200,7 +203,7 @@
 	}
 	record.Idle = true
 	record.Renewals++
-	// The version is that of the last read; after an Acquire it is one behind.
+	// l.version is that of the last read; after an Acquire, the stored version is one higher.
 	current, err := l.read(ctx)
 	if err != nil {
 		return err
--- a/lease/property_test.go
+++ b/lease/property_test.go
@@ -25,25 +25,28 @@
 
 // simulation has several candidates of one lease and a manual clock.
 type simulation struct {
-	now       time.Time
-	effect    platformsim.Effect
-	leases    []*Lease
-	tokens    []uint64
-	orders    []order
-	newest    uint64
-	violation string
+	now    time.Time
+	effect platformsim.Effect
+	leases []*Lease
+	// tokens holds the last fencing token of each candidate.
+	tokens []uint64
+	// orders are all orders sent so far.
+	orders []order
+	// newestToken is the highest fencing token granted so far.
+	newestToken uint64
+	violation   string
 }
 
 func newSimulation(candidates int, margin time.Duration) *simulation {
 	s := &simulation{now: time.Unix(1000, 0), tokens: make([]uint64, candidates)}
-	flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect {
+	faulty := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect {
 		effect := s.effect
 		s.effect = platformsim.Pass
 		return effect
 	})
 	for i := range candidates {
 		s.leases = append(s.leases, New(Options{
-			Store: flaky, Name: "lease", Holder: fmt.Sprintf("node-%d", i), Duration: testDuration, Margin: margin,
+			Store: faulty, Name: "lease", Holder: fmt.Sprintf("node-%d", i), Duration: testDuration, Margin: margin,
 			Now: func() time.Time { return s.now },
 		}))
 	}
@@ -55,10 +58,10 @@
 	if err != nil {
 		return
 	}
-	if token < s.newest {
-		s.violation = fmt.Sprintf("fencing token %d was granted after %d", token, s.newest)
+	if token < s.newestToken {
+		s.violation = fmt.Sprintf("fencing token %d was granted after %d", token, s.newestToken)
 	}
-	s.newest = max(s.newest, token)
+	s.newestToken = max(s.newestToken, token)
 	s.tokens[i] = token
 }
 
@@ -102,8 +105,9 @@
 	}
 }
 
-// oneHolder lets candidates act in any order, with pauses, failed calls and lost replies. A paused candidate is
-// one that is not picked for a while.
+// oneHolder lets candidates act in any order, with pauses, failed calls and lost responses. A paused candidate is
+// one that is not drawn for a while. No order may be sent while an order of another holder is in flight, or after
+// one with a higher fencing token.
 func oneHolder(t *rapid.T) {
 	s := newSimulation(3, time.Second)
 	for range rapid.IntRange(5, 80).Draw(t, "steps") {
