--- a/rebalance/advisor.go
+++ b/rebalance/advisor.go
@@ -18,13 +18,13 @@
 	Decode  float64
 }
 
-// utilization is the demand for each role divided by the capacity of its engines; it exceeds one
-// under overload.
+// utilization returns the demand for each role divided by the capacity of its engines; it exceeds
+// one under overload.
 func (l Load) utilization() (prefill, decode float64) {
 	return l.Prefill / float64(max(l.PrefillEngines, 1)), l.Decode / float64(max(l.DecodeEngines, 1))
 }
 
-// maxUtilization is the utilization of the busier role.
+// maxUtilization returns the utilization of the busier role.
 func (l Load) maxUtilization() float64 {
 	prefill, decode := l.utilization()
 	return max(prefill, decode)
@@ -84,13 +84,15 @@
 type Advisor struct {
 	options Options
 
-	observed time.Duration
-	started  bool
-	prefill  float64
-	decode   float64
-	// candidate is the role that would gain an engine, unchanged since the time since.
-	candidate api.Role
-	since     time.Duration
+	// observedAt is when a load was last observed.
+	observedAt time.Duration
+	started    bool
+	// prefill and decode are the moving averages of the demand for each role.
+	prefill float64
+	decode  float64
+	// candidate is the role that would gain an engine; it has been the same since candidateSince.
+	candidate      api.Role
+	candidateSince time.Duration
 	// lastAdvised is when a change was last advised.
 	lastAdvised time.Duration
 	advised     bool
@@ -109,9 +111,9 @@
 	load.Prefill, load.Decode = a.prefill, a.decode
 	recommended := a.recommended(load)
 	if recommended != a.candidate {
-		a.candidate, a.since = recommended, now
+		a.candidate, a.candidateSince = recommended, now
 	}
-	if recommended == "" || now-a.since < a.options.Sustain {
+	if recommended == "" || now-a.candidateSince < a.options.Sustain {
 		return Advice{}, false
 	}
 	if a.advised && now-a.lastAdvised < a.options.Cooldown {
@@ -128,14 +130,14 @@
 	if !a.started {
 		a.started, a.prefill, a.decode = true, load.Prefill, load.Decode
 	} else {
-		weight := 1 - math.Exp(-(now-a.observed).Seconds()/a.options.Smoothing.Seconds())
+		weight := 1 - math.Exp(-(now-a.observedAt).Seconds()/a.options.Smoothing.Seconds())
 		a.prefill += weight * (load.Prefill - a.prefill)
 		a.decode += weight * (load.Decode - a.decode)
 	}
-	a.observed = now
+	a.observedAt = now
 }
 
-// recommended is the role that should gain an engine, or empty.
+// recommended returns the role that should gain an engine, or an empty one.
 func (a *Advisor) recommended(load Load) api.Role {
 	highest := load.maxUtilization()
 	if highest <= a.options.HighUtilization {
