--- a/controller/rolechange/reconciler.go
+++ b/controller/rolechange/reconciler.go
@@ -151,7 +151,7 @@
 	}
 	known.advice = &Advice{
 		Pool: configured.Name, Engine: lastEngineWithRole(configured, change.From), Role: change.To,
-		PrefillUse: change.PrefillUse, DecodeUse: change.DecodeUse,
+		PrefillUse: change.PrefillUtilization, DecodeUse: change.DecodeUtilization,
 	}
 	return known.advice
 }
--- a/rebalance/advisor.go
+++ b/rebalance/advisor.go
@@ -75,9 +75,9 @@
 	// From is the role that loses an engine, To the role that gains it.
 	From api.Role
 	To   api.Role
-	// PrefillUse and DecodeUse are the smoothed utilizations of the roles.
-	PrefillUse float64
-	DecodeUse  float64
+	// PrefillUtilization and DecodeUtilization are the smoothed utilizations of the roles.
+	PrefillUtilization float64
+	DecodeUtilization  float64
 }
 
 // Advisor tracks the load of one pool. It is not safe for concurrent use.
@@ -122,7 +122,7 @@
 	a.lastAdvised, a.advised = now, true
 	a.candidate = ""
 	advice := Advice{From: otherRole(recommended), To: recommended}
-	advice.PrefillUse, advice.DecodeUse = load.utilization()
+	advice.PrefillUtilization, advice.DecodeUtilization = load.utilization()
 	return advice, true
 }
 
