--- a/claim/client.go
+++ b/claim/client.go
@@ -11,7 +11,7 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// callTimeout bounds the wait for a claim shard's owner, and then for its successor. It is longer than
+// callTimeout bounds the call to a claim shard's owner, and then that to its successor. It is longer than
 // writeTimeout, after which an owner gives up a write.
 const callTimeout = writeTimeout + 200*time.Millisecond
 
@@ -27,14 +27,14 @@
 func NewClient(owners OwnerCaller) *Client { return &Client{owners: owners} }
 
 // Claim returns the identifier of the claim under which the call may run. On any error the caller must not run
-// the call. Each owner that is called gets a claim identifier of its own: one that answers too late must not
-// undo the claim that another one has made.
-func (c *Client) Claim(ctx context.Context, key Key, requestID string, body []byte) (string, error) {
+// the call. Each owner that is called gets a different claim identifier: an owner that answers too late must
+// not undo the claim that another one has made.
+func (c *Client) Claim(ctx context.Context, key Key, requestID string, bodyDigest []byte) (string, error) {
 	var claimID string
 	_, _, err := c.owners.CallOwnerOrSuccessor(ctx, OwnerKey(key.shard()), callTimeout, func(attempt int) *peerpb.Request {
 		claimID = attemptID(requestID, attempt)
 		return &peerpb.Request{Body: &peerpb.Request_Claim{Claim: &peerpb.Claim{
-			Tenant: key.Tenant, Key: key.ID.String(), BodyDigest: body, ClaimId: claimID,
+			Tenant: key.Tenant, Key: key.ID.String(), BodyDigest: bodyDigest, ClaimId: claimID,
 		}}}
 	})
 	if err == nil {
--- a/claim/property_test.go
+++ b/claim/property_test.go
@@ -26,8 +26,8 @@
 	pause time.Duration
 	// owners are the writers that the entry node considers the owner and its successor.
 	owners [2]int
-	// slow is the delay of the first owner's response.
-	slow time.Duration
+	// delay is the delay of the first owner's response.
+	delay time.Duration
 	// effects determine what the platform does with its next calls.
 	effects []platformsim.Effect
 }
@@ -37,12 +37,12 @@
 		key:     rapid.IntRange(0, 2).Draw(t, "key"),
 		pause:   time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond,
 		owners:  [2]int{rapid.IntRange(0, 2).Draw(t, "owner"), rapid.IntRange(0, 2).Draw(t, "successor")},
-		slow:    time.Duration(rapid.SampledFrom([]int{0, 0, 1000, 1800, 5000, 700_000}).Draw(t, "slow")) * time.Millisecond,
+		delay:   time.Duration(rapid.SampledFrom([]int{0, 0, 1000, 1800, 5000, 700_000}).Draw(t, "slow")) * time.Millisecond,
 		effects: rapid.SliceOfN(rapid.SampledFrom([]platformsim.Effect{platformsim.Pass, platformsim.Pass, platformsim.Reject, platformsim.DropReply}), 0, 6).Draw(t, "effects"),
 	}
 }
 
-// effectQueue returns the drawn effects, and then lets all calls pass.
+// effectQueue returns the drawn effects in order, and then lets all calls pass.
 type effectQueue struct {
 	mu      sync.Mutex
 	effects []platformsim.Effect
@@ -76,9 +76,9 @@
 func (o owners) CallOwnerOrSuccessor(ctx context.Context, _ string, timeout time.Duration, build func(int) *peerpb.Request) (*peerpb.Response, membership.Member, error) {
 	for number, index := range o.attempt.owners {
 		claim := build(number).GetClaim()
-		slow := time.Duration(0)
+		delay := time.Duration(0)
 		if number == 0 {
-			slow = o.attempt.slow
+			delay = o.attempt.delay
 		}
 		response := make(chan error, 1)
 		o.running.Add(1)
@@ -90,9 +90,9 @@
 				return
 			}
 			// Half of the delay is on the way to the owner, half on the way back.
-			time.Sleep(slow / 2)
+			time.Sleep(delay / 2)
 			err = o.writers[index].Claim(context.Background(), key, claim.GetClaimId(), claim.GetBodyDigest())
-			time.Sleep(slow / 2)
+			time.Sleep(delay / 2)
 			response <- err
 		}()
 		select {
@@ -123,8 +123,8 @@
 	granted = map[int]int{}
 	synctest.Test(t, func(t *testing.T) {
 		effects := &effectQueue{}
-		flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), effects.next)
-		writers := []*Writer{newWriter(flaky), newWriter(flaky), newWriter(flaky)}
+		store := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), effects.next)
+		writers := []*Writer{newWriter(store), newWriter(store), newWriter(store)}
 		var keys [3]Key
 		for i := range keys {
 			id, err := uuid.NewV7()
@@ -160,8 +160,8 @@
 	return granted
 }
 
-func newTestWriter(flaky *platformsim.FaultyStore) *Writer {
-	return NewWriter(flaky, metrics.NewSet(), time.Now)
+func newTestWriter(store *platformsim.FaultyStore) *Writer {
+	return NewWriter(store, metrics.NewSet(), time.Now)
 }
 
 func TestKeyIsGrantedAtMostOnce(t *testing.T) {
@@ -174,19 +174,20 @@
 	})
 }
 
-// TestOracleDetectsUndoneClaim verifies the check of atMostOnce. A late owner that works must not undo the claim
-// that its successor made; a faulty writer that removes the claims of other attempts must be detected.
+// TestOracleDetectsUndoneClaim verifies the check of atMostOnce. A correct owner that answers too late must not
+// undo the claim that its successor made; a faulty writer that removes the claims of other attempts must be
+// detected.
 func TestOracleDetectsUndoneClaim(t *testing.T) {
 	attempts := []attempt{
 		// The first owner writes the claim and answers too late; the successor grants.
-		{key: 0, owners: [2]int{0, 1}, slow: 1800 * time.Millisecond, pause: 6 * time.Second},
+		{key: 0, owners: [2]int{0, 1}, delay: 1800 * time.Millisecond, pause: 6 * time.Second},
 		{key: 0, owners: [2]int{0, 1}},
 	}
 	if granted := runAttempts(t, attempts, newTestWriter); granted[0] != 1 {
 		t.Fatalf("granted %d times", granted[0])
 	}
-	forgetful := func(flaky *platformsim.FaultyStore) *Writer {
-		writer := newTestWriter(flaky)
+	newFaultyWriter := func(store *platformsim.FaultyStore) *Writer {
+		writer := newTestWriter(store)
 		// This writer considers every claim abandoned.
 		for number := range 2 {
 			for attempt := range 2 {
@@ -195,23 +196,23 @@
 		}
 		return writer
 	}
-	mixed := 0
-	broken := func(flaky *platformsim.FaultyStore) *Writer {
-		mixed++
-		if mixed == 1 {
-			return forgetful(flaky)
+	created := 0
+	firstFaulty := func(store *platformsim.FaultyStore) *Writer {
+		created++
+		if created == 1 {
+			return newFaultyWriter(store)
 		}
-		return newTestWriter(flaky)
+		return newTestWriter(store)
 	}
 	attempts = []attempt{
 		{key: 0, owners: [2]int{1, 2}, pause: time.Second},
-		// The forgetful writer removes the existing claim with its next write.
+		// The faulty writer removes the existing claim with its next write.
 		{key: 1, owners: [2]int{0, 0}, pause: time.Second},
 		{key: 0, owners: [2]int{0, 0}, pause: 3 * time.Second},
 		{key: 0, owners: [2]int{2, 1}, pause: time.Second},
 	}
-	if granted := runAttempts(t, attempts, broken); granted[0] < 2 {
-		t.Fatalf("the broken writer granted the key %d times, so the check was not exercised", granted[0])
+	if granted := runAttempts(t, attempts, firstFaulty); granted[0] < 2 {
+		t.Fatalf("with a faulty writer the key was granted %d times, so the check was not exercised", granted[0])
 	}
 }
 
@@ -263,8 +264,8 @@
 
 func TestOutageIsReportedAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		flaky := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect { return platformsim.Reject })
-		writer := NewWriter(flaky, metrics.NewSet(), time.Now)
+		store := platformsim.NewFaultyStore(platformsim.NewStore(platformsim.Options{}), func(bool) platformsim.Effect { return platformsim.Reject })
+		writer := NewWriter(store, metrics.NewSet(), time.Now)
 		id, err := uuid.NewV7()
 		if err != nil {
 			t.Fatal(err)
--- a/claim/record.go
+++ b/claim/record.go
@@ -12,8 +12,8 @@
 type record struct {
 	// ClaimID identifies the attempt that made the claim.
 	ClaimID string `json:"id"`
-	// Body is the digest of the call's body, to detect another call with the same key.
-	Body []byte `json:"body,omitempty"`
+	// BodyDigest is the digest of the call's body, to detect another call with the same key.
+	BodyDigest []byte `json:"body,omitempty"`
 }
 
 // attemptSeparator separates a request's identifier from the number of its attempt.
--- a/claim/writer.go
+++ b/claim/writer.go
@@ -32,11 +32,13 @@
 
 // operation is one claim, or the withdrawal of one.
 type operation struct {
-	key      Key
-	claimID  string
-	body     []byte
+	key        Key
+	claimID    string
+	bodyDigest []byte
+	// withdraw is set for a withdrawal.
 	withdraw bool
-	done     chan error
+	// done receives the result.
+	done chan error
 }
 
 // Writer writes the claims of the shards that the node owns. It is safe for concurrent use. Two nodes that both
@@ -46,8 +48,10 @@
 	metrics *metrics.Set
 	now     func() time.Time
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// pending holds the operations that are not written yet, by object name.
 	pending map[string][]*operation
+	// running is set for the shards whose operations are being written.
 	running map[int]bool
 	// abandoned are the identifiers of claims that were reported as failed although they may have been
 	// recorded, with the times of the reports. No call was sent under them, so they are removed with the next
@@ -56,7 +60,7 @@
 	writes    tasks.Group
 }
 
-// NewWriter returns a writer.
+// NewWriter returns a writer without pending operations.
 func NewWriter(store objectapi.Store, set *metrics.Set, now func() time.Time) *Writer {
 	return &Writer{
 		store: store, metrics: set, now: now,
@@ -66,11 +70,11 @@
 
 // Claim records that the call runs under claimID. It returns nil if the caller may run the call, now and only
 // once.
-func (w *Writer) Claim(ctx context.Context, key Key, claimID string, body []byte) error {
+func (w *Writer) Claim(ctx context.Context, key Key, claimID string, bodyDigest []byte) error {
 	if err := key.CheckAge(w.now()); err != nil {
 		return err
 	}
-	return w.submit(ctx, &operation{key: key, claimID: claimID, body: body, done: make(chan error, 1)})
+	return w.submit(ctx, &operation{key: key, claimID: claimID, bodyDigest: bodyDigest, done: make(chan error, 1)})
 }
 
 // Withdraw removes the claim of a call that certainly did not run.
@@ -220,11 +224,11 @@
 	case w.isAbandoned(op.claimID):
 		return false, ErrUnavailable
 	case !exists, supersedes(op.claimID, existing.ClaimID):
-		stored.Claims[field] = record{ClaimID: op.claimID, Body: op.body}
+		stored.Claims[field] = record{ClaimID: op.claimID, BodyDigest: op.bodyDigest}
 		return true, nil
 	case existing.ClaimID == op.claimID:
 		return false, nil
-	case !bytes.Equal(existing.Body, op.body):
+	case !bytes.Equal(existing.BodyDigest, op.bodyDigest):
 		return false, api.NewError(http.StatusConflict, api.CodeKeyConflict, api.OutcomeNotRun, "the key belongs to a call with another body")
 	default:
 		return false, api.NewError(http.StatusConflict, api.CodeAlreadyClaimed, api.OutcomeUnknown, "a call with this key has been started before")
