--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -25,7 +25,7 @@
 	return !unresponsive
 }
 
-// ResponsivenessChanges returns how often a node has become unresponsive or responsive again so far.
+// ResponsivenessChanges returns the number of times that any node has become unresponsive or responsive again.
 func (s *Syncer) ResponsivenessChanges() uint64 { return s.responsivenessChanges.Load() }
 
 // UnresponsiveFor returns how long a node has not answered; zero if it is responsive.
@@ -98,8 +98,8 @@
 // with other zones itself: the time of several comparisons.
 const zoneContactTimeout = 3 * time.Second
 
-// mayExchange reports whether objects are exchanged with a node: with nodes of the own zone always, and with
-// all nodes where this node is a zone relay or gets no response from its zone. Otherwise each change would
+// mayExchange reports whether objects are exchanged with a node: always with nodes of this node's zone, and
+// with all nodes if this node is a zone relay or gets no response from its zone. Otherwise each change would
 // cross zone borders about as often as there are nodes.
 func (s *Syncer) mayExchange(address string) bool {
 	if s.options.SameZone(address) || s.options.IsZoneRelay() {
--- a/antientropy/doc.go
+++ b/antientropy/doc.go
@@ -1,7 +1,7 @@
 // Package antientropy replicates the store's objects between nodes. At each interval a node compares its
 // replica with that of another node, and each applies the objects that are newer at the other. When an object
 // changes, a node also pushes the update to a few nodes of its zone, which push it on in turn (push.go).
-// Updates that come from the store it pushes to one node of each other zone as well. Anti-entropy exchanges
+// It also pushes updates that come from the store to one node of each other zone. Anti-entropy exchanges
 // deliver what the pushes miss.
 //
 // A replica is divided into buckets, and a bucket into parts, by the hash of an object's key. Replicas are
--- a/antientropy/exchange.go
+++ b/antientropy/exchange.go
@@ -18,7 +18,7 @@
 func (s *Syncer) beginExchange(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if current, underWay := s.exchanging[address]; underWay {
+	if current, inProgress := s.exchanging[address]; inProgress {
 		current.differedAgain = true
 		s.exchanging[address] = current
 		return false
@@ -30,7 +30,8 @@
 	return true
 }
 
-// endExchange ends an exchange. Changes during the exchange schedule a new round at once.
+// endExchange ends an exchange. If a comparison has found a difference during the exchange, a new round is
+// scheduled at once.
 func (s *Syncer) endExchange(address string) {
 	s.mu.Lock()
 	differedAgain := s.exchanging[address].differedAgain
@@ -41,17 +42,17 @@
 	}
 }
 
-// logBulkFailure logs a failed call with long contents. The other node may be responsive all the same:
-// comparisons decide that.
-func (s *Syncer) logBulkFailure(ctx context.Context, what, address string, err error) {
+// logBulkFailure logs a failed call on the bulk lane. The other node may still be responsive: comparisons
+// decide that.
+func (s *Syncer) logBulkFailure(ctx context.Context, message, address string, err error) {
 	if ctx.Err() == nil {
-		s.options.Logger.Warn(what, "address", address, "error", err.Error())
+		s.options.Logger.Warn(message, "address", address, "error", err.Error())
 	}
 }
 
 // exchangeAll reconciles the buckets that differ. If the other node cannot compare parts, only a few buckets are
-// exchanged after one comparison. All are if the other replica is complete and this one is not: otherwise a
-// starting node would need one comparison for each message that the fleet's objects fill.
+// exchanged after one comparison. If the other replica is complete and this one is not, all are exchanged,
+// because a starting node would otherwise need one comparison for each message that the fleet's objects fill.
 func (s *Syncer) exchangeAll(ctx context.Context, address string, compared comparison) error {
 	differing, batchSize := compared.differing, bucketsPerExchange
 	switch {
@@ -154,8 +155,8 @@
 // complete reports whether the other node has nothing newer left.
 func (r exchangeResult) complete() bool { return !r.truncated && r.offered == 0 }
 
-// exchange applies the objects that another node has newer in some sections, and sends it those that are newer
-// here.
+// exchange applies the objects of some sections that are newer at another node, and sends it those that are
+// newer here.
 func (s *Syncer) exchange(ctx context.Context, address string, sections []replica.Section) (exchangeResult, error) {
 	request := &peerpb.ExchangeObjects{
 		Versions: objectVersions(s.options.Replica.Versions(sections)), ReadsCompressed: true,
--- a/antientropy/handler.go
+++ b/antientropy/handler.go
@@ -27,7 +27,8 @@
 }
 
 func (s *Syncer) handleCompare(request *peerpb.CompareReplicas) *peerpb.Response {
-	// Read before the digest is taken: a replica that is complete stays so.
+	// Read before the digest is computed, so that the digest of a replica that is reported as complete is that of a
+	// complete one: a complete replica stays complete.
 	isComplete := s.options.Complete()
 	compared := &peerpb.ReplicaVersions{Same: request.GetDigest() == s.options.Replica.Digest(), Whole: isComplete, ComparesParts: true, UrgentAgeMs: s.reportedUrgentAge()}
 	if !compared.GetSame() {
--- a/antientropy/partners.go
+++ b/antientropy/partners.go
@@ -73,7 +73,7 @@
 	return candidates[:min(count, len(candidates))]
 }
 
-// isMonitorRound reports whether this round is for the monitored nodes.
+// isMonitorRound counts a new round and reports whether it is for the monitored nodes.
 func (s *Syncer) isMonitorRound() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/antientropy/partners_test.go
+++ b/antientropy/partners_test.go
@@ -39,19 +39,20 @@
 	return addresses
 }
 
-// selected returns all nodes of many rounds.
+// selected returns all nodes that are selected in the given number of rounds, either to be pushed to or to be
+// compared with.
 func selected(s *Syncer, rounds int, isPush bool) map[string]bool {
-	seen := map[string]bool{}
+	addresses := map[string]bool{}
 	for range rounds {
 		round := s.selectPeers
 		if isPush {
 			round = func() []string { return s.selectedForPush() }
 		}
 		for _, address := range round() {
-			seen[address] = true
+			addresses[address] = true
 		}
 	}
-	return seen
+	return addresses
 }
 
 // TestConnectionsDoNotGrowWithFleetSize counts the nodes that one of 400 nodes calls in a period.
@@ -137,7 +138,7 @@
 	NewWithT(t).Expect(selected(newSelector(fleet, fleet), 10_000, false)).To(HaveLen(len(fleet)))
 }
 
-// zonedFleet is a fleet of three zones whose nodes select peers by one seed.
+// zonedFleet is a fleet of several zones whose nodes select peers by one seed.
 type zonedFleet struct {
 	addresses []string
 	zoneOf    map[string]int
@@ -166,9 +167,9 @@
 	return fleet
 }
 
-// propagate pushes an update of one node to all, and returns how many received it in the end, and how many
-// calls that took, in total and across zone borders.
-func (f zonedFleet) propagate(from string, rounds int) (count, calls, across int) {
+// propagate pushes an update of one node to all. It returns how many nodes have received it after the rounds, and
+// how many calls that took, in total and across zone borders.
+func (f zonedFleet) propagate(from string, rounds int) (count, calls, callsAcrossZones int) {
 	reached := map[string]bool{from: true}
 	senders := []string{from}
 	for range rounds {
@@ -177,7 +178,7 @@
 			for _, other := range f.nodes[address].selectedForPush() {
 				calls++
 				if f.zoneOf[other] != f.zoneOf[address] {
-					across++
+					callsAcrossZones++
 				}
 				if !reached[other] {
 					reached[other] = true
@@ -187,7 +188,7 @@
 		}
 		senders = next
 	}
-	return len(reached), calls, across
+	return len(reached), calls, callsAcrossZones
 }
 
 // TestUpdatesCrossZonesThroughRelays propagates updates in fleets of three zones. Most nodes receive them, and
@@ -205,10 +206,10 @@
 	for seed := range uint64(fleets) {
 		fleet := newZonedFleet(size, zones, seed)
 		// One node of a zone has an update that the store does not have.
-		delivered, calls, across := fleet.propagate(fleet.addresses[200], rounds)
+		delivered, calls, callsAcrossZones := fleet.propagate(fleet.addresses[200], rounds)
 		reached += delivered
-		g.Expect(across).To(BeNumerically("<=", 2*zonedWatchers))
-		g.Expect(calls).To(BeNumerically(">", 10*across))
+		g.Expect(callsAcrossZones).To(BeNumerically("<=", 2*zonedWatchers))
+		g.Expect(calls).To(BeNumerically(">", 10*callsAcrossZones))
 	}
 	g.Expect(reached).To(BeNumerically(">", fleets*size*3/4), "the rest receive the update by periodic comparisons")
 }
@@ -239,8 +240,8 @@
 	})
 }
 
-// TestMonitoredNodesAreComparedInTime has one node monitor a thousand others: it must detect the lost ones
-// within a minute whatever the size of the fleet.
+// TestMonitoredNodesAreComparedInTime has one node monitor up to 2,000 others: it must compare with most of them
+// within a minute whatever the size of the fleet, so that it detects the lost ones.
 func TestMonitoredNodesAreComparedInTime(t *testing.T) {
 	for _, size := range []int{100, 1000, 2000} {
 		fleet := fleetOf(size)
--- a/antientropy/push.go
+++ b/antientropy/push.go
@@ -20,7 +20,7 @@
 // all of them. The zero value is empty. It is safe for concurrent use.
 type pendingUpdates struct {
 	mu sync.Mutex
-	// fromStore is true for an object that this node has from the store, or created itself.
+	// fromStore is true for an object that this node received from the store, or created itself.
 	fromStore map[replica.Key]bool
 	// overflowed is set if some objects were left out.
 	overflowed bool
@@ -40,8 +40,8 @@
 	p.fromStore[key] = p.fromStore[key] || fromStore
 }
 
-// drain returns all objects, those from the store, and whether these are all that changed, and resets the set.
-func (p *pendingUpdates) drain() (all, fromStore []replica.Key, isComplete bool) {
+// take returns all objects, those from the store, and whether these are all that changed, and resets the set.
+func (p *pendingUpdates) take() (all, fromStore []replica.Key, isComplete bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for key, isFromStore := range p.fromStore {
@@ -68,7 +68,7 @@
 // pushUpdates pushes changed objects to some nodes of the zone, and those from the store to relays of other
 // zones. If the changed objects are not known, or are too many, replicas are compared instead.
 func (s *Syncer) pushUpdates(ctx context.Context) {
-	all, fromStore, isComplete := s.pending.drain()
+	all, fromStore, isComplete := s.pending.take()
 	s.notePush()
 	if len(all) == 0 || !isComplete {
 		s.forEach(s.syncTargets(), func(address string) { s.syncWith(ctx, address) })
--- a/antientropy/push_test.go
+++ b/antientropy/push_test.go
@@ -60,7 +60,7 @@
 }
 
 // TestSlowNodeDoesNotDelayUpdates pushes changes to two nodes, one of which takes a second for each. The other
-// one must receive all of them meanwhile.
+// one must receive all of them within that second.
 func TestSlowNodeDoesNotDelayUpdates(t *testing.T) {
 	g := NewWithT(t)
 	first, slow, other := newTestNode(t), newTestNode(t), newTestNode(t)
@@ -76,18 +76,18 @@
 	g.Eventually(slow.has("changed-2"), 10*time.Second).Should(BeTrue())
 }
 
-// TestPendingUpdatesAreBounded adds more changes than are kept.
+// TestPendingUpdatesAreBounded adds one change more than are kept.
 func TestPendingUpdatesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var pending pendingUpdates
 	for i := range maxPending + 1 {
 		pending.add(replica.Key{Kind: "things", Name: strconv.Itoa(i)}, i%2 == 0)
 	}
-	all, fromStore, isComplete := pending.drain()
+	all, fromStore, isComplete := pending.take()
 	g.Expect(all).To(HaveLen(maxPending))
 	g.Expect(fromStore).To(HaveLen(maxPending / 2))
 	g.Expect(isComplete).To(BeFalse())
-	all, _, isComplete = pending.drain()
+	all, _, isComplete = pending.take()
 	g.Expect(all).To(BeEmpty())
 	g.Expect(isComplete).To(BeTrue())
 }
--- a/antientropy/pushthrottle.go
+++ b/antientropy/pushthrottle.go
@@ -28,8 +28,8 @@
 	return updates
 }
 
-// start starts the interval after a round. It is twice as long as the one before if the round followed soon
-// after that.
+// start starts the interval after a round. It is twice as long as the previous interval if the round followed
+// soon after the end of that one.
 func (t *pushThrottle) start(now time.Time) {
 	if t.interval == 0 || now.Sub(t.endedAt) > minPushInterval {
 		t.interval = minPushInterval
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -43,7 +43,7 @@
 	// Peers returns the addresses of the other nodes.
 	Peers func() []string
 	// Monitored returns the addresses of nodes that are compared with in addition to the partners, whatever
-	// their zone: those that watch the store, and all nodes at the node that removes lost ones. Default: none.
+	// their zone: those that watch the store, or all nodes if this node removes lost ones. Default: none.
 	Monitored func() []string
 	// SameZone reports whether a node is in this node's zone. Updates are pushed to such nodes. Default: all
 	// are.
@@ -66,7 +66,7 @@
 	Address string
 	// LinkBytes is the bandwidth of this node's link in bytes per second. Default: unlimited.
 	LinkBytes float64
-	// Refetch reads an object from the store that no node can send any more, and applies it. Default: no call.
+	// Refetch reads from the store an object that no node can send any more, and applies it. Default: no call.
 	Refetch func(ctx context.Context, key replica.Key)
 	// Client calls other nodes.
 	Client *peer.Client
@@ -103,7 +103,7 @@
 	transfers *transfers
 	// uploads limits the chunks that this node sends, in bytes.
 	uploads *rate.Limiter
-	// background waits for work that runs beside the comparisons; ctx ends it.
+	// background waits for work that runs concurrently with the comparisons; ctx ends that work.
 	background sync.WaitGroup
 	ctx        context.Context
 	stop       context.CancelFunc
@@ -193,7 +193,7 @@
 	return rate.NewLimiter(rate.Limit(linkBytes*uploadShare), burst)
 }
 
-// inBackground runs work beside the comparisons, until Close at the latest.
+// inBackground runs work concurrently with the comparisons. Close ends it.
 func (s *Syncer) inBackground(work func(ctx context.Context)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,14 +218,14 @@
 // ScheduleUrgentSync schedules an immediate push or comparison. It never blocks.
 func (s *Syncer) ScheduleUrgentSync() { notify(s.urgentUpdates) }
 
-func notify(waiting chan struct{}) {
+func notify(signal chan struct{}) {
 	select {
-	case waiting <- struct{}{}:
+	case signal <- struct{}{}:
 	default:
 	}
 }
 
-// Run compares and pushes until the context ends.
+// Run compares the replica with those of other nodes and pushes updates until the context ends.
 func (s *Syncer) Run(ctx context.Context) {
 	defer s.Close()
 	ticker := time.NewTicker(s.options.Interval)
@@ -268,7 +268,7 @@
 		return
 	}
 	if !compared.otherComplete && !s.mayRepair() || !s.beginExchange(address) {
-		// The next comparison continues.
+		// A later comparison starts the exchange.
 		return
 	}
 	s.inBackground(func(ctx context.Context) {
@@ -306,7 +306,7 @@
 	}
 	versions := response.GetReplicaVersions()
 	s.notePartsSupport(address, versions.GetComparesParts())
-	// A complete replica stays complete: there is nothing left to record then.
+	// A complete replica stays complete: once this one is, there is nothing left to record.
 	compared := comparison{otherComplete: versions.GetWhole() && !s.options.Complete(), supportsParts: versions.GetComparesParts(), confirmedAt: confirmedAt(began, versions)}
 	if !versions.GetSame() {
 		compared.differing = shuffled(s.options.Replica.DifferingBuckets(versions.GetBuckets()))
--- a/antientropy/syncer_test.go
+++ b/antientropy/syncer_test.go
@@ -41,7 +41,8 @@
 	mu sync.Mutex
 	// largestCall is the size of the largest request or response of a call to it.
 	largestCall int
-	// responseBytes is the number of bytes that it has sent in responses, and requestBytes of those received in requests.
+	// responseBytes is the number of bytes that it has sent in responses, and requestBytes the number that it has
+	// received in requests.
 	responseBytes, requestBytes int
 }
 
@@ -93,8 +94,8 @@
 	return n
 }
 
-// compare compares the replica with that of another node and reconciles them, as far as one comparison goes,
-// including the chunked objects whose fetch it starts.
+// compare compares the replica with that of another node once and reconciles the buckets that this covers,
+// including the chunked objects that must be fetched.
 func (n *testNode) compare(ctx context.Context, address string) error {
 	compared, err := n.syncer.compare(ctx, address)
 	if err != nil {
@@ -220,14 +221,14 @@
 }
 
 // TestDifferenceCostDoesNotGrowWithReplica counts the bytes of one change in replicas of 1,000, 10,000 and
-// 20,000 objects. When all versions of a bucket were sent, each change of each of thousands of backends cost
-// each pair of nodes as many bytes as the bucket had objects.
+// 20,000 objects. If all versions of a bucket were sent, each change of one of thousands of backends would cost
+// each pair of nodes a number of bytes that grows with the objects of the bucket.
 func TestDifferenceCostDoesNotGrowWithReplica(t *testing.T) {
 	g := NewWithT(t)
-	small, large, twice := bytesOfOneDifference(t, 1000, false), bytesOfOneDifference(t, 10_000, false), bytesOfOneDifference(t, 20_000, false)
-	t.Logf("bytes of one change among 1,000, 10,000 and 20,000: %d, %d, %d", small, large, twice)
+	small, large, largest := bytesOfOneDifference(t, 1000, false), bytesOfOneDifference(t, 10_000, false), bytesOfOneDifference(t, 20_000, false)
+	t.Logf("bytes of one change among 1,000, 10,000 and 20,000: %d, %d, %d", small, large, largest)
 	g.Expect(large).To(BeNumerically("<", 2*small))
-	g.Expect(twice).To(BeNumerically("<", large*3/2))
+	g.Expect(largest).To(BeNumerically("<", large*3/2))
 }
 
 // TestOlderNodesCompareWholeBuckets exchanges objects with a node whose build does not know parts.
--- a/antientropy/syncstatus_test.go
+++ b/antientropy/syncstatus_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestReportedAgeAccumulates compares with a node that watches the store, and with one whose last confirmation
-// by such a node is a while ago.
+// TestReportedAgeAccumulates compares with a node that watches the store, and with one that such a node last
+// confirmed some seconds ago: the age must include these seconds.
 func TestReportedAgeAccumulates(t *testing.T) {
 	const sinceConfirmed = 5 * time.Second
 	for name, test := range map[string]struct {
--- a/antientropy/transfer.go
+++ b/antientropy/transfer.go
@@ -19,8 +19,8 @@
 
 	// have holds the chunks that this node already has.
 	have map[chunk.ID][]byte
-	// missing holds the others in random order, so that nodes which fetch at the same time get different ones
-	// and can exchange them.
+	// missing holds the other chunks in random order, so that nodes which fetch at the same time get different
+	// ones and can exchange them.
 	missing []chunk.Reference
 	sources []*source
 	// progressedAt is when the last chunk arrived.
@@ -42,14 +42,14 @@
 func newTransfer(record replica.Record, manifest chunk.Manifest, find func(chunk.ID) ([]byte, bool)) *transfer {
 	now := time.Now()
 	t := &transfer{record: record, manifest: manifest, began: now, progressedAt: now, have: map[chunk.ID][]byte{}}
-	wanted := map[chunk.ID]bool{}
+	isMissing := map[chunk.ID]bool{}
 	for _, reference := range manifest {
 		if content, found := find(reference.ID); found {
 			t.have[reference.ID] = content
 			continue
 		}
-		if !wanted[reference.ID] {
-			wanted[reference.ID] = true
+		if !isMissing[reference.ID] {
+			isMissing[reference.ID] = true
 			t.missing = append(t.missing, reference)
 		}
 	}
--- a/antientropy/transfers.go
+++ b/antientropy/transfers.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// chunksTimeout bounds one call for chunks. They take 26 ms on the slowest link that is supported, and so
-	// 0.8 s where thirty calls share it.
+	// chunksTimeout bounds one call for chunks. The chunks of a call take 26 ms on the slowest supported link,
+	// and so 0.8 s where thirty calls share it.
 	chunksTimeout = time.Second
 	// sourceRetryDelay is how long no chunks are requested from a node that had none to send: about the time in
 	// which it receives one more chunk.
@@ -41,8 +41,8 @@
 	return &transfers{syncer: syncer, index: newChunkIndex(), byKey: map[replica.Key]*transfer{}}
 }
 
-// offer records that another node has a version of an object, or a part of it, and fetches it unless this node
-// has it.
+// offer records that another node has a version of an object, or some of its chunks, and starts to fetch that
+// version unless this node has it.
 func (ts *transfers) offer(record replica.Record, manifest chunk.Manifest, address string) {
 	if ts.has(record) {
 		return
@@ -107,8 +107,8 @@
 	return nil, false
 }
 
-// run fetches until the object is complete, a newer version replaces it, or no source is left; in that case the
-// next offer resumes it.
+// run fetches chunks until the object is complete, a newer version replaces it, or no source is left. In the last
+// case the next offer resumes the transfer.
 func (ts *transfers) run(ctx context.Context, t *transfer) {
 	ts.announce(t)
 	for ctx.Err() == nil {
