--- a/replica/property_test.go
+++ b/replica/property_test.go
@@ -94,8 +94,8 @@
 	return sections
 }
 
-// TestExchangeMakesAlike compares two replicas and exchanges the records that differ.
-func TestExchangeMakesAlike(t *testing.T) {
+// TestExchangeMakesReplicasEqual compares two replicas and exchanges the records that differ.
+func TestExchangeMakesReplicasEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawRecords(t)
 		first, second := replica.New("urgent", ignoreChange), replica.New("urgent", ignoreChange)
@@ -135,8 +135,8 @@
 	g.Expect(local.Live(kind)).To(HaveLen(2), "a late update does not restore a deleted object")
 }
 
-// TestInvalidBucketNumbersAreSkipped asks for buckets that do not exist, and for one bucket twice, as another
-// node may.
+// TestInvalidBucketNumbersAreSkipped requests buckets that do not exist, and one bucket twice, as another node
+// may.
 func TestInvalidBucketNumbersAreSkipped(t *testing.T) {
 	g := NewWithT(t)
 	local := replica.New("urgent", ignoreChange)
@@ -148,7 +148,7 @@
 	g.Expect(there).To(BeEmpty())
 }
 
-// TestPartsOfInvalidBucketsAreEmpty asks for the parts of buckets that do not exist, and compares with a
+// TestPartsOfInvalidBucketsAreEmpty requests the parts of buckets that do not exist, and compares with a
 // different number of parts, as another node may.
 func TestPartsOfInvalidBucketsAreEmpty(t *testing.T) {
 	g := NewWithT(t)
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -228,7 +228,8 @@
 	r.dropTombstones()
 }
 
-// unlisted returns the names of the live objects of a kind that a list does not contain.
+// unlisted returns the names of the live objects of a kind that a list as of a revision does not contain. Objects
+// that are newer than the revision are left out.
 func (r *Replica) unlisted(kind objectapi.Kind, listed map[string]bool, revision int64) []string {
 	var names []string
 	for key, record := range r.allRecords() {
@@ -244,8 +245,8 @@
 func (r *Replica) apply(source Source, record Record) bool {
 	number, part := r.locate(record.Key())
 	bucket := &r.buckets[number]
-	known, exists := bucket.records[record.Key()]
-	if exists && known.Object.Version >= record.Object.Version {
+	current, exists := bucket.records[record.Key()]
+	if exists && current.Object.Version >= record.Object.Version {
 		return false
 	}
 	if record.Deleted {
@@ -253,14 +254,14 @@
 		r.tombstones++
 	}
 	if exists {
-		bucket.toggle(part, known)
-		if known.Deleted {
+		bucket.toggle(part, current)
+		if current.Deleted {
 			r.tombstones--
 		}
 	}
 	bucket.toggle(part, record)
 	bucket.records[record.Key()] = record
-	r.pending = append(r.pending, Change{Record: record, Source: source, New: !exists || known.Deleted})
+	r.pending = append(r.pending, Change{Record: record, Source: source, New: !exists || current.Deleted})
 	return true
 }
 
@@ -432,20 +433,20 @@
 func (r *Replica) Compare(sections []Section, others []Record) (newerHere, newerThere []Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen := make(map[Key]bool, len(others))
+	existsThere := make(map[Key]bool, len(others))
 	for _, other := range others {
 		key := other.Key()
-		seen[key] = true
-		known, exists := r.bucketOf(key).records[key]
+		existsThere[key] = true
+		local, exists := r.bucketOf(key).records[key]
 		switch {
-		case !exists || known.Object.Version < other.Object.Version:
+		case !exists || local.Object.Version < other.Object.Version:
 			newerThere = append(newerThere, key)
-		case known.Object.Version > other.Object.Version:
+		case local.Object.Version > other.Object.Version:
 			newerHere = append(newerHere, key)
 		}
 	}
 	for record := range r.recordsIn(sections) {
-		if key := record.Key(); !seen[key] {
+		if key := record.Key(); !existsThere[key] {
 			newerHere = append(newerHere, key)
 		}
 	}
