--- a/chunk/chunk.go
+++ b/chunk/chunk.go
@@ -89,13 +89,13 @@
 
 // Join reassembles the content of a manifest from its chunks.
 func (m Manifest) Join(contents map[ID][]byte) ([]byte, error) {
-	whole := make([]byte, 0, m.Bytes())
+	joined := make([]byte, 0, m.Bytes())
 	for _, reference := range m {
-		part, found := contents[reference.ID]
+		content, found := contents[reference.ID]
 		if !found {
 			return nil, ErrIncomplete
 		}
-		whole = append(whole, part...)
+		joined = append(joined, content...)
 	}
-	return whole, nil
+	return joined, nil
 }
