--- a/replica/property_test.go
+++ b/replica/property_test.go
@@ -94,8 +94,8 @@
 	return sections
 }
 
-// TestExchangeMakesReplicasEqual compares two replicas and exchanges the records that differ.
-func TestExchangeMakesReplicasEqual(t *testing.T) {
+// TestExchangeMakesAlike compares two replicas and exchanges the records that differ.
+func TestExchangeMakesAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawRecords(t)
 		first, second := replica.New("urgent", ignoreChange), replica.New("urgent", ignoreChange)
