--- a/membership/doc.go
+++ b/membership/doc.go
@@ -7,8 +7,8 @@
 // therefore depends on the size of its zone and the number of zones, not on the
 // size of the fleet.
 //
-// The platform's machine list and the configured seeds are only hints at
-// addresses to contact. Only a node that answers becomes a member.
+// The platform's machine list and the configured seeds only provide addresses to
+// contact. A node becomes a member once it answers.
 //
 // Table holds the state and receives the time as an argument; Service exchanges
 // the heartbeats.
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -59,7 +59,7 @@
 	g.Expect(table.ObserveDigests(startTime.Add(time.Second), older)).To(BeEmpty(), "an older report is ignored")
 }
 
-func TestMajority(t *testing.T) {
+func TestLostMembersCountAgainstMajority(t *testing.T) {
 	g := NewWithT(t)
 	table := newTable("a", "zone")
 	table.ObserveMember(startTime, member("b", "zone", 1))
--- a/membership/service.go
+++ b/membership/service.go
@@ -141,15 +141,15 @@
 		}
 		return
 	}
-	reply := response.GetHeartbeat()
-	stale := s.observe(reply)
+	received := response.GetHeartbeat()
+	stale := s.observe(received)
 	if target.Join {
-		stale = s.table.ZonesToFetch(s.now(), reply.GetMember().GetZone())
+		stale = s.table.ZonesToFetch(s.now(), received.GetMember().GetZone())
 	}
 	for _, zone := range stale {
 		s.fetch(ctx, target.Address, zone)
 	}
-	if s.needsZoneDiscovery(reply) {
+	if s.needsZoneDiscovery(received) {
 		s.discoverZones(ctx, target.Address)
 	}
 }
@@ -160,9 +160,9 @@
 	return s.table.NeedsZoneDiscovery(s.now(), heartbeat.GetMember().GetZone(), heartbeat.GetZonesDigest())
 }
 
-// discoverZones asks a node of another zone for the representatives that it
-// knows and this node does not. Seeds may exist in some zones only; the other
-// zones discover each other in this way.
+// discoverZones requests from a node of another zone the representatives that it
+// knows, and remembers those of zones that this node does not reach. Seeds may
+// exist in some zones only; the other zones discover each other in this way.
 func (s *Service) discoverZones(ctx context.Context, address string) {
 	request := &peerpb.Request{Body: &peerpb.Request_FetchZone{FetchZone: &peerpb.FetchZone{Zone: s.table.Self().Zone, Representatives: true}}}
 	response, err := s.caller.Call(ctx, address, request)
@@ -202,7 +202,7 @@
 	return s.table.ObserveDigests(s.now(), heartbeat.GetDigests())
 }
 
-// fetch asks a node for the members of one zone, or of all zones if zone is
+// fetch requests from a node the members of one zone, or of all zones if zone is
 // empty.
 func (s *Service) fetch(ctx context.Context, address, zone string) {
 	request := &peerpb.Request{Body: &peerpb.Request_FetchZone{FetchZone: &peerpb.FetchZone{Zone: zone}}}
--- a/membership/table.go
+++ b/membership/table.go
@@ -291,8 +291,8 @@
 
 // SeesMajority reports whether the node is in contact, directly or through
 // representatives, with more than half of the nodes that it has known within
-// the forget timeout. A node that is not is likely to be the one that is
-// partitioned.
+// the forget timeout. A node without this contact is likely to be the one that
+// is partitioned from the others.
 func (t *Table) SeesMajority(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -347,7 +347,7 @@
 }
 
 // HasLiveContact reports whether another node has sent a heartbeat within the
-// failure timeout, and whether one ever has.
+// failure timeout, and whether any has ever sent one.
 func (t *Table) HasLiveContact(now time.Time) (hasContact, everHad bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -24,8 +24,8 @@
 // Targets returns the nodes whose heartbeat is due, and records the attempt to
 // contact them.
 //
-// In each pair of a zone the node with the lower name calls; the other one calls
-// only if it has received no heartbeat for half an interval longer.
+// Of each pair of nodes in a zone, the one with the lower name calls. The other
+// one calls only if it has received no heartbeat for half an interval longer.
 func (t *Table) Targets(now time.Time) []Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +142,7 @@
 }
 
 // IsRepresentative reports whether the node is a representative of its zone. A
-// node without live contacts in its zone is.
+// node without live contacts in its zone always is one.
 func (t *Table) IsRepresentative(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,7 +205,7 @@
 
 // NeedsZoneDiscovery reports whether a node of another zone must be asked for
 // the zones that it knows: its digest of them differs, or this node has no live
-// contact in its own zone. It returns true at most once in
+// contact in its own zone. The result is true at most once per
 // zoneDiscoveryIntervals for each zone.
 func (t *Table) NeedsZoneDiscovery(now time.Time, zone string, digest uint64) bool {
 	t.mu.Lock()
@@ -225,8 +225,8 @@
 	return true
 }
 
-// AddHints remembers nodes of the own zone and of unreachable zones, to contact
-// them.
+// AddHints remembers the given nodes of the own zone and of unreachable zones as
+// nodes to contact.
 func (t *Table) AddHints(now time.Time, members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
