--- a/peer/client.go
+++ b/peer/client.go
@@ -62,7 +62,7 @@
 // String returns the key's form in messages and as a key of singleflight calls.
 func (k sessionKey) String() string { return k.address + "/" + string(k.lane) }
 
-// NewClient returns a client that calls under the name of the given node.
+// NewClient returns a client whose calls name the given node as the sender.
 func NewClient(node string, dial DialFunc, clock *timeline.Clock) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{node: node, dial: dial, clock: clock, ctx: ctx, close: cancel, sessions: map[sessionKey]*clientSession{}}
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -173,7 +173,7 @@
 
 // expectPart checks that each field of an earlier build's message is known and has the value that was
 // written. Fields that were added later are absent.
-func expectPart(t *testing.T, path string, read, wanted protoreflect.Message) {
+func expectPart(t *testing.T, path string, read, expected protoreflect.Message) {
 	t.Helper()
 	if len(read.GetUnknown()) > 0 {
 		t.Errorf("%s has fields that are no longer known: %x", path, read.GetUnknown())
@@ -183,26 +183,26 @@
 		switch {
 		case field.IsMap():
 			value.Map().Range(func(key protoreflect.MapKey, element protoreflect.Value) bool {
-				expectValue(t, name, field.MapValue(), element, wanted.Get(field).Map().Get(key))
+				expectValue(t, name, field.MapValue(), element, expected.Get(field).Map().Get(key))
 				return true
 			})
 		case field.IsList():
-			expectValue(t, name, field, value.List().Get(0), wanted.Get(field).List().Get(0))
+			expectValue(t, name, field, value.List().Get(0), expected.Get(field).List().Get(0))
 		default:
-			expectValue(t, name, field, value, wanted.Get(field))
+			expectValue(t, name, field, value, expected.Get(field))
 		}
 		return true
 	})
 }
 
-func expectValue(t *testing.T, path string, field protoreflect.FieldDescriptor, read, wanted protoreflect.Value) {
+func expectValue(t *testing.T, path string, field protoreflect.FieldDescriptor, read, expected protoreflect.Value) {
 	t.Helper()
 	if field.Message() != nil {
-		expectPart(t, path, read.Message(), wanted.Message())
+		expectPart(t, path, read.Message(), expected.Message())
 		return
 	}
-	if !read.Equal(wanted) {
-		t.Errorf("%s reads as %v, want %v", path, read, wanted)
+	if !read.Equal(expected) {
+		t.Errorf("%s reads as %v, want %v", path, read, expected)
 	}
 }
 
--- a/peer/session.go
+++ b/peer/session.go
@@ -18,7 +18,7 @@
 const (
 	// maxIdleStreams bounds the streams kept for reuse on one session.
 	maxIdleStreams = 16
-	// streamReadBuffer is small because most messages are.
+	// streamReadBuffer is the size of a stream's read buffer in bytes. It is small because most messages are.
 	streamReadBuffer = 512
 	// writeTimeout closes a session whose peer does not read.
 	writeTimeout = 5 * time.Second
@@ -29,7 +29,7 @@
 	pingTimeout = 300 * time.Millisecond
 )
 
-// sessionConfig disables yamux's keep-alive: heartbeats replace it.
+// sessionConfig disables yamux's keep-alive: heartbeats and anti-entropy comparisons replace it.
 func sessionConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.EnableKeepAlive = false
@@ -144,7 +144,7 @@
 }
 
 // isSuspect reports whether the session must be checked before long contents are sent on it. While calls are in
-// progress it need not be: their timeouts detect a failed connection.
+// progress no check is needed: their timeouts detect a failed connection.
 func (s *clientSession) isSuspect() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,8 +178,8 @@
 }
 
 // call sends a request and waits for its response. When the context ends, the stream is closed and the effect of
-// the call is unknown. yamux blocks on its connection for up to writeTimeout while it opens or writes a stream;
-// the call does not.
+// the call is unknown. While yamux opens or writes a stream, it blocks on its connection for up to writeTimeout;
+// the call does not wait for that.
 func (s *clientSession) call(ctx context.Context, request *peerpb.Request) (*peerpb.Response, error) {
 	defer s.beginCall()()
 	results := make(chan callResult, 1)
