--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -158,8 +158,8 @@
 }
 
 // TestCloseWhileConnectionsArrive opens connections until the server is closed. It
-// guards against a race between Close and a new connection, which is rare: the race
-// detector finds it in one of 2,000 rounds.
+// guards against a race between Close and a new connection, which is rare: in a
+// server with this race, the race detector finds it in one of 2,000 rounds.
 func TestCloseWhileConnectionsArrive(t *testing.T) {
 	for range 50 {
 		server := NewServer(echo, timeline.NewClock(time.Now))
