--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -60,14 +60,14 @@
 // candidates returns the ready members of a zone, or of the whole fleet if the
 // zone is empty or has none.
 func (c *Cluster) candidates(zone string) []membership.Member {
-	var found []membership.Member
+	var candidates []membership.Member
 	if zone != "" {
-		found = ready(c.table.ZoneMembers(c.now(), zone))
+		candidates = ready(c.table.ZoneMembers(c.now(), zone))
 	}
-	if len(found) == 0 {
-		found = ready(c.Live())
+	if len(candidates) == 0 {
+		candidates = ready(c.Live())
 	}
-	return found
+	return candidates
 }
 
 // Owner returns the owner of a key among the ready members of a zone, or of the
@@ -99,11 +99,11 @@
 	return rank(c.candidates(zone), key, count)
 }
 
-func rank(found []membership.Member, key string, count int) []membership.Member {
-	names := placement.Top(key, membership.Names(found), count)
+func rank(members []membership.Member, key string, count int) []membership.Member {
+	names := placement.Top(key, membership.Names(members), count)
 	ranked := make([]membership.Member, 0, len(names))
 	for _, name := range names {
-		for _, member := range found {
+		for _, member := range members {
 			if member.Name == name {
 				ranked = append(ranked, member)
 			}
@@ -171,16 +171,16 @@
 // each attempt; attempts are numbered from zero. It returns the node that
 // answered.
 func (c *Cluster) CallOwnerOrSuccessor(ctx context.Context, key string, timeout time.Duration, build func(attempt int) *peerpb.Request) (*peerpb.Response, membership.Member, error) {
-	var last error = ErrNoOwner
+	var lastErr error = ErrNoOwner
 	for attempt, member := range c.ranked("", key, successorAttempts) {
 		response, err := c.callWithin(ctx, member, timeout, build(attempt))
 		var answered *api.Error
 		if err == nil || errors.As(err, &answered) || ctx.Err() != nil {
 			return response, member, err
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, membership.Member{}, last
+	return nil, membership.Member{}, lastErr
 }
 
 func (c *Cluster) callWithin(ctx context.Context, member membership.Member, timeout time.Duration, request *peerpb.Request) (*peerpb.Response, error) {
