--- a/configuration/head.go
+++ b/configuration/head.go
@@ -26,8 +26,8 @@
 	// Recent are the most recently accepted changes, this one first: after a change whose response was lost,
 	// another may be accepted before its author asks again.
 	Recent []string `json:"recent,omitempty"`
-	// Moved lists the objects that the change affected.
-	Moved []string `json:"moved,omitempty"`
+	// ChangedObjects lists the objects that the change affected.
+	ChangedObjects []string `json:"moved,omitempty"`
 	// Parts are the digests of the parts, the fleet part first.
 	Parts []string `json:"parts"`
 	// Dropped are parts of the previous version that this one does not have.
@@ -176,11 +176,11 @@
 type ErrConflict struct {
 	// Planned and Current are the versions.
 	Planned, Current uint64
-	// Moved lists the objects that the newest change affected.
-	Moved []string
+	// ChangedObjects lists the objects that the newest change affected.
+	ChangedObjects []string
 }
 
 // Error implements error.
 func (e *ErrConflict) Error() string {
-	return fmt.Sprintf("configuration changed from version %d to %d: %s", e.Planned, e.Current, strings.Join(e.Moved, ", "))
+	return fmt.Sprintf("configuration changed from version %d to %d: %s", e.Planned, e.Current, strings.Join(e.ChangedObjects, ", "))
 }
--- a/configuration/property_test.go
+++ b/configuration/property_test.go
@@ -127,7 +127,7 @@
 	}
 	_, err := Publish(ctx, store, 0, "second", []string{"tenants/b"}, api.Configuration{Tenants: []api.Tenant{{Name: "b"}}})
 	var conflict *ErrConflict
-	if !errors.As(err, &conflict) || conflict.Current != 1 || len(conflict.Moved) != 1 || conflict.Moved[0] != "tenants/a" {
+	if !errors.As(err, &conflict) || conflict.Current != 1 || len(conflict.ChangedObjects) != 1 || conflict.ChangedObjects[0] != "tenants/a" {
 		t.Fatalf("got %v", err)
 	}
 	// A repeated publication of a change whose response was lost reports that the change was accepted.
--- a/configuration/publish.go
+++ b/configuration/publish.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return Head{}, err
 	}
-	head := Head{Version: base + 1, Change: change, Moved: moved[:min(len(moved), maxMoved)]}
+	head := Head{Version: base + 1, Change: change, ChangedObjects: moved[:min(len(moved), maxMoved)]}
 	for _, part := range parts {
 		head.Parts = append(head.Parts, part.Digest)
 	}
@@ -66,7 +66,7 @@
 				return nil, nil
 			}
 			if latest.Version != base {
-				return nil, &ErrConflict{Planned: base, Current: latest.Version, Moved: latest.Moved}
+				return nil, &ErrConflict{Planned: base, Current: latest.Version, ChangedObjects: latest.ChangedObjects}
 			}
 			superseded = latest.Dropped
 			head.Recent = append([]string{change}, latest.Recent[:min(len(latest.Recent), maxRecent-1)]...)
--- a/operator/accept.go
+++ b/operator/accept.go
@@ -60,7 +60,7 @@
 		return configuration.Head{}, err
 	}
 	if head.Version != plan.BaseVersion {
-		return configuration.Head{}, &configuration.ErrConflict{Planned: plan.BaseVersion, Current: head.Version, Moved: head.Moved}
+		return configuration.Head{}, &configuration.ErrConflict{Planned: plan.BaseVersion, Current: head.Version, ChangedObjects: head.ChangedObjects}
 	}
 	if a.SeesHalf != nil && !a.SeesHalf() {
 		return configuration.Head{}, errPartitioned
