--- a/configuration/head.go
+++ b/configuration/head.go
@@ -24,7 +24,7 @@
 	// response.
 	Change string `json:"change"`
 	// Recent are the most recently accepted changes, this one first: after a change whose response was lost,
-	// another may be accepted before its author asks again.
+	// another may be accepted before the author of the first one repeats it.
 	Recent []string `json:"recent,omitempty"`
 	// ChangedObjects lists the objects that the change affected.
 	ChangedObjects []string `json:"moved,omitempty"`
--- a/configuration/property_test.go
+++ b/configuration/property_test.go
@@ -22,7 +22,7 @@
 	// behind is how many versions the operator's plan is behind, usually none.
 	behind int
 	pause  time.Duration
-	// effects are how the platform handles the next calls.
+	// effects determine how the platform handles the next calls.
 	effects []platformsim.Effect
 }
 
--- a/configuration/publish.go
+++ b/configuration/publish.go
@@ -10,12 +10,12 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// KindPart is the platform's kind for parts. They are stored apart from the head, so that a watch of the head
-// does not return them.
+// KindPart is the platform's kind for parts. They are not of the head's kind, so that a watch of the head does
+// not return them.
 const KindPart objectapi.Kind = "configurationparts"
 
-// maxMoved bounds the object references in a head.
-const maxMoved = 32
+// maxChangedObjects bounds the object references in a head.
+const maxChangedObjects = 32
 
 // ReadHead returns the newest accepted head, or an empty one if there is none.
 func ReadHead(ctx context.Context, store objectapi.Store) (Head, error) {
@@ -41,13 +41,13 @@
 
 // Publish makes configuration the successor of version base. It returns an *ErrConflict if another change was
 // accepted first. If it returns another error, the change may have been accepted; calling Publish again with
-// the same change determines that.
-func Publish(ctx context.Context, store objectapi.Store, base uint64, change string, moved []string, configuration api.Configuration) (Head, error) {
+// the same change determines whether it was.
+func Publish(ctx context.Context, store objectapi.Store, base uint64, change string, changedObjects []string, configuration api.Configuration) (Head, error) {
 	parts, err := Split(configuration)
 	if err != nil {
 		return Head{}, err
 	}
-	head := Head{Version: base + 1, Change: change, ChangedObjects: moved[:min(len(moved), maxMoved)]}
+	head := Head{Version: base + 1, Change: change, ChangedObjects: changedObjects[:min(len(changedObjects), maxChangedObjects)]}
 	for _, part := range parts {
 		head.Parts = append(head.Parts, part.Digest)
 	}
@@ -81,7 +81,7 @@
 	if err := storeParts(ctx, store, parts); err != nil {
 		return Head{}, err
 	}
-	collect(ctx, store, without(superseded, head.Parts))
+	deleteParts(ctx, store, without(superseded, head.Parts))
 	return head, nil
 }
 
@@ -104,9 +104,9 @@
 	return nil
 }
 
-// collect deletes parts that neither the newest head nor the previous one lists. A part that is left after a
+// deleteParts deletes parts that neither the newest head nor the previous one lists. A part that is left after a
 // failure only uses storage.
-func collect(ctx context.Context, store objectapi.Store, digests []string) {
+func deleteParts(ctx context.Context, store objectapi.Store, digests []string) {
 	for _, digest := range digests {
 		object, err := store.Get(ctx, KindPart, digest)
 		if err == nil {
--- a/configuration/syncer.go
+++ b/configuration/syncer.go
@@ -28,7 +28,7 @@
 // nodes of its zone.
 type Placement interface {
 	IsAmongTop(key string, count int) bool
-	// ZonePeers returns the peer addresses of live nodes of the zone.
+	// ZonePeers returns the peer addresses of the other live nodes of the zone.
 	ZonePeers() []string
 }
 
@@ -136,10 +136,12 @@
 	return s.placement.IsAmongTop(watcherKey, watchersPerZone) || len(s.placement.ZonePeers()) == 0 || s.now().Sub(s.started) > peerGracePeriod
 }
 
-// zonePeerAttempts is the number of nodes of the zone that are asked for a part before the platform.
+// zonePeerAttempts is the number of nodes of the zone from which a part is requested before it is read from the
+// platform.
 const zonePeerAttempts = 2
 
-// fromZonePeers fetches parts from nodes of the zone, and from the platform if they do not have them.
+// fromZonePeers returns a FetchPart that fetches from nodes of the zone, and from the platform if they do not
+// have the part.
 func (s *Syncer) fromZonePeers() FetchPart {
 	return func(ctx context.Context, digest string) ([]byte, error) {
 		zonePeers := s.placement.ZonePeers()
@@ -231,7 +233,7 @@
 	s.confirmFromPeer(head.Version)
 }
 
-// fromPeer fetches parts from a peer, and from the platform if the peer no longer has them.
+// fromPeer returns a FetchPart that fetches from a peer, and from the platform if the peer no longer has the part.
 func (s *Syncer) fromPeer(address string) FetchPart {
 	return func(ctx context.Context, digest string) ([]byte, error) {
 		data, err := s.partFrom(ctx, address, digest)
