--- a/directory/directory.go
+++ b/directory/directory.go
@@ -20,8 +20,8 @@
 
 type entry struct {
 	running *peerpb.Running
-	// touched is when the record last changed.
-	touched time.Time
+	// changedAt is when the record last changed.
+	changedAt time.Time
 }
 
 // Directory holds the records for which one node is responsible. It is safe for concurrent use.
@@ -30,7 +30,7 @@
 
 	mu      sync.Mutex
 	entries map[string]*entry
-	swept   time.Time
+	sweptAt time.Time
 }
 
 // New returns an empty directory.
@@ -50,7 +50,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sweep()
-	// A caller on this node may still use its message.
+	// A caller on this node passes its own message, and may still use it.
 	running := proto.CloneOf(register.GetRunning())
 	key := Key(running.GetTenant(), running.GetKey())
 	existing, exists := d.entries[key]
@@ -61,7 +61,7 @@
 		if exists && !precedes(existing.running, running) {
 			return &peerpb.Registered{Previous: existing.running}, nil
 		}
-		d.entries[key] = &entry{running: running, touched: d.now()}
+		d.entries[key] = &entry{running: running, changedAt: d.now()}
 		return &peerpb.Registered{}, nil
 	default:
 		return nil, api.NewError(http.StatusBadRequest, api.CodeInvalidRequest, api.OutcomeNotRun, "unknown mode")
@@ -82,7 +82,7 @@
 	if existing == nil {
 		running.Turn = 1
 		running.State = peerpb.RunState_RUN_STATE_RUNNING
-		d.entries[key] = &entry{running: running, touched: d.now()}
+		d.entries[key] = &entry{running: running, changedAt: d.now()}
 		return &peerpb.Registered{Turn: running.GetTurn()}, nil
 	}
 	previous := existing.running
@@ -100,7 +100,7 @@
 		running.DecodeEngine = previous.GetDecodeEngine()
 		running.Attempt = previous.GetAttempt()
 	}
-	d.entries[key] = &entry{running: running, touched: d.now()}
+	d.entries[key] = &entry{running: running, changedAt: d.now()}
 	return &peerpb.Registered{Previous: previous, Turn: running.GetTurn()}, nil
 }
 
@@ -110,16 +110,16 @@
 	const sweepInterval = time.Second
 	const runningRetention = 10 * retention
 	now := d.now()
-	if now.Sub(d.swept) < sweepInterval {
+	if now.Sub(d.sweptAt) < sweepInterval {
 		return
 	}
-	d.swept = now
+	d.sweptAt = now
 	for key, record := range d.entries {
 		limit := retention
 		if record.running.GetState() == peerpb.RunState_RUN_STATE_RUNNING {
 			limit = runningRetention
 		}
-		if now.Sub(record.touched) > limit {
+		if now.Sub(record.changedAt) > limit {
 			delete(d.entries, key)
 		}
 	}
