--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -67,21 +67,22 @@
 	f := newFixture(t, platformsim.Options{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	seen := make(chan string, 4)
+	received := make(chan string, 4)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- f.client.Watch(ctx, objectapi.KindStatus, 0, func(event objectapi.Event) { seen <- string(event.Object.Spec) })
+		ended <- f.client.Watch(ctx, objectapi.KindStatus, 0, func(event objectapi.Event) { received <- string(event.Object.Spec) })
 	}()
 	first, err := f.client.Put(ctx, object(0, `1`))
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = f.client.Put(ctx, object(first.Version, `2`))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect([]string{<-seen, <-seen}).To(Equal([]string{"1", "2"}))
+	g.Expect([]string{<-received, <-received}).To(Equal([]string{"1", "2"}))
 	cancel()
 	g.Expect(<-ended).To(HaveOccurred())
 }
 
-// TestModifyResolvesLostResponses sets a counter with a Mutate that recognizes its own change.
+// TestModifyResolvesLostResponses sets a counter while responses are lost, with a Mutate that recognizes its own
+// change.
 func TestModifyResolvesLostResponses(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, platformsim.Options{})
@@ -90,15 +91,15 @@
 	for number := range 4 {
 		// The responses to the read, and then to the write, are lost.
 		f.faults.Set(fault.Faults{LostReplies: number})
-		wanted, err := json.Marshal(number)
+		counter, err := json.Marshal(number)
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = objectapi.Modify(ctx, f.client, objectapi.Change{
 			Kind: objectapi.KindStatus, Name: "counter",
 			Mutate: func(current json.RawMessage) (json.RawMessage, error) {
-				if string(current) == string(wanted) {
+				if string(current) == string(counter) {
 					return nil, nil
 				}
-				return wanted, nil
+				return counter, nil
 			},
 		})
 		g.Expect(err).NotTo(HaveOccurred())
--- a/objectapi/modify.go
+++ b/objectapi/modify.go
@@ -28,9 +28,9 @@
 )
 
 // Modify reads, changes and conditionally writes an object until the change has
-// been made, Mutate fails, or the context ends. It returns the object that
-// contains the change. Since the object is read again after a lost response,
-// Mutate must recognize its own change.
+// been made, Mutate fails, the value is too large, or the context ends. It
+// returns the object that contains the change. Since the object is read again
+// after a lost response, Mutate must recognize its own change.
 func Modify(ctx context.Context, store Store, change Change) (Object, error) {
 	var result Object
 	attempt := func() error {
--- a/objectapi/pages.go
+++ b/objectapi/pages.go
@@ -26,9 +26,9 @@
 const maxPages = 1000
 
 // ListPages returns all objects of a kind. The revision is that of the first page, so that a watch from it misses no
-// change made while the later pages were listed. It calls between after each page except the last; an error of between
+// change made while the later pages were listed. It calls onPage after each page except the last; an error of onPage
 // ends the list.
-func ListPages(ctx context.Context, pager Pager, kind Kind, between func(page []Object) error) (objects []Object, revision int64, err error) {
+func ListPages(ctx context.Context, pager Pager, kind Kind, onPage func(page []Object) error) (objects []Object, revision int64, err error) {
 	after := ""
 	for number := range maxPages {
 		page, err := pager.ListPage(ctx, kind, after)
@@ -43,7 +43,7 @@
 			return objects, revision, nil
 		}
 		after = page.Objects[len(page.Objects)-1].Name
-		if err := between(page.Objects); err != nil {
+		if err := onPage(page.Objects); err != nil {
 			return nil, 0, err
 		}
 	}
