--- a/machines/list.go
+++ b/machines/list.go
@@ -40,8 +40,8 @@
 	mu       sync.Mutex
 	revision int64
 	machines map[string]Machine
-	// fresh is the latest time at which the view was known to be the newest.
-	fresh time.Time
+	// confirmedAt is the latest time at which the view was known to be the newest.
+	confirmedAt time.Time
 }
 
 // NewList returns an empty list.
@@ -75,8 +75,8 @@
 
 func (l *List) refresh(revision int64, age time.Duration) {
 	at := l.now().Add(-age)
-	if revision >= l.revision && at.After(l.fresh) {
-		l.fresh = at
+	if revision >= l.revision && at.After(l.confirmedAt) {
+		l.confirmedAt = at
 	}
 }
 
@@ -91,7 +91,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revision = max(l.revision, object.Version)
-	l.fresh = l.now()
+	l.confirmedAt = l.now()
 	if deleted {
 		delete(l.machines, object.Name)
 		return nil
@@ -118,7 +118,7 @@
 func (l *List) Age() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now().Sub(l.fresh)
+	return l.now().Sub(l.confirmedAt)
 }
 
 // View returns the current view.
--- a/machines/syncer.go
+++ b/machines/syncer.go
@@ -22,9 +22,9 @@
 	// watchLength bounds one watch, after which the list is read again: otherwise a platform that has stopped
 	// responding could not be distinguished from one without changes.
 	watchLength = 5 * time.Second
-	// maxAge is the age of the view from which an owner reads it from the platform itself.
+	// maxAge is the age of the view from which a pool owner reads the list from the platform itself.
 	maxAge = 8 * time.Second
-	// readInterval is the minimum time between two such reads.
+	// readInterval is the minimum time between two reads because of the view's age.
 	readInterval = 2 * time.Second
 	pullTimeout  = 2 * time.Second
 )
