--- a/placement/rendezvous_test.go
+++ b/placement/rendezvous_test.go
@@ -50,7 +50,7 @@
 		}
 	}
 	if Owner("key", nil) != "" || len(Top("key", nil, 3)) != 0 {
-		t.Error("no members must give no owner")
+		t.Error("an owner was returned although there are no members")
 	}
 }
 
@@ -63,7 +63,7 @@
 		count := rapid.IntRange(0, 32).Draw(t, "count")
 		top := Top(key, remaining, count)
 		if len(top) != min(count, len(remaining)) {
-			t.Fatalf("%d of %d members, wanted %d", len(top), len(remaining), count)
+			t.Fatalf("%d of %d members, want %d", len(top), len(remaining), count)
 		}
 		for _, chosen := range top {
 			if owner := Owner(key, remaining); owner != chosen {
