--- a/heaplimit/heaplimit.go
+++ b/heaplimit/heaplimit.go
@@ -15,7 +15,7 @@
 	usableShare = 0.8
 	// programBytes is the size of the program's text, which counts as memory of the process.
 	programBytes = 16 << 20
-	// minLimit keeps the runtime usable on a machine that is too small.
+	// minLimit is the lowest memory limit, in bytes. It keeps the runtime usable on a machine that is too small.
 	minLimit = 16 << 20
 	// garbageShare is the share of the machine's memory that garbage may take, but at least minGarbage.
 	garbageShare = 1.0 / 32
@@ -42,34 +42,34 @@
 )
 
 // SoftLimit returns the memory limit of the runtime on a machine with the given memory, in bytes.
-func SoftLimit(machine int64) int64 {
-	return max(minLimit, int64(float64(machine-programBytes)*usableShare))
+func SoftLimit(machineBytes int64) int64 {
+	return max(minLimit, int64(float64(machineBytes-programBytes)*usableShare))
 }
 
-// GCPercent returns how far the heap may grow between collections, as a percentage of the live heap, on a
-// machine with the given memory, in bytes.
-func GCPercent(live, machine int64) int {
-	if live <= 0 {
+// GCPercent returns how far the heap may grow between collections, as a percentage of the live heap, given the
+// sizes of the live heap and of the machine's memory.
+func GCPercent(liveBytes, machineBytes int64) int {
+	if liveBytes <= 0 {
 		return maxPercent
 	}
-	garbage := max(minGarbage, int64(float64(machine)*garbageShare))
-	return int(min(maxPercent, max(minPercent, 100*garbage/live)))
+	garbage := max(minGarbage, int64(float64(machineBytes)*garbageShare))
+	return int(min(maxPercent, max(minPercent, 100*garbage/liveBytes)))
 }
 
 // Run adjusts the runtime to a machine with the given memory, in bytes, until the context ends. If the
 // memory is not known it leaves the runtime as it is.
-func Run(ctx context.Context, machine int64) {
-	if machine <= 0 {
+func Run(ctx context.Context, machineBytes int64) {
+	if machineBytes <= 0 {
 		return
 	}
-	debug.SetMemoryLimit(SoftLimit(machine))
+	debug.SetMemoryLimit(SoftLimit(machineBytes))
 	current, releasedAt := maxPercent, time.Now()
 	periodic.Run(ctx, adjustInterval, func(context.Context) {
 		live, free := readHeap()
-		wanted := GCPercent(live, machine)
-		if max(wanted-current, current-wanted) >= minChange {
-			debug.SetGCPercent(wanted)
-			current = wanted
+		percent := GCPercent(live, machineBytes)
+		if max(percent-current, current-percent) >= minChange {
+			debug.SetGCPercent(percent)
+			current = percent
 		}
 		if free >= releaseThreshold && time.Since(releasedAt) >= releaseInterval {
 			debug.FreeOSMemory()
