--- a/configuration/head.go
+++ b/configuration/head.go
@@ -24,10 +24,10 @@
 	// response.
 	Change string `json:"change"`
 	// Recent are the most recently accepted changes, this one first: after a change whose response was lost,
-	// another may be accepted before its author asks again.
+	// another may be accepted before the author of the first one repeats it.
 	Recent []string `json:"recent,omitempty"`
-	// Moved lists the objects that the change affected.
-	Moved []string `json:"moved,omitempty"`
+	// ChangedObjects lists the objects that the change affected.
+	ChangedObjects []string `json:"moved,omitempty"`
 	// Parts are the digests of the parts, the fleet part first.
 	Parts []string `json:"parts"`
 	// Dropped are parts of the previous version that this one does not have.
@@ -176,11 +176,11 @@
 type ErrConflict struct {
 	// Planned and Current are the versions.
 	Planned, Current uint64
-	// Moved lists the objects that the newest change affected.
-	Moved []string
+	// ChangedObjects lists the objects that the newest change affected.
+	ChangedObjects []string
 }
 
 // Error implements error.
 func (e *ErrConflict) Error() string {
-	return fmt.Sprintf("configuration moved from version %d to %d: %s", e.Planned, e.Current, strings.Join(e.Moved, ", "))
+	return fmt.Sprintf("configuration moved from version %d to %d: %s", e.Planned, e.Current, strings.Join(e.ChangedObjects, ", "))
 }
