--- a/processtest/security_test.go
+++ b/processtest/security_test.go
@@ -114,7 +114,7 @@
 func TestNodesRejectUnknownCertificates(t *testing.T) {
 	secured, other := newSecurity(t), newSecurity(t)
 	f := startFleetWith(t, 2, secured)
-	files, _ := other.issue(t, "unknown")
+	files, _ := other.issue(t, "stranger")
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
 		t.Fatal(err)
--- a/soak/notices_test.go
+++ b/soak/notices_test.go
@@ -268,7 +268,7 @@
 	at := func(seconds float64) time.Time {
 		return time.Unix(100, 0).Add(time.Duration(seconds * float64(time.Second)))
 	}
-	notice := observation{id: "notice", node: 1, leaving: true, signature: "sig.b", ended: at(0)}
+	notice := observation{id: "word", node: 1, leaving: true, signature: "sig.b", ended: at(0)}
 	record := func(sent float64) noticeRecord {
 		return noticeRecord{
 			senders:      map[string]nodeEvent{"late": {1, at(sent)}, "other": {2, at(sent)}},
