--- a/sim/rehearsal/platform.go
+++ b/sim/rehearsal/platform.go
@@ -12,11 +12,11 @@
 type Platform struct {
 	Store *platformsim.Store
 
-	mu            sync.Mutex
-	outage        bool
-	unreachable   map[string]bool
-	repliesToLose int
-	changed       chan struct{}
+	mu              sync.Mutex
+	outage          bool
+	unreachable     map[string]bool
+	responsesToLose int
+	changed         chan struct{}
 }
 
 // NewPlatform returns a platform without faults.
@@ -40,8 +40,8 @@
 	p.change(func() { p.unreachable[node] = unreachable })
 }
 
-// LoseReplies executes the next count writes, but returns errors for them.
-func (p *Platform) LoseReplies(count int) { p.change(func() { p.repliesToLose = count }) }
+// LoseResponses executes the next count writes, but returns errors for them.
+func (p *Platform) LoseResponses(count int) { p.change(func() { p.responsesToLose = count }) }
 
 func (p *Platform) isDown(node string) (bool, chan struct{}) {
 	p.mu.Lock()
@@ -49,13 +49,13 @@
 	return p.outage || p.unreachable[node], p.changed
 }
 
-func (p *Platform) takeLostReply() bool {
+func (p *Platform) takeLostResponse() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.repliesToLose == 0 {
+	if p.responsesToLose == 0 {
 		return false
 	}
-	p.repliesToLose--
+	p.responsesToLose--
 	return true
 }
 
@@ -93,7 +93,7 @@
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	stored, err := s.platform.Store.Put(ctx, object)
-	if s.platform.takeLostReply() {
+	if s.platform.takeLostResponse() {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	return stored, err
@@ -105,7 +105,7 @@
 		return objectapi.ErrUnavailable
 	}
 	err := s.platform.Store.Delete(ctx, kind, name, version)
-	if s.platform.takeLostReply() {
+	if s.platform.takeLostResponse() {
 		return objectapi.ErrUnavailable
 	}
 	return err
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -322,7 +322,7 @@
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		for round := range 10 {
-			fleet.Platform.LoseReplies(round % 3)
+			fleet.Platform.LoseResponses(round % 3)
 			outcomes := confirmConcurrently(t, fleet, round)
 			if outcomes[0] == outcomes[1] {
 				t.Fatalf("round %d: both operators got accepted=%t", round, outcomes[0])
--- a/sim/rehearsal/property_test.go
+++ b/sim/rehearsal/property_test.go
@@ -12,7 +12,7 @@
 // operationNames are the names of the operations in the summary.
 var operationNames = map[operation]string{
 	opRequest: "request", opKill: "kill", opStart: "start", opStop: "planned-stop", opIsolate: "isolate", opHeal: "heal",
-	opIsolateFromPlatform: "cut-platform", opOutage: "outage", opLoseReplies: "lost-replies", opAbortExchanges: "cut-engine",
+	opIsolateFromPlatform: "cut-platform", opOutage: "outage", opLoseResponses: "lost-replies", opAbortExchanges: "cut-engine",
 	opFreezeEngine: "freeze-engine", opStallTransfers: "stall-transfers", opEndFaults: "thaw", opLeave: "leave",
 	opConfigure: "configure", opRace: "operator-race",
 }
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -32,7 +32,7 @@
 	opHeal
 	opIsolateFromPlatform
 	opOutage
-	opLoseReplies
+	opLoseResponses
 	opAbortExchanges
 	opFreezeEngine
 	opStallTransfers
@@ -103,8 +103,8 @@
 		e.fleet.Platform.SetUnreachable(name, s.b%2 == 0)
 	case opOutage:
 		e.fleet.Platform.SetOutage(s.b%2 == 0)
-	case opLoseReplies:
-		e.fleet.Platform.LoseReplies(s.b % 4)
+	case opLoseResponses:
+		e.fleet.Platform.LoseResponses(s.b % 4)
 	default:
 		e.applyToEngines(s)
 	}
@@ -296,7 +296,7 @@
 func (e *execution) recover() {
 	e.heal()
 	e.fleet.Platform.SetOutage(false)
-	e.fleet.Platform.LoseReplies(0)
+	e.fleet.Platform.LoseResponses(0)
 	for _, engine := range e.fleet.Engines {
 		engine.Faults.Set(fault.Faults{})
 	}
