--- a/node/core.go
+++ b/node/core.go
@@ -43,8 +43,8 @@
 	Engines *engine.Client
 	// Membership configures the membership protocol.
 	Membership membership.Options
-	// ResumeWindow is how long the stream of a failed node is kept for another node
-	// to take over.
+	// ResumeWindow is how long the stream of a failed node is kept, so that another
+	// node can take it over.
 	ResumeWindow time.Duration
 	// Scheduler selects the routing policy. The zero value is the policy with
 	// the best measured results.
@@ -250,8 +250,8 @@
 	})
 }
 
-// fillHeartbeat adds the version of the configuration, and the revision and age of the machine list.
-// Peers compare them with their own.
+// fillHeartbeat adds the version of the configuration, and the revision and age of the machine list,
+// which peers compare with their own.
 func (c *Core) fillHeartbeat(heartbeat *peerpb.Heartbeat) {
 	heartbeat.ConfigurationVersion = c.Configuration.Current().Version()
 	heartbeat.MachinesRevision = c.Machines.Revision()
--- a/node/handle.go
+++ b/node/handle.go
@@ -125,7 +125,7 @@
 // gatherTimeout bounds a call to all nodes.
 const gatherTimeout = 3 * time.Second
 
-// gather calls every live node. The response of a node that failed to answer is nil.
+// gather calls every live node. The response is nil for a node whose call failed.
 func (c *Core) gather(ctx context.Context, request func() *peerpb.Request) []*peerpb.Response {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -25,8 +25,8 @@
 	c.quarantineArchive = quarantine.NewArchive(c.options.Store, local, slog.Default(), c.options.Now)
 }
 
-// announceQuarantine sends a request's quarantine status to all live nodes. A node that misses the call requests
-// all announcements when another coordinator is chosen, or receives the status at the next crash.
+// announceQuarantine sends a request's quarantine status to all live nodes. A node that misses the call receives
+// the status at the next crash, or when it requests all announcements after another coordinator was chosen.
 func (c *Core) announceQuarantine(announcement quarantine.Announcement) {
 	c.Events.Record(timeline.Event{Kind: "request-standing", Detail: announcement.Request.String()})
 	go c.gather(context.Background(), func() *peerpb.Request {
@@ -43,7 +43,7 @@
 	c.quarantineArchive.Reconcile(ctx)
 }
 
-// ownerLocator selects as the coordinator of a scope the node that owns its name.
+// ownerLocator locates the coordinator of a scope: the node that owns the scope's name.
 type ownerLocator struct{ core *Core }
 
 var _ coordinator.Locator = ownerLocator{}
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -44,10 +44,10 @@
 }
 
 // SeesHalf reports whether the node is in contact with at least half of the fleet.
-// Then no node without contact to it can be in contact with more than half.
+// Then no node that it cannot reach is in contact with more than half.
 func (c *Core) SeesHalf() bool { return c.Table.SeesHalf(c.options.Now()) }
 
-// reconcileIsolation makes the node reject new requests while it neither is in
+// reconcileIsolation makes the node reject new requests while it neither has
 // contact with most of the fleet nor reaches the platform: a newer configuration
 // may be active elsewhere. An outage of the platform alone does not isolate it.
 func (c *Core) reconcileIsolation(ctx context.Context) {
@@ -84,8 +84,8 @@
 	if !c.syncer.Synced() || c.Configuration.Current().Version() == 0 {
 		return
 	}
-	// Every peer needs time to send a heartbeat with its version: nodes that have no
-	// record of each other yet would place the same records on different nodes.
+	// Every peer needs time to send a heartbeat with its version: nodes that have not
+	// discovered each other yet would place the same records on different nodes.
 	if c.options.Now().Sub(c.started) < 2*c.options.Membership.Interval {
 		return
 	}
