--- a/settings/router.go
+++ b/settings/router.go
@@ -34,7 +34,7 @@
 	// LeaseDuration is the lease duration that engines require: they accept the orders of one holder for
 	// this time before those of another.
 	LeaseDuration time.Duration
-	// QuotaTolerance is by how much a tenant may exceed its limit; zero if the settings do not state it.
+	// QuotaTolerance bounds by how much a tenant may exceed its limit; zero if the settings do not state it.
 	QuotaTolerance QuotaTolerance
 }
 
@@ -42,6 +42,7 @@
 type QuotaTolerance struct {
 	// Window is the time over which use is compared with the limit.
 	Window time.Duration
-	// Overshoot is the fraction of a limit, and Slack the units, by which it may be exceeded in a window.
+	// Overshoot and Slack are by how much a limit may be exceeded in a window: a fraction of the limit, plus a
+	// number of the limit's units.
 	Overshoot, Slack float64
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -24,7 +24,6 @@
 type Settings struct {
 	// Name identifies the node; it is a DNS label, unique in the fleet.
 	Name string
-	// Zone is the zone of the node.
 	Zone string
 	// CallerAddress, PeerAddress and OperatorAddress are the IP addresses and
 	// ports to listen on.
@@ -56,8 +55,8 @@
 	DrainTimeout time.Duration
 	// HeartbeatInterval is the time between heartbeats of two nodes.
 	HeartbeatInterval time.Duration
-	// ResumeWindow is how long the stream of a failed node is kept for another node
-	// to take over.
+	// ResumeWindow is how long the stream of a failed node is kept, so that another
+	// node can take it over.
 	ResumeWindow time.Duration
 	// Check makes the daemon validate the settings and exit.
 	Check bool
