--- a/logging/handler.go
+++ b/logging/handler.go
@@ -13,7 +13,7 @@
 type Options struct {
 	// LinesPerSecond is the rate beyond which lines are dropped. Default 100.
 	LinesPerSecond float64
-	// Burst is how many lines may be written at once. Default 400.
+	// Burst is how many lines may be written at once, beyond the rate. Default 400.
 	Burst int
 	// QueuedLines bounds the lines that are queued for a slow output. Default 1024.
 	QueuedLines int
--- a/logging/log.go
+++ b/logging/log.go
@@ -41,7 +41,7 @@
 // queueWriter queues each line for the background goroutine.
 type queueWriter struct{ log *Log }
 
-// Write implements io.Writer. The handler passes one whole line per call.
+// Write implements io.Writer. The handler passes one complete line per call.
 func (w queueWriter) Write(line []byte) (int, error) {
 	select {
 	case w.log.lines <- bytes.Clone(line):
@@ -56,7 +56,7 @@
 	for {
 		select {
 		case line := <-l.lines:
-			_, _ = output.Write(line) // An error of the log's output cannot be reported anywhere.
+			_, _ = output.Write(line) // There is no other output to report an error to.
 		case <-l.stop:
 			l.flush(output)
 			return
