--- a/loglines/loglines_test.go
+++ b/loglines/loglines_test.go
@@ -12,10 +12,10 @@
 // TestEachPassesOnlyJSON reads a line with a prefix, lines without JSON and a truncated line.
 func TestEachPassesOnlyJSON(t *testing.T) {
 	g := NewWithT(t)
-	var found []string
+	var passed []string
 	log := "  1.2 node-a {\"msg\":\"a\"}\nno line\n\n{\"msg\":\"torn"
-	g.Expect(loglines.Each(strings.NewReader(log), func(text []byte) { found = append(found, string(text)) })).To(Succeed())
-	g.Expect(found).To(Equal([]string{`{"msg":"a"}`, `{"msg":"torn`}))
+	g.Expect(loglines.Each(strings.NewReader(log), func(text []byte) { passed = append(passed, string(text)) })).To(Succeed())
+	g.Expect(passed).To(Equal([]string{`{"msg":"a"}`, `{"msg":"torn`}))
 }
 
 func TestLineBeyondTheBoundIsAnError(t *testing.T) {
