--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -35,7 +35,7 @@
 // Add adds delta to the named counter.
 func (s *Set) Add(name string, delta int64) { s.counters.Add(name, delta) }
 
-// Gauge registers a function that returns a value each time the set is read.
+// Gauge registers a function that returns the value of a gauge. It is called each time the set is read.
 func (s *Set) Gauge(name string, read func() float64) {
 	s.counters.Set(name, expvar.Func(func() any { return read() }))
 }
@@ -59,7 +59,7 @@
 		s.histograms[name] = histogram
 	}
 	value := min(max(duration.Microseconds(), lowestMicroseconds), highestMicroseconds)
-	_ = histogram.RecordValue(value) // It fails only for values outside of the bounds.
+	_ = histogram.RecordValue(value) // Fails only for values outside of the bounds.
 }
 
 // Quantiles is the published form of a histogram, in milliseconds.
