--- a/tlsfiles/tlsfiles.go
+++ b/tlsfiles/tlsfiles.go
@@ -13,12 +13,12 @@
 // checkInterval is the minimum time between two checks of the files for changes.
 const checkInterval = time.Second
 
-// Files lists the PEM files of one side of a connection.
+// Files holds the paths of the PEM files of one side of a connection.
 type Files struct {
 	Certificate string
 	Key         string
-	// Authority holds the CA certificates that verify the other side. If it is
-	// empty, a server does not verify its clients.
+	// Authority is the file with the CA certificates that verify the other side. If
+	// it is empty, a server does not verify its clients.
 	Authority string
 }
 
@@ -26,7 +26,9 @@
 type Source struct {
 	files Files
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// checkedAt is when the files were last checked for changes, modifiedAt the
+	// modification time of the loaded content.
 	checkedAt   time.Time
 	modifiedAt  time.Time
 	certificate *tls.Certificate
@@ -87,7 +89,7 @@
 	if time.Since(s.checkedAt) >= checkInterval {
 		s.checkedAt = time.Now()
 		if modifiedAt, err := s.lastModified(); err == nil && modifiedAt.After(s.modifiedAt) {
-			_ = s.load() // After an error the previous content stays in use.
+			_ = s.load() // An error leaves the previous content in use.
 		}
 	}
 	return s.certificate, s.authority
--- a/tlsfiles/tlsfiles_test.go
+++ b/tlsfiles/tlsfiles_test.go
@@ -13,11 +13,11 @@
 
 func newAuthority(t *testing.T) *certificates.Authority {
 	t.Helper()
-	created, err := certificates.NewAuthority(certificates.Options{})
+	authority, err := certificates.NewAuthority(certificates.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return created
+	return authority
 }
 
 // issue writes a certificate to a folder and returns its files and its serial
@@ -110,6 +110,8 @@
 	g.Expect(serial).To(Equal(renewed))
 }
 
+// TestPartialFileKeepsPreviousCertificate replaces the key file by a partial one: a loaded
+// source must keep its certificate, and a new one must report an error.
 func TestPartialFileKeepsPreviousCertificate(t *testing.T) {
 	g := NewWithT(t)
 	files, issued := issue(t, newAuthority(t), t.TempDir())
