--- a/cmd/reelrun-router/main.go
+++ b/cmd/reelrun-router/main.go
@@ -1,9 +1,9 @@
 // Command reelrun-router routes requests on the hosting platform. All entry machines run the
-// same program. The variable REELRUN_SETTINGS contains the path of the settings file that the
-// platform provides.
+// same program. The environment variable REELRUN_SETTINGS contains the path of the settings
+// file that the platform provides.
 //
-// It is separate from reelrund, which serves the product's own interface, so that it does not
-// link the libraries of that interface: they take half of a small node's memory.
+// The program is separate from reelrund, which serves the product's own interface, so that the
+// libraries of that interface are not linked into it: they take half of a small node's memory.
 //
 // Exit codes: 0 after a planned stop, 1 for a failure, 2 for invalid settings.
 package main
@@ -46,8 +46,8 @@
 func run(arguments []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// Registered first and kept until the process ends, so that a SIGHUP during start or stop
-	// does not terminate it.
+	// The handler is registered first and stays until the process ends, so that a SIGHUP during
+	// start or stop does not terminate the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	values, err := parseFlags(arguments)
@@ -70,8 +70,7 @@
 	log := logging.New(os.Stdout, logging.Options{})
 	defer log.Close(logCloseTimeout)
 	logger := log.Logger().With("node", parsed.Name)
-	// Libraries that write to the process's log write to this logger: net/http logs responses
-	// that belong to no request.
+	// Libraries write to the default logger: net/http logs responses that belong to no request.
 	slog.SetDefault(logger)
 	bootClock, err := clock.Boot()
 	if err != nil {
@@ -110,8 +109,8 @@
 	return values, flags.Parse(arguments)
 }
 
-// readSettings reads the settings file. All findings are reported together, including those
-// about the command line.
+// readSettings reads the settings file. It reports all findings together, including those about
+// the command line.
 func readSettings(path string, values flagValues) (*settings.Router, error) {
 	var findings api.Findings
 	if values.placement != router.PlacementCoordinator && values.placement != router.PlacementReservation {
--- a/cmd/reelrun-router/reload.go
+++ b/cmd/reelrun-router/reload.go
@@ -12,7 +12,7 @@
 	"github.com/reelrun/reelrun/router"
 )
 
-// settingsInterval is how often the settings file is read again without a signal.
+// settingsInterval is the time between two reads of the settings file without a signal.
 const settingsInterval = 5 * time.Second
 
 // watchSettings reads the settings file again on each SIGHUP and at intervals.
--- a/cmd/reelrun-sim/certificates.go
+++ b/cmd/reelrun-sim/certificates.go
@@ -19,7 +19,7 @@
 	out := flags.String("out", "certificates", "folder for the files")
 	names := flags.String("names", "node", "names of the certificates, separated by commas")
 	addresses := flags.String("addresses", "127.0.0.1", "IP addresses that the certificates name, separated by commas")
-	valid := flags.Duration("valid", 24*time.Hour, "time for which they are valid")
+	valid := flags.Duration("valid", 24*time.Hour, "time for which the certificates are valid")
 	return &ffcli.Command{
 		Name: "certificates", ShortUsage: "reelrun-sim certificates [flags]", ShortHelp: "Issue certificates of a new authority, for rehearsals.", FlagSet: flags,
 		Exec: func(context.Context, []string) error {
--- a/cmd/reelrunctl/builds.go
+++ b/cmd/reelrunctl/builds.go
@@ -55,7 +55,7 @@
 		err := loglines.Each(log, func(text []byte) {
 			var line nodeEvent
 			if json.Unmarshal(text, &line) != nil {
-				return // A truncated line, or not a node's.
+				return // The line is truncated, or no node wrote it.
 			}
 			relevant := line.Message == messageStart || line.Message == messageStopped
 			if relevant && line.Node != "" && !line.Time.Before(latest[line.Node].Time) {
@@ -69,7 +69,7 @@
 	return latest, nil
 }
 
-// writeBuilds writes one line per node, and the number of nodes that run each build.
+// writeBuilds writes one line per node, and then the number of nodes that run each build.
 func writeBuilds(out io.Writer, latest map[string]nodeEvent) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) //nolint:mnd // two spaces between columns
 	running := map[string]int{}
--- a/cmd/reelrunctl/show.go
+++ b/cmd/reelrunctl/show.go
@@ -76,34 +76,34 @@
 }
 
 func objectLines(current *api.Configuration, kinds []string) []string {
-	wanted := func(kind string) bool {
+	selected := func(kind string) bool {
 		if len(kinds) == 0 {
 			return true
 		}
 		return strings.Contains(","+strings.Join(kinds, ",")+",", ","+kind+",")
 	}
 	lines := []string{fmt.Sprintf("version %d", current.Version)}
-	if wanted("tenants") {
+	if selected("tenants") {
 		for _, tenant := range current.Tenants {
 			lines = append(lines, fmt.Sprintf("tenant\t%s\tclasses %s\tservices %s", tenant.Name, strings.Join(tenant.Classes, ","), strings.Join(tenant.Services, ",")))
 		}
 	}
-	if wanted("classes") {
+	if selected("classes") {
 		for _, class := range current.Classes {
 			lines = append(lines, fmt.Sprintf("class\t%s\tmodel %s\tfirst token %s, interval %s", class.Name, class.Model, class.FirstToken.Std(), class.TokenInterval.Std()))
 		}
 	}
 	for _, pool := range current.Pools {
-		if wanted("pools") {
+		if selected("pools") {
 			lines = append(lines, fmt.Sprintf("pool\t%s\tmodel %s\tzone %s, %d engines", pool.Name, pool.Model, pool.Zone, len(pool.Engines)))
 		}
 		for _, engine := range pool.Engines {
-			if wanted("engines") {
+			if selected("engines") {
 				lines = append(lines, fmt.Sprintf("engine\t%s\tpool %s\t%s at %s", engine.Name, pool.Name, engine.Role, engine.Address))
 			}
 		}
 	}
-	if wanted("services") {
+	if selected("services") {
 		for _, service := range current.Services {
 			lines = append(lines, fmt.Sprintf("service\t%s\t%d replicas\t", service.Name, len(service.Backends)))
 		}
@@ -190,7 +190,7 @@
 	}
 }
 
-// withProcesses adds the events of other processes than nodes, such as stand-ins.
+// withProcesses adds the events of processes that are not nodes, such as stand-ins.
 func withProcesses(ctx context.Context, events []timeline.Event, selected timeline.Filter, list string) ([]timeline.Event, error) {
 	eventLists := [][]timeline.Event{events}
 	for address := range strings.SplitSeq(list, ",") {
