--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -16,7 +16,7 @@
 	"github.com/reelrun/reelrun/gateway"
 )
 
-// failingDialect answers every request with an error response of the backend's own.
+// failingDialect answers every request with an error response from the backend.
 type failingDialect struct{ parser }
 
 func (failingDialect) Send(context.Context, backend.Backend, *gateway.Request, time.Duration) (*gateway.Response, error) {
@@ -29,8 +29,8 @@
 	return response
 }
 
-// TestLastResponseIsReturnedWhenOthersAreInBackoff has one backend fail while the other one is in backoff.
-// The response used to be dropped in favor of a second attempt for which there was no backend.
+// TestLastResponseIsReturnedWhenOthersAreInBackoff has one backend fail while the other one is in backoff. It
+// guards against dropping the response in favor of a second attempt for which there is no backend.
 func TestLastResponseIsReturnedWhenOthersAreInBackoff(t *testing.T) {
 	g := NewWithT(t)
 	backends := twoBackends()
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -9,8 +9,8 @@
 
 const (
 	// sampleSize is how many backends of a service are sampled for a request, and zoneSampleSize how many
-	// of the node's own zone are sampled in addition. A service with at most sampleSize backends is
-	// examined whole.
+	// of the node's own zone are sampled in addition. All backends of a service that has at most
+	// sampleSize of them are examined.
 	sampleSize     = 32
 	zoneSampleSize = 16
 )
@@ -18,13 +18,13 @@
 // pick chooses a backend of a service, or returns nil. Backends that were attempted and those in backoff
 // are excluded. It examines a random sample, and all backends if none in the sample can take the request.
 func (h *Handler) pick(service string, role backend.Role, attempted map[string]bool) *backend.Entry {
-	wanted := backend.SampleOptions{Service: service, Role: role, Count: sampleSize}
-	sampled, complete := h.options.Backends.Sample(wanted, rand.IntN)
+	options := backend.SampleOptions{Service: service, Role: role, Count: sampleSize}
+	sampled, complete := h.options.Backends.Sample(options, rand.IntN)
 	if complete {
 		return h.choose(service, sampled, nil, attempted)
 	}
-	wanted.Zone, wanted.Count = h.options.Zone, zoneSampleSize
-	zoneLocal, _ := h.options.Backends.Sample(wanted, rand.IntN)
+	options.Zone, options.Count = h.options.Zone, zoneSampleSize
+	zoneLocal, _ := h.options.Backends.Sample(options, rand.IntN)
 	if chosen := h.choose(service, sampled, zoneLocal, attempted); chosen != nil {
 		return chosen
 	}
@@ -58,9 +58,9 @@
 
 // candidate describes a backend from this node's view.
 func (h *Handler) candidate(entry *backend.Entry) admission.Candidate {
-	described := entry.Backend()
+	target := entry.Backend()
 	return admission.Candidate{
-		ID: described.ID, SameZone: described.Zone == h.options.Zone,
+		ID: target.ID, SameZone: target.Zone == h.options.Zone,
 		Pending: entry.Pending(), FailureRate: entry.FailureRate(), Full: entry.IsFull(),
 	}
 }
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -19,7 +19,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if handler.pick("s", backend.RoleNone, nil) == nil {
-					b.Fatal("none")
+					b.Fatal("no backend was picked")
 				}
 			}
 		})
@@ -38,8 +38,8 @@
 	g.Expect(allocations(20_000)).To(BeNumerically("<=", allocations(200)))
 }
 
-// TestPicksCoverAllBackends has nodes of five zones pick as often as there are requests in minutes: all
-// backends get about equally many, whether nodes stay in their zones or these are full.
+// TestPicksCoverAllBackends checks that nodes of five zones, over as many picks as there are requests in a few
+// minutes, pick almost all backends, and none of them more than about twice as often as the mean.
 func TestPicksCoverAllBackends(t *testing.T) {
 	const (
 		backends = 1350
@@ -62,7 +62,8 @@
 	g.Expect(most).To(BeNumerically("<", 2*picks/backends+10))
 }
 
-// TestPickFallsBackToAllBackends excludes all but one of many backends as attempted.
+// TestPickFallsBackToAllBackends checks that the only backend that has not been attempted is found among many,
+// although a random sample rarely contains it, and that none is picked after that.
 func TestPickFallsBackToAllBackends(t *testing.T) {
 	g := NewWithT(t)
 	handler := newPickHandler(500)
--- a/gateway/counts_test.go
+++ b/gateway/counts_test.go
@@ -9,7 +9,8 @@
 	"github.com/reelrun/reelrun/routing"
 )
 
-// TestRouteCountsResetWhenTaken counts requests of two routes and one without a route.
+// TestRouteCountsResetWhenTaken checks that requests are counted by route, without those that have no route,
+// and that the counts start at zero again after they have been taken.
 func TestRouteCountsResetWhenTaken(t *testing.T) {
 	g := NewWithT(t)
 	var counters routeCounters
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -9,7 +9,7 @@
 )
 
 // exitCheckTimeout bounds the check whether the backend of a broken response has terminated. A connection
-// to a running backend opens within a few milliseconds; the request waits meanwhile.
+// to a running backend opens within a few milliseconds; the request may have to wait for the check.
 const exitCheckTimeout = 100 * time.Millisecond
 
 // fingerprint identifies the content of the request. It is computed once, and only after a failure or while
@@ -47,10 +47,10 @@
 	return nil
 }
 
-// reportBreak records that a backend broke off the request, age after the request was sent there. A backend
-// that has terminated counts against the request; a broken connection does not, nor does the termination of
-// a backend that was leaving. If no crash is attributed to the request yet, the check runs in the
-// background: this crash cannot be the one that quarantines the request.
+// reportBreak records that a backend broke off the request. The age is the time since the request was sent
+// there. A backend that has terminated counts against the request; a broken connection does not, nor does the
+// termination of a backend that was leaving. If no crash is attributed to the request yet, the check runs in
+// the background: this crash cannot be the one that quarantines the request.
 func (x *exchange) reportBreak(ctx context.Context, entry *backend.Entry, age time.Duration) {
 	if entry.LeavingFor() > 0 {
 		return
@@ -68,7 +68,7 @@
 	request, service string
 	content          quarantine.Fingerprint
 	backend          backend.Backend
-	// age is the time since the request was sent there.
+	// age is the time since the request was sent to the backend.
 	age time.Duration
 }
 
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -67,8 +67,9 @@
 	// Ended reports whether the process of a backend is known to have terminated: nothing listens at its
 	// address any more. It is false if that cannot be determined in time.
 	Ended(ctx context.Context, target backend.Backend) bool
-	// Reserve reserves memory at a decode engine. The result is nil if the engine has no capacity.
-	Reserve(ctx context.Context, target backend.Backend, tokens int, lasting time.Duration) (*Reservation, error)
+	// Reserve reserves memory at a decode engine for the lifetime. The result is nil if the engine has no
+	// capacity.
+	Reserve(ctx context.Context, target backend.Backend, tokens int, lifetime time.Duration) (*Reservation, error)
 	// Release cancels a reservation.
 	Release(ctx context.Context, target backend.Backend, reservation Reservation) error
 	// Prefill has an engine prefill a prompt. Without a result, the response says why.
--- a/gateway/leave_test.go
+++ b/gateway/disconnect_test.go
@@ -33,7 +33,7 @@
 
 func (c *assigningCoordinator) End(result coordinator.RunResult) { c.ended = append(c.ended, result) }
 
-// disconnectingDialect has the caller disconnect while memory is reserved.
+// disconnectingDialect has the caller disconnect while memory is being reserved.
 type disconnectingDialect struct {
 	parser
 	disconnect func()
--- a/gateway/enginewaits.go
+++ b/gateway/enginewaits.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// isLate reports whether the request is late whatever happens next: a client retry, a stream that has
+// isLate reports whether the request can no longer be in time: a client retry, a stream that has
 // broken off, or a request whose objective has passed.
 func (x *exchange) isLate() bool {
-	return x.isClientRetry() || x.answered || x.since() >= x.route.Objective
+	return x.isClientRetry() || x.answered || x.sinceArrival() >= x.route.Objective
 }
 
 // coordinatedWait returns how long the request may wait for engines from now on. A first attempt waits as
 // long as it can still be in time, which the coordinator estimates.
 func (x *exchange) coordinatedWait() time.Duration {
 	if !x.isLate() {
-		return x.route.Objective - x.since()
+		return x.route.Objective - x.sinceArrival()
 	}
 	callerTimeout := cmp.Or(x.route.CallerEventTimeout, x.route.Objective)
 	wait := time.Duration(x.handler.options.Policy.RetryWait * float64(callerTimeout))
 	if !x.answered {
 		// The caller of a broken stream has received events until now.
-		wait -= x.since()
+		wait -= x.sinceArrival()
 	}
 	return min(wait, x.left())
 }
@@ -32,7 +32,7 @@
 	if x.isLate() {
 		return x.route.Objective
 	}
-	return x.route.Objective - x.since()
+	return x.route.Objective - x.sinceArrival()
 }
 
 // uncoordinatedWait returns how long the request may wait from now on without a coordinator.
@@ -41,9 +41,9 @@
 	case x.answered:
 		return x.route.Objective
 	case x.isLate():
-		return x.route.Objective - x.since()
+		return x.route.Objective - x.sinceArrival()
 	default:
-		return time.Duration(x.handler.options.Policy.UncoordinatedWait*float64(x.route.Objective)) - x.since()
+		return time.Duration(x.handler.options.Policy.UncoordinatedWait*float64(x.route.Objective)) - x.sinceArrival()
 	}
 }
 
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -45,7 +45,7 @@
 	return &event{bytes: found, id: eventID(found)}, nil
 }
 
-// splitEvents is a bufio.SplitFunc that cuts after each empty line.
+// splitEvents is a bufio.SplitFunc that splits after each empty line.
 func splitEvents(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	for _, separator := range []string{"\n\n", "\r\n\r\n"} {
 		if end := bytes.Index(data, []byte(separator)); end >= 0 {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// maxSends bounds the calls that run one request at plain backends.
+	// maxSends bounds the sends of one request to plain backends.
 	maxSends = 3
 	// bufferedResponseBytes is how much of a response is read before its head is passed on, so that another
 	// backend can replace a response that breaks off.
 	bufferedResponseBytes = 256 << 10
-	// firstAttemptShare is the share of the time left that an attempt may take while another attempt is
+	// nonFinalAttemptShare is the share of the time left that an attempt may take while another attempt is
 	// possible.
-	firstAttemptShare = 0.5
+	nonFinalAttemptShare = 0.5
 	// noBackendRetryAfter is the Retry-After for a service without backends.
 	noBackendRetryAfter = 1000 * time.Millisecond
 	// rejectedRetryAfter is the Retry-After of a request that no backend accepted, for example because all
@@ -123,8 +123,9 @@
 	return x.maySendRun()
 }
 
-// attempt sends the request to one backend. The response is buffered whole, or its remainder follows in its
-// body. With an error, the response is what the backend returned, or nil.
+// attempt sends the request to one backend. It returns when the response has been buffered, or the first
+// bufferedResponseBytes of it; the body yields the whole response in both cases. If the error is not nil, the
+// response is what the backend returned, or nil.
 func (x *exchange) attempt(ctx context.Context, entry *backend.Entry) (*Response, error) {
 	target := entry.Backend()
 	x.target = target.ID
@@ -136,7 +137,7 @@
 	left := x.left()
 	sendContext := ctx
 	if x.route.Idempotent() && x.runs+1 < x.route.MaxAttempts {
-		limited, cancel := context.WithTimeout(ctx, time.Duration(float64(left)*firstAttemptShare))
+		limited, cancel := context.WithTimeout(ctx, time.Duration(float64(left)*nonFinalAttemptShare))
 		defer cancel()
 		sendContext = limited
 	}
@@ -196,7 +197,7 @@
 	}
 }
 
-// recordMisdirected records a response from another incarnation or in another role.
+// recordMisdirected records a response from another incarnation, or from a backend in another role.
 func (x *exchange) recordMisdirected(entry *backend.Entry, response *Response) {
 	entry.RecordFailure()
 	if response.Replaced && x.handler.options.Backends.Remove(entry.Backend().ID) {
@@ -204,8 +205,8 @@
 	}
 }
 
-// attemptFailed returns the error of an attempt without a complete response, age after the request was
-// sent.
+// attemptFailed returns the error of an attempt without a complete response. The age is the time since the
+// request was sent.
 func (x *exchange) attemptFailed(ctx context.Context, entry *backend.Entry, age time.Duration, err error) error {
 	x.runs++
 	if !errors.Is(ctx.Err(), context.Canceled) {
@@ -256,9 +257,9 @@
 	for name, values := range response.Header {
 		header[name] = values
 	}
-	// net/http would add these headers by itself.
+	// net/http would add these headers if they had no entry.
 	for _, name := range []string{"Content-Type", "Date"} {
-		if _, given := response.Header[name]; !given {
+		if _, present := response.Header[name]; !present {
 			header[name] = nil
 		}
 	}
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -15,42 +15,42 @@
 const (
 	// maxPrefills bounds the prefills of one request.
 	maxPrefills = 3
-	// maxLeavingTime is how long after a decode engine was reported leaving a run may still start there,
-	// because its prompt was being prefilled. It is half of the shortest time for which engines continue to
-	// serve (2 s on the supported deployments).
+	// maxLeavingTime is the longest time after a decode engine was reported leaving at which a run may still
+	// start there: the engine may have been reported while the prompt was being prefilled. It is half of the
+	// shortest time for which leaving engines continue to serve (2 s on the supported deployments).
 	maxLeavingTime = time.Second
-	// maxBackoffTime is the same limit after a decode engine has requested backoff: it has already reserved
-	// memory for this run. It is half of the time for which engines still accept requests under way
-	// (0.5 s).
+	// maxBackoffTime is the same limit after a decode engine has requested backoff: the engine has already
+	// reserved memory for the run. It is half of the time for which engines in backoff still accept requests
+	// that were already on their way (0.5 s).
 	maxBackoffTime = 250 * time.Millisecond
 	// prefillTimeoutShare is the share of the objective after which the prefill at an unresponsive engine
 	// is abandoned, if there is no estimate of its duration.
 	prefillTimeoutShare = 0.7
-	// expectedPrefillFactor and shortestPrefillTimeout determine that timeout if the coordinator has
-	// estimated the duration. A second prefill of a prompt wastes the first one and lengthens the queues,
+	// expectedPrefillFactor and shortestPrefillTimeout determine the timeout of a prefill whose duration the
+	// coordinator has estimated. A second prefill of a prompt wastes the first one and lengthens the queues,
 	// so the timeout lies well above the variation of the estimates.
 	expectedPrefillFactor  = 2
 	shortestPrefillTimeout = 500 * time.Millisecond
 )
 
-// generate serves a request by engines: memory is reserved, the prompt is prefilled, and the output of the
+// generate serves a request at engines: memory is reserved, the prompt is prefilled, and the output of the
 // decode engine is relayed. If a stream breaks off and may be resumed, another engine continues it.
 func (x *exchange) generate(ctx context.Context, profile *routing.EngineProfile) error {
 	defer func() { x.freeKeptPrompt(ctx) }()
-	relayed := &streamRelay{exchange: x, lastID: x.request.Generation.LastEventID}
+	stream := &streamRelay{exchange: x, lastID: x.request.Generation.LastEventID}
 	avoid := map[string]bool{}
 	for {
-		response, reserved, err := x.start(ctx, profile, relayed.lastID, avoid)
+		response, reserved, err := x.start(ctx, profile, stream.lastID, avoid)
 		if err != nil {
 			return err
 		}
-		err = relayed.relay(ctx, response, reserved)
+		err = stream.relay(ctx, response, reserved)
 		if err != nil && contextFailure(ctx) == nil && !isReason(err, ReasonCallerLeft) {
-			reserved.refusal = coordinator.RejectionFailed
+			reserved.rejection = coordinator.RejectionFailed
 			x.handler.logWasted(x, reserved.entry.Backend().ID, wasteStreamBroken)
 			x.reportBreak(ctx, reserved.entry, time.Since(reserved.sent))
 		}
-		reserved.close(err == nil, relayed.events, profile.EventTokens)
+		reserved.close(err == nil, stream.events, profile.EventTokens)
 		if err == nil || contextFailure(ctx) != nil || isReason(err, ReasonCallerLeft) {
 			return err
 		}
@@ -79,7 +79,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		x.timings.reserved = x.since()
+		x.timings.reserved = x.sinceArrival()
 		response, err := x.startAt(ctx, reserved, lastID)
 		if err == nil {
 			return response, reserved, nil
@@ -151,7 +151,7 @@
 	if response.NotRun || response.Misdirected {
 		_ = response.Body.Close()
 		if reserved.entry.BackoffRemaining() == 0 {
-			reserved.refusal = coordinator.RejectionUnavailable
+			reserved.rejection = coordinator.RejectionUnavailable
 		}
 		x.keepPrompt(ctx, prompt, wasteDecodeRejected)
 		return nil, &attemptError{failure: notRun(ReasonBackendRejected, rejectedRetryAfter, nil), arrived: true}
@@ -160,7 +160,7 @@
 	return response, nil
 }
 
-// decodeFailed returns the error for a decode engine that gave no response.
+// decodeFailed returns the error for a decode call that returned no response.
 func (x *exchange) decodeFailed(ctx context.Context, reserved *reservedEngine, err error) error {
 	if !errors.Is(err, ErrNotSent) {
 		x.countRun()
@@ -170,7 +170,7 @@
 		return failure
 	}
 	reserved.entry.RecordFailure()
-	reserved.refusal = coordinator.RejectionFailed
+	reserved.rejection = coordinator.RejectionFailed
 	if errors.Is(err, ErrNotSent) {
 		return &attemptError{failure: notRun(ReasonBackendFailed, rejectedRetryAfter, err)}
 	}
@@ -191,7 +191,7 @@
 		result, err := x.prefillAt(ctx, entry, reserved)
 		if err == nil {
 			reserved.reportPrefilled(entry.Backend().ID)
-			x.timings.prefill = x.since()
+			x.timings.prefilled = x.sinceArrival()
 			return result, entry, nil
 		}
 		if failure := contextFailure(ctx); failure != nil {
@@ -207,7 +207,8 @@
 	}
 }
 
-// prefillEngine returns the assigned engine, or another one once that has been attempted.
+// prefillEngine returns the assigned prefill engine, or another one if that engine cannot be used or has been
+// attempted.
 func (x *exchange) prefillEngine(reserved *reservedEngine, attempted map[string]bool) *backend.Entry {
 	if len(attempted) == 0 && reserved.prefillEngine != "" {
 		entry := x.handler.options.Backends.Lookup(reserved.prefillEngine)
@@ -287,8 +288,8 @@
 
 // recordEvent records the timings of a relayed event.
 func (s *streamRelay) recordEvent(id string, reserved *reservedEngine) {
-	if reserved.first == 0 {
-		reserved.first = time.Since(reserved.reservedAt)
+	if reserved.firstEvent == 0 {
+		reserved.firstEvent = time.Since(reserved.reservedAt)
 		if !reserved.localPrefill {
 			s.exchange.handler.firstEvents.observe(s.exchange.service, time.Since(reserved.sent))
 		}
@@ -298,9 +299,9 @@
 		reserved.reportPrefilled(reserved.entry.Backend().ID)
 	}
 	timings := &s.exchange.timings
-	now := s.exchange.since()
-	if timings.first == 0 {
-		timings.first = now
+	now := s.exchange.sinceArrival()
+	if timings.firstEvent == 0 {
+		timings.firstEvent = now
 	} else {
 		timings.pause = max(timings.pause, now-s.lastAt)
 	}
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -106,8 +106,8 @@
 	return &Handler{options: options, started: started, runNames: newRunNames()}
 }
 
-// Configure makes a configuration active, unless the active one is at least as new. It reports whether it
-// did.
+// Configure makes a configuration active, unless the active one is at least as new. It reports whether the
+// configuration became active.
 func (h *Handler) Configure(configuration *routing.Configuration) bool {
 	for {
 		current := h.configuration.Load()
@@ -136,8 +136,8 @@
 	usualStartTime = 500 * time.Millisecond
 	// startingRetryAfter is the Retry-After of a node that has just started.
 	startingRetryAfter = 300 * time.Millisecond
-	// storeUnavailableRetryAfter is the Retry-After of a node that is still not ready later: the store is
-	// unavailable, and no other node has the objects either.
+	// storeUnavailableRetryAfter is the Retry-After of a node that is not ready after usualStartTime: the
+	// store is unavailable, and no other node has the objects either.
 	storeUnavailableRetryAfter = 2500 * time.Millisecond
 )
 
@@ -184,7 +184,7 @@
 	keptPrompt *prefilledPrompt
 	// admission is the decision on a request to a plain service.
 	admission admission.Decision
-	// charged is the number of units charged for the request, and quota the decision on them.
+	// charged is the number of units charged for the request, and quota the tenant's quota decision.
 	charged float64
 	quota   quota.Decision
 	// shortRole is the role with too few engines, if the coordinator named one.
@@ -194,7 +194,7 @@
 	timings timings
 	// status is the status of the backend's response that was passed on.
 	status int
-	// content is the fingerprint of the request once it has been computed.
+	// content is the fingerprint of the request; nil until it has been computed.
 	content *quarantine.Fingerprint
 	// clientRetry is the evidence that the caller was rejected before.
 	clientRetry clientRetryEvidence
@@ -215,7 +215,7 @@
 	if err := x.identify(r.URL.Path); err != nil {
 		return err
 	}
-	if err := x.read(r); err != nil {
+	if err := x.readBody(r); err != nil {
 		return err
 	}
 	if err := x.checkQuarantine(); err != nil {
@@ -249,8 +249,8 @@
 	return x.forward(ctx)
 }
 
-// read reads the body of the request.
-func (x *exchange) read(r *http.Request) error {
+// readBody reads the body of the request, up to the limit of the configuration.
+func (x *exchange) readBody(r *http.Request) error {
 	request := x.request
 	limited := http.MaxBytesReader(x.writer, r.Body, x.configuration.Limits.MaxBodyBytes)
 	body, err := io.ReadAll(limited)
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -9,15 +9,15 @@
 
 // timings are the phases of a request, each measured from its arrival.
 type timings struct {
-	// reserved is when memory was reserved, prefill when the prompt was prefilled and first when the first
-	// event was relayed.
-	reserved, prefill, first time.Duration
+	// reserved is when memory was reserved, prefilled when the prompt was prefilled and firstEvent when the
+	// first event was relayed.
+	reserved, prefilled, firstEvent time.Duration
 	// pause is the longest time between two events.
 	pause time.Duration
 }
 
-// since returns how long ago the request arrived.
-func (x *exchange) since() time.Duration { return x.handler.options.Clock.Since(x.arrived) }
+// sinceArrival returns how long ago the request arrived.
+func (x *exchange) sinceArrival() time.Duration { return x.handler.options.Clock.Since(x.arrived) }
 
 // attributes returns the attributes of all log lines about a request.
 func (x *exchange) attributes(took time.Duration) []any {
@@ -39,8 +39,8 @@
 		attributes = append(attributes, "configuration", x.configuration.Version)
 	}
 	if x.timings.reserved > 0 {
-		attributes = append(attributes, "room_ms", x.timings.reserved.Milliseconds(), "prefill_ms", x.timings.prefill.Milliseconds(),
-			"first_ms", x.timings.first.Milliseconds(), "longest_pause_ms", x.timings.pause.Milliseconds())
+		attributes = append(attributes, "room_ms", x.timings.reserved.Milliseconds(), "prefill_ms", x.timings.prefilled.Milliseconds(),
+			"first_ms", x.timings.firstEvent.Milliseconds(), "longest_pause_ms", x.timings.pause.Milliseconds())
 	}
 	return attributes
 }
@@ -74,7 +74,7 @@
 // logRetry logs an upstream retry.
 func (h *Handler) logRetry(x *exchange, err error) {
 	h.options.Metrics.Add("repeats", 1)
-	h.options.Logger.Info("request sent again", append(x.attributes(x.since()),
+	h.options.Logger.Info("request sent again", append(x.attributes(x.sinceArrival()),
 		"cause", err.Error(), "budget_left", int(h.options.Budget.Remaining(x.service)))...)
 }
 
@@ -90,17 +90,17 @@
 // logUncoordinated logs a request for which this node chooses engines without a coordinator.
 func (h *Handler) logUncoordinated(x *exchange, err error) {
 	h.options.Metrics.Add("coordinator_missed", 1)
-	h.options.Logger.Info("coordinator missed", append(x.attributes(x.since()), "cause", err.Error())...)
+	h.options.Logger.Info("coordinator missed", append(x.attributes(x.sinceArrival()), "cause", err.Error())...)
 }
 
 // logAssignedFull logs an assigned engine that had no capacity.
 func (h *Handler) logAssignedFull(x *exchange, engine string) {
 	h.options.Metrics.Add("assigned_engines_full", 1)
-	h.options.Logger.Info("assigned engine full", append(x.attributes(x.since()), "engine", engine)...)
+	h.options.Logger.Info("assigned engine full", append(x.attributes(x.sinceArrival()), "engine", engine)...)
 }
 
-// logAnswered logs a response that is late, or that reports a failure of its backend. Other responses have
-// no line.
+// logAnswered logs a response that is late, or that reports a failure of its backend. Other responses are
+// only counted.
 func (h *Handler) logAnswered(x *exchange, took time.Duration) {
 	if x.status >= http.StatusInternalServerError {
 		h.options.Metrics.Add("requests_failed_by_backend", 1)
@@ -109,12 +109,12 @@
 		h.options.Logger.Info("request failed by its back end", append(x.attributes(took), "status", x.status)...)
 		return
 	}
-	first := took
-	if x.timings.first > 0 {
-		first = x.timings.first
+	firstEvent := took
+	if x.timings.firstEvent > 0 {
+		firstEvent = x.timings.firstEvent
 	}
-	h.options.Metrics.Observe("request_first_answer", first)
-	late := x.clientRetry.age+first > x.route.Objective
+	h.options.Metrics.Observe("request_first_answer", firstEvent)
+	late := x.clientRetry.age+firstEvent > x.route.Objective
 	paused := x.route.MaxPause > 0 && x.timings.pause > x.route.MaxPause
 	if !late && !paused {
 		h.counters.add(x, func(counts *RouteCounts) { counts.InTime++ })
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -45,12 +45,12 @@
 	return coordinator.Assignment{Decode: "engine"}, nil
 }
 
-// TestEngineDecisionsAreLogged checks for a line with the request's id and the cause if a node chooses
-// engines without a coordinator, and if an assigned engine had no capacity.
+// TestEngineDecisionsAreLogged checks that a line with the request's id is logged if a node chooses engines
+// without a coordinator, with the cause, and if an assigned engine had no capacity, with the engine.
 func TestEngineDecisionsAreLogged(t *testing.T) {
 	for name, test := range map[string]struct {
 		assigned gateway.Coordinator
-		wanted   string
+		detail   string
 	}{
 		"coordinator missed":   {&unavailableCoordinator{}, "10.0.0.9:1"},
 		"assigned engine full": {&assigningOnce{}, `"engine":"engine"`},
@@ -65,7 +65,7 @@
 			handler.ServeHTTP(response, request)
 			g.Expect(response.Code).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(log.String()).To(ContainSubstring(`"msg":"` + name + `"`))
-			g.Expect(log.String()).To(And(ContainSubstring(test.wanted), ContainSubstring(`"request":"asked"`)))
+			g.Expect(log.String()).To(And(ContainSubstring(test.detail), ContainSubstring(`"request":"asked"`)))
 		})
 	}
 }
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -41,11 +41,12 @@
 	ReasonStreamBroken  Reason = "stream_broken"
 )
 
-// failure is a final response of the gateway's own. It implements error, so that each step can return it.
+// failure is a final response that the gateway generates itself. It implements error, so that each step can
+// return it.
 type failure struct {
 	status int
 	reason Reason
-	// retryAfter is set if the request has certainly not run.
+	// retryAfter is above zero only if the request has certainly not run.
 	retryAfter time.Duration
 	cause      error
 }
--- a/gateway/policy.go
+++ b/gateway/policy.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Policy controls how engines are chosen and when a request is rejected. The effect of each field was
-// measured separately; docs/BENCH.md has the figures.
+// Policy controls how engines are chosen and when a request is rejected. docs/BENCH.md has the effect of each
+// field, measured separately.
 type Policy struct {
 	// OutputMargin is the share of the expected output that is reserved at an engine that the coordinator
 	// assigned. Default 0.1: an engine blocks the whole reservation until its run has ended, and the
--- a/gateway/prompt.go
+++ b/gateway/prompt.go
@@ -43,21 +43,21 @@
 
 // prefillLocally has the decode engine prefill the prompt, which other engines have rejected or failed to
 // prefill: the decode engine has memory for the request and prefills more slowly, but at once. Each
-// rejected prefill counts as an arrival: if the budget were not checked here, runs after rejected prefills
-// would exceed it by one each.
-func (x *exchange) prefillLocally(reserved *reservedEngine, failed error) error {
-	if rejection := x.runRejection(failed); rejection != nil {
+// rejected prefill counts as an arrival: if the retry budget were not checked here, each run after a rejected
+// prefill would exceed it by one.
+func (x *exchange) prefillLocally(reserved *reservedEngine, cause error) error {
+	if rejection := x.runRejection(cause); rejection != nil {
 		return rejection
 	}
 	reserved.localPrefill = true
-	x.handler.logRetry(x, failed)
+	x.handler.logRetry(x, cause)
 	return nil
 }
 
-// keepPrompt keeps a prompt that no engine has fetched for the next engine, if there is time for that, and
-// frees it otherwise. A rejected run has not used the prompt; if the prompt were prefilled again elsewhere,
-// the next start would count as two retries instead of one. The prompt is offered to two engines at most,
-// because an engine may have rejected the run for being unable to fetch the prompt.
+// keepPrompt keeps a prompt that no engine has fetched, so that the next engine can fetch it. It frees the
+// prompt if there is too little time left for that. A rejected run has not used the prompt; if the prompt were
+// prefilled again elsewhere, the next start would count as two retries instead of one. The prompt is offered
+// to two engines at most, because an engine may have rejected the run for being unable to fetch the prompt.
 func (x *exchange) keepPrompt(ctx context.Context, prompt *prefilledPrompt, cause wasteCause) {
 	if prompt == nil {
 		return
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -20,8 +20,8 @@
 	// releaseTimeout bounds the calls that free reservations and prompts.
 	releaseTimeout = 2 * time.Second
 	// maxFreeDelay is the longest time for which such a call is delayed until the backoff of its engine
-	// ends. With a longer backoff the call is not made: what engines keep for a request expires by itself,
-	// reservations after 2 s on the supported deployments and prompts soon after.
+	// ends. With a longer backoff the call is not made: reservations and prompts also expire at the engine
+	// without a call, reservations after 2 s on the supported deployments and prompts soon after.
 	maxFreeDelay = 5 * time.Second
 	// reserveInterval is the pause between two rounds over all engines.
 	reserveInterval = 40 * time.Millisecond
@@ -38,35 +38,34 @@
 	prefillEngine string
 	// localPrefill is set if the decode engine is to prefill the prompt.
 	localPrefill bool
-	// expectedPrefill is the expected time until the prompt is prefilled; zero if there is no estimate.
+	// expectedPrefill is the expected time until the prompt has been prefilled; zero if there is no estimate.
 	expectedPrefill time.Duration
-	// run identifies the run at its coordinator; empty if it has none.
+	// run identifies the run at its coordinator; empty if the run has no coordinator.
 	run string
-	// reservedAt is when the engine was reserved, first how long after that the first event arrived.
+	// reservedAt is when the engine was reserved, firstEvent how long after that the first event arrived.
 	reservedAt time.Time
-	first      time.Duration
+	firstEvent time.Duration
 	// sent is when the decode call was sent, events how many events this engine has sent.
 	sent   time.Time
 	events int
-	// refusal is why the engine did not accept the run in spite of the reservation.
-	refusal coordinator.Rejection
+	// rejection is why the engine did not accept the run in spite of the reservation.
+	rejection coordinator.Rejection
 	// watchdog ends the stream of an unresponsive engine; nil if no other engine could continue it.
 	watchdog *watchdog
 	end      func()
 }
 
-// close ends the run. The stream was complete or not, and had the given number of events in total, some of
-// them possibly from other engines.
+// close ends the run. The number of events is that of the whole stream, including those from other engines.
 func (s *reservedEngine) close(complete bool, events, eventTokens int) {
 	s.end()
 	s.watchdog.stop()
 	if s.run == "" {
 		return
 	}
-	result := coordinator.RunResult{Service: s.exchange.service, ID: s.run, Rejection: s.refusal}
+	result := coordinator.RunResult{Service: s.exchange.service, ID: s.run, Rejection: s.rejection}
 	if complete && events > 0 {
 		result.Duration, result.Output = time.Since(s.reservedAt), events*eventTokens
-		result.FirstEvent, result.RestTokens = s.first, (s.events-1)*eventTokens
+		result.FirstEvent, result.RestTokens = s.firstEvent, (s.events-1)*eventTokens
 	}
 	s.exchange.handler.options.Coordinator.End(result)
 }
@@ -148,9 +147,9 @@
 	}
 	entry := x.handler.options.Backends.Lookup(assigned.Decode)
 	var reservation *Reservation
-	refusal := coordinator.RejectionFull
+	rejection := coordinator.RejectionFull
 	if entry != nil && entry.TakesWork() && entry.BackoffRemaining() == 0 {
-		reservation, refusal, err = x.reserveAt(ctx, entry, profile, reservationSize{assigned: true, expectedPrefill: assigned.PromptReady})
+		reservation, rejection, err = x.reserveAt(ctx, entry, profile, reservationOptions{assigned: true, expectedPrefill: assigned.PromptReady})
 	}
 	if err != nil {
 		x.endUnused(request.Run.ID, coordinator.RejectionNone)
@@ -158,7 +157,7 @@
 	}
 	if reservation == nil {
 		x.handler.logAssignedFull(x, assigned.Decode)
-		x.endUnused(request.Run.ID, refusal)
+		x.endUnused(request.Run.ID, rejection)
 		return nil, nil
 	}
 	return &reservedEngine{
@@ -169,8 +168,8 @@
 }
 
 // endUnused notifies the coordinator that no run uses the assigned engine.
-func (x *exchange) endUnused(run string, refusal coordinator.Rejection) {
-	x.handler.options.Coordinator.End(coordinator.RunResult{Service: x.service, ID: run, Rejection: refusal})
+func (x *exchange) endUnused(run string, rejection coordinator.Rejection) {
+	x.handler.options.Coordinator.End(coordinator.RunResult{Service: x.service, ID: run, Rejection: rejection})
 }
 
 // noCapacity is the rejection of a request for lack of free capacity.
@@ -183,7 +182,7 @@
 	until := time.Now().Add(x.uncoordinatedWait())
 	for {
 		for _, entry := range x.handler.decodeCandidates(x.service, avoid) {
-			reservation, _, err := x.reserveAt(ctx, entry, profile, reservationSize{})
+			reservation, _, err := x.reserveAt(ctx, entry, profile, reservationOptions{})
 			if err != nil {
 				return nil, err
 			}
@@ -200,8 +199,8 @@
 	}
 }
 
-// reservationSize determines the size and the lifetime of a reservation.
-type reservationSize struct {
+// reservationOptions determines the size and the lifetime of a reservation.
+type reservationOptions struct {
 	// assigned is set for an engine that the coordinator assigned.
 	assigned bool
 	// expectedPrefill is the expected time until the prompt is prefilled; zero if there is no estimate.
@@ -210,13 +209,13 @@
 
 // reserveAt requests a reservation from one engine. The result is nil if the engine is full, in backoff or
 // does not answer; the returned coordinator.Rejection says which.
-func (x *exchange) reserveAt(ctx context.Context, entry *backend.Entry, profile *routing.EngineProfile, size reservationSize) (*Reservation, coordinator.Rejection, error) {
+func (x *exchange) reserveAt(ctx context.Context, entry *backend.Entry, profile *routing.EngineProfile, options reservationOptions) (*Reservation, coordinator.Rejection, error) {
 	policy := &x.handler.options.Policy
-	tokens := min(policy.reservedTokens(x.request.Generation, size.assigned), profile.MemoryTokens)
-	lasting := min(max(policy.ReservationLifetime, prefillLimit(size.expectedPrefill)), profile.MaxReservationTime)
+	tokens := min(policy.reservedTokens(x.request.Generation, options.assigned), profile.MemoryTokens)
+	lifetime := min(max(policy.ReservationLifetime, prefillLimit(options.expectedPrefill)), profile.MaxReservationTime)
 	callContext, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	reservation, err := x.handler.options.Dialect.Reserve(callContext, entry.Backend(), tokens, lasting)
+	reservation, err := x.handler.options.Dialect.Reserve(callContext, entry.Backend(), tokens, lifetime)
 	switch {
 	case ctx.Err() != nil:
 		return nil, coordinator.RejectionNone, contextFailure(ctx)
@@ -225,9 +224,9 @@
 		x.handler.options.Metrics.Add("reservation_errors", 1)
 		return nil, coordinator.RejectionFailed, nil
 	case reservation == nil && entry.BackoffRemaining() > 0:
-		// The engine has requested backoff from this node only, and may have capacity for others. With a
-		// backoff for all nodes, where engines reject one call in twenty, 0.44 of the streams were in time
-		// instead of 0.59 (four nodes, six engines, 50 streams a second, means of six runs).
+		// The engine has requested backoff from this node only, and may have capacity for others. If its
+		// backoff applied to all nodes and engines rejected one call in twenty, 0.44 of the streams were in
+		// time instead of 0.59 (four nodes, six engines, 50 streams a second, means of six runs).
 		x.handler.options.Metrics.Add("reservation_refusals", 1)
 		return nil, coordinator.RejectionNone, nil
 	case reservation == nil:
@@ -258,8 +257,8 @@
 	})
 }
 
-// freeLater has an engine free something, without waiting for it. An engine in backoff is called after the
-// backoff, because it must receive no calls meanwhile.
+// freeLater has an engine free a reservation or a prompt, without waiting for the response. An engine in
+// backoff is called after the backoff has ended, because it must receive no calls before.
 func (x *exchange) freeLater(ctx context.Context, engine *backend.Entry, errorsMetric string, free func(context.Context) error) {
 	backoff := engine.BackoffRemaining()
 	if backoff > maxFreeDelay {
--- a/gateway/repeats.go
+++ b/gateway/retries.go
@@ -21,7 +21,7 @@
 }
 
 // runRejection returns the rejection of the request if the retry budget does not allow the run that is about
-// to be sent. The cause is why it would be a retry, if that is known.
+// to be sent. The cause is the failure after which the run is a retry; nil if it is not known.
 func (x *exchange) runRejection(cause error) error {
 	return x.budgetRejection(x.arrivals.withRun(), cause)
 }
--- a/gateway/repeats_test.go
+++ b/gateway/retries_test.go
@@ -31,8 +31,8 @@
 	prefills map[string]int
 	decodes  map[string]int
 	retried  []time.Time
-	// delay is how long the second decode calls of requests that arrive before a moment are delayed on
-	// their way.
+	// delay is how long a second decode call that is sent earlier than the time in before is delayed on its
+	// way.
 	delay  time.Duration
 	before time.Time
 }
@@ -75,8 +75,8 @@
 	}, nil
 }
 
-// waitingCoordinator assigns engines. The second assignment of a request that arrives before a moment takes
-// a while.
+// waitingCoordinator assigns engines. The second assignment of a request takes the time in wait, if it is
+// requested earlier than the time in before.
 type waitingCoordinator struct {
 	fullCoordinator
 	wait   time.Duration
--- a/gateway/runname_test.go
+++ b/gateway/runname_test.go
@@ -85,10 +85,10 @@
 			g.Expect(response.Code).To(Equal(http.StatusServiceUnavailable))
 		}
 	}
-	seen := map[string]bool{}
+	distinct := map[string]bool{}
 	for _, name := range full.names {
-		seen[name] = true
+		distinct[name] = true
 	}
 	g.Expect(full.names).To(HaveLen(8))
-	g.Expect(seen).To(HaveLen(8))
+	g.Expect(distinct).To(HaveLen(8))
 }
--- a/gateway/waits.go
+++ b/gateway/waits.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// minClientRetryAge is the age from which a request counts as a client retry: more than clock
-	// differences, links and the callers' own scheduling take from a deadline (3 ms to clients on the
-	// supported deployments).
+	// minClientRetryAge is the age from which a request counts as a client retry. It is more than the time by
+	// which clock differences, links and the callers' own scheduling shorten a deadline (3 ms to clients on
+	// the supported deployments).
 	minClientRetryAge = 100 * time.Millisecond
-	// fullDeadlineMargin is by how much a full deadline may be shorter than the longest: callers count it
-	// in whole milliseconds, some from when they started to connect.
+	// fullDeadlineMargin is by how much a full deadline may be shorter than the longest: callers measure it
+	// in whole milliseconds, some of them from when they started to connect.
 	fullDeadlineMargin = 20 * time.Millisecond
 	// minAttempts is how many attempts of a route must have been observed before its deadlines count as
 	// evidence.
@@ -30,8 +30,8 @@
 
 // waitHistory tracks how long callers of each route wait. A client retry has less time left, by as much as
 // its caller has waited already. The time left is evidence only if all callers of a route wait equally
-// long: where deadlines vary by themselves, a first attempt with a short one would be ordered behind others
-// as a retry, and served late. It is safe for concurrent use.
+// long: if the deadlines of first attempts differ, one with a short deadline would be ordered behind others as
+// a retry, and served late. It is safe for concurrent use.
 type waitHistory struct {
 	mu      sync.Mutex
 	byRoute map[routeKey]*routeWaits
--- a/gateway/waits_test.go
+++ b/gateway/waits_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestBrokenStreamMayWaitForEngines checks the wait for engines of a first attempt, of a request whose
-// objective has passed, and of a stream that broke off after five seconds. Late ones yield to others but
-// get time: they would otherwise never be assigned an engine.
+// objective has passed, and of a stream that broke off after five seconds. Late requests are ordered behind
+// others but may still wait: they would otherwise never be assigned an engine.
 func TestBrokenStreamMayWaitForEngines(t *testing.T) {
 	g := NewWithT(t)
 	handler := &Handler{}
@@ -71,8 +71,9 @@
 	g.Expect(retries).To(BeNumerically(">", 0.95))
 }
 
-// TestDifferentDeadlinesAreNotRetries simulates callers whose deadlines vary by themselves, by a little and
-// by much. Classified as retries they would be ordered behind others, and wait until they are late.
+// TestDifferentDeadlinesAreNotRetries simulates callers whose first attempts have deadlines that differ by a
+// little or by much. If these were classified as retries, they would be ordered behind others, and wait until
+// they are late.
 func TestDifferentDeadlinesAreNotRetries(t *testing.T) {
 	for _, deadline := range []time.Duration{3 * time.Second, 14 * time.Second} {
 		for _, variation := range []float64{0.08, 0.15, 0.5} {
@@ -83,7 +84,8 @@
 	}
 }
 
-// TestUniformlyShorterDeadlinesAreNotRetries has all callers wait for a shorter time from some moment on.
+// TestUniformlyShorterDeadlinesAreNotRetries has all callers wait for a shorter time from some attempt on:
+// these attempts must not count as retries because of the longer deadlines before them.
 func TestUniformlyShorterDeadlinesAreNotRetries(t *testing.T) {
 	g := NewWithT(t)
 	history, route := &waitHistory{}, &routing.Route{Host: "h", PathPrefix: "/a/"}
--- a/gateway/silence.go
+++ b/gateway/watchdog.go
@@ -14,18 +14,18 @@
 	// milliseconds, and fetching the prompt as much; the limit leaves enough time for another engine within
 	// most objectives.
 	minFirstEventLimit = 400 * time.Millisecond
-	// firstEventFactor is how many times the mean first-event time an engine may be unresponsive.
+	// firstEventFactor times the mean first-event time is how long an engine may be unresponsive.
 	firstEventFactor = 4
-	// initialFirstEventLimit is the limit before minFirstEvents responses have been observed. It is below
-	// the two seconds after which callers disconnect.
+	// initialFirstEventLimit is the limit until the first events of minFirstEvents responses have been
+	// observed. It is below the two seconds after which callers disconnect.
 	initialFirstEventLimit = 1500 * time.Millisecond
 	minFirstEvents         = 10
 	// firstEventWeight is the weight of one response in the mean.
 	firstEventWeight = 0.1
-	// pauseLimitFactor is how many times the longest allowed pause an engine may be unresponsive within a
-	// stream that can continue at another engine.
+	// pauseLimitFactor times the longest pause of the route is how long an engine may be unresponsive within
+	// a stream that can continue at another engine.
 	pauseLimitFactor = 3
-	// minPauseLimit bounds that time from below, also if the route sets no longest pause.
+	// minPauseLimit bounds that time from below. It applies if the route sets no longest pause.
 	minPauseLimit = time.Second
 )
 
