--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -63,7 +63,7 @@
 	h.countTenantFailure(x, final)
 	h.counters.add(x, func(counts *RouteCounts) {
 		switch {
-		case final.reason == ReasonCallerLeft:
+		case final.reason == ReasonCallerDisconnected:
 			counts.Disconnected++
 		case final.retryAfter > 0:
 			counts.Rejected++
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -45,13 +45,13 @@
 			return err
 		}
 		err = stream.relay(ctx, response, reserved)
-		if err != nil && contextFailure(ctx) == nil && !isReason(err, ReasonCallerLeft) {
+		if err != nil && contextFailure(ctx) == nil && !isReason(err, ReasonCallerDisconnected) {
 			reserved.rejection = coordinator.RejectionFailed
 			x.handler.logWasted(x, reserved.entry.Backend().ID, wasteStreamBroken)
 			x.reportBreak(ctx, reserved.entry, time.Since(reserved.sent))
 		}
 		reserved.close(err == nil, stream.events, profile.EventTokens)
-		if err == nil || contextFailure(ctx) != nil || isReason(err, ReasonCallerLeft) {
+		if err == nil || contextFailure(ctx) != nil || isReason(err, ReasonCallerDisconnected) {
 			return err
 		}
 		reserved.entry.RecordFailure()
@@ -351,10 +351,10 @@
 			x.writeHead(response)
 		}
 		if _, err := x.writer.Write(event.bytes); err != nil {
-			return unknown(ReasonCallerLeft, err)
+			return unknown(ReasonCallerDisconnected, err)
 		}
 		if err := flusher.Flush(); err != nil {
-			return unknown(ReasonCallerLeft, err)
+			return unknown(ReasonCallerDisconnected, err)
 		}
 		s.recordEvent(event.id, reserved)
 	}
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -276,7 +276,7 @@
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return expired(ctx.Err())
 	default:
-		return unknown(ReasonCallerLeft, ctx.Err())
+		return unknown(ReasonCallerDisconnected, ctx.Err())
 	}
 }
 
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -34,11 +34,11 @@
 	ReasonPrefillFailed   Reason = "prefill_failed"
 	ReasonBackendRejected Reason = "backend_refused"
 	// ReasonBackendLeft means that the engine was leaving while the prompt was being prefilled.
-	ReasonBackendLeft   Reason = "backend_left"
-	ReasonBackendFailed Reason = "backend_failed"
-	ReasonDeadline      Reason = "deadline"
-	ReasonCallerLeft    Reason = "caller_left"
-	ReasonStreamBroken  Reason = "stream_broken"
+	ReasonBackendLeft        Reason = "backend_left"
+	ReasonBackendFailed      Reason = "backend_failed"
+	ReasonDeadline           Reason = "deadline"
+	ReasonCallerDisconnected Reason = "caller_left"
+	ReasonStreamBroken       Reason = "stream_broken"
 )
 
 // failure is a final response that the gateway generates itself. It implements error, so that each step can
