--- a/routing/configuration.go
+++ b/routing/configuration.go
@@ -17,7 +17,7 @@
 	MaxReservationTime time.Duration
 	// EventTokens is the largest number of tokens in one event of a stream.
 	EventTokens int
-	// RoleChangeTime is how long an engine takes to change its role, once idle.
+	// RoleChangeTime is how long an idle engine takes to change its role.
 	RoleChangeTime time.Duration
 }
 
@@ -46,18 +46,18 @@
 	// Tenants are the callers identified by their keys; nil if callers need none.
 	Tenants *tenant.Directory
 	// routes holds the routes of each host by path prefix.
-	routes map[string]map[string]*Route
-	count  int
+	routes     map[string]map[string]*Route
+	routeCount int
 }
 
 // New returns a configuration with the given parts.
 func New(version int64, routes []*Route, services []*Service, limits Limits) *Configuration {
 	c := &Configuration{
-		Version:  version,
-		Services: make(map[string]*Service, len(services)),
-		Limits:   limits,
-		routes:   map[string]map[string]*Route{},
-		count:    len(routes),
+		Version:    version,
+		Services:   make(map[string]*Service, len(services)),
+		Limits:     limits,
+		routes:     map[string]map[string]*Route{},
+		routeCount: len(routes),
 	}
 	for _, service := range services {
 		c.Services[service.Name] = service
@@ -68,7 +68,7 @@
 	return c
 }
 
-// add adds a route. The first of two with the same prefix wins.
+// add adds a route, unless the host already has a route with the same prefix.
 func (c *Configuration) add(route *Route) {
 	if c.routes[route.Host] == nil {
 		c.routes[route.Host] = map[string]*Route{}
@@ -92,4 +92,4 @@
 }
 
 // RouteCount returns the number of routes.
-func (c *Configuration) RouteCount() int { return c.count }
+func (c *Configuration) RouteCount() int { return c.routeCount }
--- a/routing/route.go
+++ b/routing/route.go
@@ -30,7 +30,8 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time for which a request is held.
+	// Timeout is the longest time from the arrival of a request to its deadline. A caller may state a
+	// shorter one.
 	Timeout time.Duration
 	// Objective is the time within which a response (of a stream: its first event) is in time.
 	Objective time.Duration
@@ -47,7 +48,8 @@
 	MaxAttempts int
 	// Public routes need no key, even if the configuration has tenants.
 	Public bool
-	// Resumable streams may continue at another backend after the last event.
+	// Resumable streams may continue at another backend after the last event that the caller has
+	// received.
 	Resumable bool
 }
 
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -24,16 +24,16 @@
 			routes = append(routes, &routing.Route{Host: host.Draw(t, "host"), PathPrefix: prefix})
 		}
 		configuration := routing.New(1, routes, nil, routing.Limits{})
-		wantedHost, wantedPath := host.Draw(t, "wanted host"), path("wanted path")
+		requestHost, requestPath := host.Draw(t, "wanted host"), path("wanted path")
 		longest := -1
 		for _, route := range routes {
-			if route.Host == wantedHost && strings.HasPrefix(wantedPath, route.PathPrefix) {
+			if route.Host == requestHost && strings.HasPrefix(requestPath, route.PathPrefix) {
 				longest = max(longest, len(route.PathPrefix))
 			}
 		}
-		found := configuration.Match(wantedHost, wantedPath)
+		found := configuration.Match(requestHost, requestPath)
 		switch {
-		case found == nil && longest >= 0, found != nil && (len(found.PathPrefix) != longest || found.Host != wantedHost):
+		case found == nil && longest >= 0, found != nil && (len(found.PathPrefix) != longest || found.Host != requestHost):
 			t.Fatalf("found %v, longest %d", found, longest)
 		}
 	})
