--- a/backendhttp/exchange.go
+++ b/backendhttp/exchange.go
@@ -50,7 +50,7 @@
 type Transport struct {
 	http  *http.Transport
 	clock *clock.Clock
-	// lastUsedAt is when a request was last sent, by the clock, in nanoseconds.
+	// lastUsedAt is when a request was last sent, in nanoseconds of the clock since the Unix epoch.
 	lastUsedAt atomic.Int64
 }
 
@@ -88,8 +88,8 @@
 // CloseIdle closes the idle connections.
 func (t *Transport) CloseIdle() { t.http.CloseIdleConnections() }
 
-// singleUseBody is a request body that the transport cannot send again by itself, as it would for
-// some methods.
+// singleUseBody is a request body that the transport cannot send again. With another body, it would
+// retry requests of some methods without being told to.
 type singleUseBody struct{ io.Reader }
 
 // Close implements io.Closer.
@@ -111,11 +111,11 @@
 }
 
 // closeStaleIdle closes the idle connections if none has been used for longer than idleTimeout. The
-// transport's idle timers stop while the machine is suspended; backends close the connections
-// meanwhile, and a non-idempotent request sent on one would be lost.
+// transport's idle timers stop while the machine is suspended, but backends close the connections
+// during that time, and a non-idempotent request sent on a closed connection would be lost.
 func (t *Transport) closeStaleIdle() {
 	now := t.clock.Now().UnixNano()
-	if before := t.lastUsedAt.Swap(now); now-before > int64(idleTimeout) {
+	if previous := t.lastUsedAt.Swap(now); now-previous > int64(idleTimeout) {
 		t.CloseIdle()
 	}
 }
@@ -126,7 +126,7 @@
 	t.closeStaleIdle()
 	var mu sync.Mutex
 	var used *Conn
-	var before int64
+	var writtenBefore int64
 	reused := false
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		mu.Lock()
@@ -134,7 +134,7 @@
 		reused = info.Reused
 		used, _ = info.Conn.(*Conn)
 		if used != nil {
-			before = used.written.Load()
+			writtenBefore = used.written.Load()
 		}
 	}}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
@@ -149,7 +149,7 @@
 		// are not affected.
 		t.CloseIdle()
 	}
-	if used == nil || used.written.Load() == before {
+	if used == nil || used.written.Load() == writtenBefore {
 		err = errors.CombineErrors(gateway.ErrNotSent, err)
 	}
 	return nil, used, err
