--- a/httpheader/retryafter_test.go
+++ b/httpheader/retryafter_test.go
@@ -12,11 +12,11 @@
 )
 
 func TestRetryAfter(t *testing.T) {
-	for text, wanted := range map[string]time.Duration{
+	for text, expected := range map[string]time.Duration{
 		"3": 3 * time.Second, " 0.25 ": 250 * time.Millisecond, "": 0, "0": 0, "-1": 0, "soon": 0, "NaN": 0,
 		"Wed, 21 Oct 2015 07:28:00 GMT": 0, "1e300": 10 * time.Minute, "Inf": 10 * time.Minute,
 	} {
-		NewWithT(t).Expect(httpheader.RetryAfter(http.Header{"Retry-After": {text}})).To(Equal(wanted), text)
+		NewWithT(t).Expect(httpheader.RetryAfter(http.Header{"Retry-After": {text}})).To(Equal(expected), text)
 	}
 	NewWithT(t).Expect(httpheader.RetryAfter(nil)).To(BeZero())
 }
