--- a/completion/decode.go
+++ b/completion/decode.go
@@ -19,38 +19,38 @@
 	// stallIntervals is how many token intervals may pass before a stream counts as
 	// stalled.
 	stallIntervals = 40
-	// minStall is the shortest such time.
+	// minStall is the least time after which a stream counts as stalled.
 	minStall = 2 * time.Second
 	// maxResumes bounds the attempts to resume a broken stream at the same engine.
 	maxResumes = 3
-	// firstResumeDelay is the pause before the second of them.
+	// firstResumeDelay is the pause before the second attempt to resume.
 	firstResumeDelay = 50 * time.Millisecond
 )
 
 // decode moves the prefill result to a decode engine and relays its tokens. If the
 // transfer fails while the result is kept, another decode engine is used.
-func (r *run) decode(ctx context.Context, held *grant, result engine.PrefillResult, source string) error {
+func (r *run) decode(ctx context.Context, heldGrant *grant, result engine.PrefillResult, source string) error {
 	expires := r.service.options.Now().Add(time.Duration(result.HoldMillis) * time.Millisecond)
 	failed := ""
 	for {
-		name, err := r.decodeEngine(ctx, held, failed)
+		name, err := r.decodeEngine(ctx, heldGrant, failed)
 		if err != nil {
-			r.abandon(ctx, held, "")
+			r.abandon(ctx, heldGrant, "")
 			return err
 		}
-		err = r.decodeAt(ctx, held, name, source, result.ResultID)
+		err = r.decodeAt(ctx, heldGrant, name, source, result.ResultID)
 		switch {
 		case err == nil:
-			r.service.grants.release(held, r.offset, "")
+			r.service.grants.release(heldGrant, r.offset, "")
 			return nil
 		case errors.Is(err, errTakenOver):
-			r.service.grants.forget(held)
+			r.service.grants.forget(heldGrant)
 			return err
 		}
 		r.cancelAt(name)
 		started := !errors.Is(err, errNoStream)
 		if started || ctx.Err() != nil || !r.service.options.Now().Before(expires) {
-			r.abandon(ctx, held, r.failedEngine(ctx, err, name))
+			r.abandon(ctx, heldGrant, r.failedEngine(ctx, err, name))
 			return err
 		}
 		r.service.options.Metrics.Add("transfer_retries", 1)
@@ -62,20 +62,20 @@
 // errNoStream marks the failure of a transfer: no token was generated.
 var errNoStream = errors.New("completion: no stream")
 
-func (r *run) decodeEngine(ctx context.Context, held *grant, failed string) (string, error) {
+func (r *run) decodeEngine(ctx context.Context, heldGrant *grant, failed string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, progressTimeout)
 	defer cancel()
-	return r.service.grants.decodeEngine(ctx, held, failed)
+	return r.service.grants.decodeEngine(ctx, heldGrant, failed)
 }
 
 // abandon releases a grant and drops its prefill result.
-func (r *run) abandon(ctx context.Context, held *grant, failedEngine string) {
-	r.service.grants.release(held, -1, failedEngine)
+func (r *run) abandon(ctx context.Context, heldGrant *grant, failedEngine string) {
+	r.service.grants.release(heldGrant, -1, failedEngine)
 	if ctx.Err() == nil && failedEngine == "" {
-		r.excluded = append(r.excluded, held.prefillEngine())
+		r.excluded = append(r.excluded, heldGrant.prefillEngine())
 	}
-	if ref, err := r.engineOf(held.prefillEngine()); err == nil {
-		r.service.cancels.cancel(held.prefillEngine(), ref.Engine.Address, r.engineAttempt())
+	if ref, err := r.engineOf(heldGrant.prefillEngine()); err == nil {
+		r.service.cancels.cancel(heldGrant.prefillEngine(), ref.Engine.Address, r.engineAttempt())
 	}
 }
 
@@ -86,7 +86,7 @@
 }
 
 // decodeAt starts a stream at an engine and relays it.
-func (r *run) decodeAt(ctx context.Context, held *grant, name, source, resultID string) error {
+func (r *run) decodeAt(ctx context.Context, heldGrant *grant, name, source, resultID string) error {
 	ref, err := r.engineOf(name)
 	if err != nil {
 		return err
@@ -101,7 +101,7 @@
 	if err != nil {
 		return errors.CombineErrors(errors.Mark(err, errNoStream), err)
 	}
-	r.turn.recordPlacement(held, name)
+	r.turn.recordPlacement(heldGrant, name)
 	r.reportPlacement()
 	err = r.relay(ctx, stream, watched)
 	if err != nil && r.isStreamFailure(err) {
@@ -183,6 +183,7 @@
 	return r.relay(ctx, stream, watched)
 }
 
+// pause waits for a duration. It reports false if the context ends before.
 func pause(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/completion/grants.go
+++ b/completion/grants.go
@@ -24,7 +24,8 @@
 
 	mu      sync.Mutex
 	granted *peerpb.Granted
-	// owner is the node that has a record of the grant.
+	// owner is the name of the pool's owner that granted, or to which the grant was
+	// last reported.
 	owner string
 }
 
@@ -64,7 +65,7 @@
 	response, err := g.cluster.Call(ctx, node, &peerpb.Request{Body: &peerpb.Request_Grant{Grant: request}})
 	requested := &grant{request: request, zone: pool.Zone, owner: node.Name}
 	if err != nil {
-		// The owner may have granted although the reply was lost.
+		// The owner may have granted although the response was lost.
 		g.release(requested, -1, "")
 		return nil, err
 	}
@@ -73,10 +74,10 @@
 	return requested, nil
 }
 
-func (g *grants) hold(held *grant) {
+func (g *grants) hold(heldGrant *grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.held[held] = struct{}{}
+	g.held[heldGrant] = struct{}{}
 }
 
 // adopt registers a grant that another node held, with this node as its holder.
@@ -90,83 +91,83 @@
 
 // decodeEngine reports the end of the prefill, or the failure of a decode engine,
 // and waits for a decode engine.
-func (g *grants) decodeEngine(ctx context.Context, held *grant, failedEngine string) (string, error) {
+func (g *grants) decodeEngine(ctx context.Context, heldGrant *grant, failedEngine string) (string, error) {
 	request := &peerpb.Request{Body: &peerpb.Request_Progress{Progress: &peerpb.Progress{
-		Pool: held.request.GetPool(), RequestId: held.request.GetRequestId(), Attempt: held.request.GetAttempt(), FailedEngine: failedEngine,
+		Pool: heldGrant.request.GetPool(), RequestId: heldGrant.request.GetRequestId(), Attempt: heldGrant.request.GetAttempt(), FailedEngine: failedEngine,
 	}}}
-	response, err := g.cluster.CallOwner(ctx, held.zone, owner.Key(held.request.GetPool()), request)
+	response, err := g.cluster.CallOwner(ctx, heldGrant.zone, owner.Key(heldGrant.request.GetPool()), request)
 	if api.IsCode(err, api.CodeNotFound) || api.IsCode(err, api.CodeUnavailable) {
 		// Another node owns the pool now and has no record of the grant yet.
-		g.restore(ctx, held)
-		response, err = g.cluster.CallOwner(ctx, held.zone, owner.Key(held.request.GetPool()), request)
+		g.restore(ctx, heldGrant)
+		response, err = g.cluster.CallOwner(ctx, heldGrant.zone, owner.Key(heldGrant.request.GetPool()), request)
 	}
 	if err != nil {
 		return "", err
 	}
 	decode := response.GetGranted().GetDecodeEngine()
-	held.mu.Lock()
-	defer held.mu.Unlock()
-	held.granted = &peerpb.Granted{PrefillEngine: held.granted.GetPrefillEngine(), DecodeEngine: decode, Epoch: held.granted.GetEpoch()}
+	heldGrant.mu.Lock()
+	defer heldGrant.mu.Unlock()
+	heldGrant.granted = &peerpb.Granted{PrefillEngine: heldGrant.granted.GetPrefillEngine(), DecodeEngine: decode, Epoch: heldGrant.granted.GetEpoch()}
 	return decode, nil
 }
 
 // release releases a grant. It does not wait for the owner.
-func (g *grants) release(held *grant, outputTokens int, failedEngine string) {
-	g.forget(held)
+func (g *grants) release(heldGrant *grant, outputTokens int, failedEngine string) {
+	g.forget(heldGrant)
 	request := &peerpb.Request{Body: &peerpb.Request_Release{Release: &peerpb.Release{
-		Pool: held.request.GetPool(), RequestId: held.request.GetRequestId(), Attempt: held.request.GetAttempt(),
+		Pool: heldGrant.request.GetPool(), RequestId: heldGrant.request.GetRequestId(), Attempt: heldGrant.request.GetAttempt(),
 		OutputTokens: int32(outputTokens), FailedEngine: failedEngine,
 	}}}
 	g.running.Go(func() {
 		ctx, cancel := context.WithTimeout(g.ctx, releaseTimeout)
 		defer cancel()
-		if _, err := g.cluster.CallOwner(ctx, held.zone, owner.Key(held.request.GetPool()), request); err != nil {
+		if _, err := g.cluster.CallOwner(ctx, heldGrant.zone, owner.Key(heldGrant.request.GetPool()), request); err != nil {
 			g.metrics.Add("release_errors", 1)
 		}
 	})
 }
 
 // forget removes a grant that another node has adopted.
-func (g *grants) forget(held *grant) {
+func (g *grants) forget(heldGrant *grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.held, held)
+	delete(g.held, heldGrant)
 }
 
-// restore reports a grant to the present owner.
-func (g *grants) restore(ctx context.Context, held *grant) {
-	node, err := g.cluster.Owner(held.zone, owner.Key(held.request.GetPool()))
+// restore reports a grant to the current owner of the pool.
+func (g *grants) restore(ctx context.Context, heldGrant *grant) {
+	node, err := g.cluster.Owner(heldGrant.zone, owner.Key(heldGrant.request.GetPool()))
 	if err != nil {
 		return
 	}
-	held.mu.Lock()
-	granted := held.granted
-	held.mu.Unlock()
-	request := &peerpb.Request{Body: &peerpb.Request_Restore{Restore: &peerpb.Restore{Grant: held.request, Granted: granted}}}
+	heldGrant.mu.Lock()
+	granted := heldGrant.granted
+	heldGrant.mu.Unlock()
+	request := &peerpb.Request{Body: &peerpb.Request_Restore{Restore: &peerpb.Restore{Grant: heldGrant.request, Granted: granted}}}
 	if _, err := g.cluster.Call(ctx, node, request); err != nil {
 		g.metrics.Add("restore_errors", 1)
 		return
 	}
-	held.mu.Lock()
-	held.owner = node.Name
-	held.mu.Unlock()
+	heldGrant.mu.Lock()
+	heldGrant.owner = node.Name
+	heldGrant.mu.Unlock()
 }
 
 // reconcile reports the grants that the node holds to new owners.
 func (g *grants) reconcile(ctx context.Context) {
 	g.mu.Lock()
 	all := make([]*grant, 0, len(g.held))
-	for held := range g.held {
-		all = append(all, held)
+	for heldGrant := range g.held {
+		all = append(all, heldGrant)
 	}
 	g.mu.Unlock()
-	for _, held := range all {
-		node, err := g.cluster.Owner(held.zone, owner.Key(held.request.GetPool()))
-		held.mu.Lock()
-		knownOwner := held.owner
-		held.mu.Unlock()
-		if err == nil && node.Name != knownOwner {
-			g.restore(ctx, held)
+	for _, heldGrant := range all {
+		node, err := g.cluster.Owner(heldGrant.zone, owner.Key(heldGrant.request.GetPool()))
+		heldGrant.mu.Lock()
+		recordedBy := heldGrant.owner
+		heldGrant.mu.Unlock()
+		if err == nil && node.Name != recordedBy {
+			g.restore(ctx, heldGrant)
 		}
 	}
 }
--- a/completion/register.go
+++ b/completion/register.go
@@ -32,10 +32,10 @@
 // responds with another holder if it has a record of one.
 func (s *Service) registerArrival(ctx context.Context, started *run) (*peerpb.Running, error) {
 	running := started.running()
-	first := s.directoryNodes(running)
+	nodes := s.directoryNodes(running)
 	var registered *peerpb.Registered
 	answeredBy := -1
-	for i, node := range first {
+	for i, node := range nodes {
 		response, err := s.register(ctx, node, peerpb.RegisterMode_REGISTER_MODE_ARRIVE, running)
 		var rejected *api.Error
 		if errors.As(err, &rejected) {
@@ -50,9 +50,9 @@
 		return nil, errNoDirectory
 	}
 	started.turn.number = registered.GetTurn()
-	started.turn.setDirectoryNodes(names(first))
+	started.turn.setDirectoryNodes(names(nodes))
 	previous := registered.GetPrevious()
-	for _, node := range first[answeredBy+1:] {
+	for _, node := range nodes[answeredBy+1:] {
 		other, err := s.register(ctx, node, peerpb.RegisterMode_REGISTER_MODE_RESTORE, started.running())
 		if err != nil || other.GetPrevious() == nil {
 			continue
@@ -85,7 +85,7 @@
 	return response.GetRegistered(), err
 }
 
-// report sends the run's present state to the directory nodes.
+// report sends the run's current state to the directory nodes.
 func (r *run) report() { r.reportAs(r.running()) }
 
 func (r *run) reportAs(running *peerpb.Running) {
--- a/completion/request.go
+++ b/completion/request.go
@@ -43,16 +43,17 @@
 	Stream    bool      `json:"stream"`
 }
 
-// parsed is a validated request.
-type parsed struct {
+// parsedRequest is a validated request.
+type parsedRequest struct {
 	class     *api.Class
 	prompt    string
 	maxTokens int
 	stream    bool
 	chat      bool
 	key       string
-	digest    []byte
-	// next is the offset of the first token that the caller lacks.
+	// digest is the SHA-256 digest of the body.
+	digest []byte
+	// next is the offset of the first token that the caller has not received.
 	next int
 }
 
@@ -60,7 +61,7 @@
 	return api.NewError(http.StatusBadRequest, api.CodeInvalidRequest, api.OutcomeNotRun, format, args...)
 }
 
-func parse(r *http.Request, exchange *filter.Exchange, chat bool) (*parsed, error) {
+func parse(r *http.Request, exchange *filter.Exchange, chat bool) (*parsedRequest, error) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
 		var tooLarge *http.MaxBytesError
@@ -73,7 +74,7 @@
 	if err := json.Unmarshal(data, &body); err != nil {
 		return nil, invalid("the body is not valid JSON of the expected form")
 	}
-	request := &parsed{prompt: body.Prompt, stream: body.Stream, chat: chat, key: r.Header.Get(HeaderKey)}
+	request := &parsedRequest{prompt: body.Prompt, stream: body.Stream, chat: chat, key: r.Header.Get(HeaderKey)}
 	if chat {
 		request.prompt = chatPrompt(body.Messages)
 	}
@@ -85,7 +86,7 @@
 	return request, nil
 }
 
-func (p *parsed) fill(r *http.Request, exchange *filter.Exchange, body Body) error {
+func (p *parsedRequest) fill(r *http.Request, exchange *filter.Exchange, body Body) error {
 	if p.prompt == "" {
 		return invalid("the prompt is empty")
 	}
@@ -110,7 +111,7 @@
 	return p.parseLastEvent(r.Header.Get(HeaderLastEvent))
 }
 
-func (p *parsed) parseLastEvent(text string) error {
+func (p *parsedRequest) parseLastEvent(text string) error {
 	if text == "" {
 		return nil
 	}
--- a/completion/request_test.go
+++ b/completion/request_test.go
@@ -14,7 +14,7 @@
 )
 
 // parseWith parses a body with headers for a tenant with two classes.
-func parseWith(body string, chat bool, headers map[string]string) (*parsed, error) {
+func parseWith(body string, chat bool, headers map[string]string) (*parsedRequest, error) {
 	snapshot := configuration.NewSnapshot(configuration.Head{Version: 1}, &api.Configuration{
 		Tenants: []api.Tenant{{Name: "a", Classes: []string{"draft", "triage"}}},
 		Classes: []api.Class{
--- a/completion/run.go
+++ b/completion/run.go
@@ -33,21 +33,23 @@
 type run struct {
 	service  *Service
 	exchange *filter.Exchange
-	request  *parsed
+	request  *parsedRequest
 	sink     sink
 
 	// requestID identifies the request at the engines. It is the identifier of the
 	// first arrival.
 	requestID string
-	attempt   uint32
-	excluded  []string
+	// attempt is the number of the current attempt.
+	attempt uint32
+	// excluded are the names of the engines that further attempts must not use.
+	excluded []string
 	// generated is the text of the tokens before offset. complete is set while
 	// generated holds all of these tokens, that is, if this node has received the
 	// stream from its first token on.
 	generated strings.Builder
 	complete  bool
 	offset    int
-	// delivered is the offset of the first token that the caller lacks.
+	// delivered is the offset of the first token that the caller has not received.
 	delivered int
 	// dispatched is set if an engine may have run the request.
 	dispatched bool
@@ -58,7 +60,7 @@
 	turn turnState
 }
 
-func (s *Service) newRun(exchange *filter.Exchange, request *parsed) *run {
+func (s *Service) newRun(exchange *filter.Exchange, request *parsedRequest) *run {
 	created := &run{
 		service: s, exchange: exchange, request: request, requestID: exchange.RequestID,
 		complete: true, delivered: request.next,
@@ -80,8 +82,8 @@
 	})
 }
 
-// execute runs the request to its end. When an engine fails, it starts again from
-// the tokens that it has.
+// execute runs the request to its end. When an engine fails, another attempt
+// continues from the tokens that this node has received.
 func (r *run) execute(ctx context.Context) error {
 	for attempts := 1; ; attempts++ {
 		if err := r.checkQuarantine(); err != nil {
@@ -121,35 +123,36 @@
 		return r.resumePrevious(ctx, resumed)
 	}
 	r.attempt++
-	held, err := r.requestGrant(ctx)
+	heldGrant, err := r.requestGrant(ctx)
 	if err != nil {
 		return err
 	}
-	return r.withGrant(ctx, held)
+	return r.withGrant(ctx, heldGrant)
 }
 
-func (r *run) withGrant(ctx context.Context, held *grant) error {
-	result, address, err := r.prefill(ctx, held)
+func (r *run) withGrant(ctx context.Context, heldGrant *grant) error {
+	result, address, err := r.prefill(ctx, heldGrant)
 	if err != nil {
-		r.service.grants.release(held, -1, r.failedEngine(ctx, err, held.prefillEngine()))
+		r.service.grants.release(heldGrant, -1, r.failedEngine(ctx, err, heldGrant.prefillEngine()))
 		return err
 	}
 	if r.remaining() <= 1 {
 		err := r.deliver(r.offset, result.Text)
-		r.service.grants.release(held, 1, "")
+		r.service.grants.release(heldGrant, 1, "")
 		if err != nil {
 			return err
 		}
 		return r.finish()
 	}
-	return r.decode(ctx, held, result, address)
+	return r.decode(ctx, heldGrant, result, address)
 }
 
 // remaining returns the number of tokens left to generate.
 func (r *run) remaining() int { return r.request.maxTokens - r.offset }
 
-// failedEngine returns the name of an engine whose own failure ended an attempt,
-// and excludes it from the request's next attempt.
+// failedEngine returns the name of an engine whose own failure ended an attempt; it
+// is empty if the attempt ended for another reason. Unless the request was
+// cancelled, the engine is excluded from the request's further attempts.
 func (r *run) failedEngine(ctx context.Context, err error, name string) string {
 	if ctx.Err() != nil {
 		return ""
@@ -169,10 +172,10 @@
 func (r *run) requestGrant(ctx context.Context) (*grant, error) {
 	var final error = errNoPool
 	for _, pool := range r.pools(r.service.options.Cluster.Self().Zone) {
-		held, err := r.requestPoolGrant(ctx, pool)
+		heldGrant, err := r.requestPoolGrant(ctx, pool)
 		if err == nil {
-			r.event("granted", held.prefillEngine(), pool.Name)
-			return held, nil
+			r.event("granted", heldGrant.prefillEngine(), pool.Name)
+			return heldGrant, nil
 		}
 		if ctx.Err() != nil {
 			return nil, err
@@ -222,10 +225,10 @@
 func (r *run) requestPoolGrant(ctx context.Context, pool *api.Pool) (*grant, error) {
 	var err error
 	for range ownerMoveRetries + 1 {
-		var held *grant
-		held, err = r.service.grants.requestGrant(ctx, pool, r.grantRequest())
+		var heldGrant *grant
+		heldGrant, err = r.service.grants.requestGrant(ctx, pool, r.grantRequest())
 		if err == nil {
-			return held, nil
+			return heldGrant, nil
 		}
 		if !mayRequestAgain(err) || ctx.Err() != nil {
 			return nil, err
@@ -272,8 +275,8 @@
 	return engine.Attempt{RequestID: r.requestID, Number: r.attempt}
 }
 
-func (r *run) prefill(ctx context.Context, held *grant) (engine.PrefillResult, string, error) {
-	name := held.prefillEngine()
+func (r *run) prefill(ctx context.Context, heldGrant *grant) (engine.PrefillResult, string, error) {
+	name := heldGrant.prefillEngine()
 	ref, err := r.engineOf(name)
 	if err != nil {
 		return engine.PrefillResult{}, "", err
@@ -304,7 +307,7 @@
 	return xxhash.Sum64String(r.requestID)
 }
 
-// deliver sends a token to the caller unless the caller has it already.
+// deliver sends a token to the caller unless the caller has received it already.
 func (r *run) deliver(offset int, text string) error {
 	r.offset = offset + 1
 	if r.complete {
--- a/completion/takeover.go
+++ b/completion/takeover.go
@@ -24,17 +24,21 @@
 // turnState coordinates the arrivals of one request, called turns: a later turn
 // takes over the stream of an earlier one.
 type turnState struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// number is the number of this turn, counted over all arrivals of the request.
 	number uint64
 	// yielding is set when a later turn has requested the stream.
 	yielding bool
-	stop     context.CancelFunc
-	current  placement
+	// stop stops reading the stream; nil while no stream is read.
+	stop context.CancelFunc
+	// current is the location of the run's stream; zero until there is one.
+	current placement
 	// settled is closed when the run has a stream or has ended.
 	settled     chan struct{}
 	settledOnce sync.Once
 	// ended is closed when the run has ended.
-	ended  chan struct{}
+	ended chan struct{}
+	// resume is the stream left by an earlier turn; nil if there is none to resume.
 	resume *placement
 	// directoryNodes are the nodes that the run was last reported to.
 	directoryNodes string
@@ -46,9 +50,9 @@
 }
 
 // recordPlacement records the location of the run's stream.
-func (t *turnState) recordPlacement(held *grant, engineName string) {
+func (t *turnState) recordPlacement(heldGrant *grant, engineName string) {
 	t.mu.Lock()
-	t.current = placement{pool: held.request.GetPool(), engine: engineName, attempt: held.request.GetAttempt()}
+	t.current = placement{pool: heldGrant.request.GetPool(), engine: engineName, attempt: heldGrant.request.GetAttempt()}
 	t.mu.Unlock()
 	t.settledOnce.Do(func() { close(t.settled) })
 }
@@ -121,7 +125,7 @@
 }
 
 // resumePrevious continues the stream left by an earlier turn, from the first token
-// that the caller lacks.
+// that the caller has not received.
 func (r *run) resumePrevious(ctx context.Context, previous *placement) error {
 	ref, err := r.engineOf(previous.engine)
 	if err != nil {
@@ -135,25 +139,25 @@
 	if !ok {
 		pool = ref.Pool
 	}
-	held := r.service.grants.adopt(ctx, pool, r.grantRequest(), &peerpb.Granted{DecodeEngine: previous.engine})
-	r.turn.recordPlacement(held, previous.engine)
+	heldGrant := r.service.grants.adopt(ctx, pool, r.grantRequest(), &peerpb.Granted{DecodeEngine: previous.engine})
+	r.turn.recordPlacement(heldGrant, previous.engine)
 	r.reportPlacement()
 	err = r.resume(ctx, ref.Engine.Address, errNoStream)
 	switch {
 	case err == nil:
-		r.service.grants.release(held, r.offset, "")
+		r.service.grants.release(heldGrant, r.offset, "")
 		return nil
 	case !r.isStreamFailure(err):
 		if r.turn.mustYield() {
-			r.service.grants.forget(held)
+			r.service.grants.forget(heldGrant)
 			return err
 		}
 	}
 	r.cancelAt(previous.engine)
-	r.service.grants.release(held, -1, "")
+	r.service.grants.release(heldGrant, -1, "")
 	if !r.complete {
 		// The text before the caller's offset is unknown here, so another attempt
-		// starts from the first token; the caller gets only what it lacks.
+		// starts from the first token; the caller gets only what it has not received.
 		r.offset = 0
 		r.generated.Reset()
 		r.complete = true
