--- a/filter/chain_test.go
+++ b/filter/chain_test.go
@@ -23,7 +23,7 @@
 		holder  *configuration.Holder
 		set     *metrics.Set
 		accepts bool
-		served  func(w http.ResponseWriter, r *http.Request) error
+		serve   func(w http.ResponseWriter, r *http.Request) error
 	)
 
 	BeforeEach(func() {
@@ -42,14 +42,14 @@
 		Expect(holder.Advance(context.Background(), head, fetch)).To(Succeed())
 		set = metrics.NewSet()
 		accepts = true
-		served = func(w http.ResponseWriter, _ *http.Request) error {
+		serve = func(w http.ResponseWriter, _ *http.Request) error {
 			_, err := io.WriteString(w, "served")
 			return err
 		}
 	})
 
 	chain := func() http.Handler {
-		return Chain(HandlerFunc(func(w http.ResponseWriter, r *http.Request) error { return served(w, r) }),
+		return Chain(HandlerFunc(func(w http.ResponseWriter, r *http.Request) error { return serve(w, r) }),
 			&Identify{Configuration: holder, Metrics: set, Events: timeline.NewRing("node", timeline.NewClock(time.Now), 16), Now: time.Now},
 			&Ready{Accepts: func() bool { return accepts }},
 			&Authenticate{},
@@ -100,8 +100,8 @@
 
 	It("bounds a tenant's requests in flight", func() {
 		handler := chain()
-		served = func(w http.ResponseWriter, _ *http.Request) error {
-			served = func(http.ResponseWriter, *http.Request) error { return nil }
+		serve = func(w http.ResponseWriter, _ *http.Request) error {
+			serve = func(http.ResponseWriter, *http.Request) error { return nil }
 			_, failure := send(handler, "token-a", "x")
 			Expect(failure.Code).To(Equal(api.CodeTooMany))
 			_, err := io.WriteString(w, "served")
@@ -112,14 +112,14 @@
 	})
 
 	It("hides the text of an unexpected error", func() {
-		served = func(http.ResponseWriter, *http.Request) error { return io.ErrUnexpectedEOF }
+		serve = func(http.ResponseWriter, *http.Request) error { return io.ErrUnexpectedEOF }
 		_, failure := send(chain(), "token-a", "x")
 		Expect(failure.Code).To(Equal(api.CodeInternal))
 		Expect(failure.Message).NotTo(ContainSubstring("EOF"))
 	})
 
 	It("closes the connection if a response fails after its start", func() {
-		served = func(w http.ResponseWriter, _ *http.Request) error {
+		serve = func(w http.ResponseWriter, _ *http.Request) error {
 			_, _ = io.WriteString(w, "half")
 			return io.ErrUnexpectedEOF
 		}
--- a/filter/identify.go
+++ b/filter/identify.go
@@ -17,7 +17,7 @@
 const HeaderRequestID = "Reelrun-Request-Id"
 
 // Identify assigns each request its identifier and the active configuration, and
-// counts the outcome. It is the outermost filter.
+// counts requests by how they ended. It is the outermost filter.
 type Identify struct {
 	Configuration *configuration.Holder
 	Metrics       *metrics.Set
--- a/filter/limit.go
+++ b/filter/limit.go
@@ -18,7 +18,8 @@
 	inFlight map[string]int
 }
 
-// limitRetryAfter is the Retry-After for a tenant at its limit.
+// limitRetryAfter is the Retry-After for a tenant that has MaxConcurrent requests in
+// flight.
 const limitRetryAfter = 500 * time.Millisecond
 
 // ServeHTTP implements Filter.
