--- a/api/api_test.go
+++ b/api/api_test.go
@@ -41,8 +41,8 @@
 
 func TestAsError(t *testing.T) {
 	g := NewWithT(t)
-	typed := NewError(404, CodeNotFound, OutcomeNotRun, "gone")
-	g.Expect(AsError(errors.Wrap(typed, "outer"), OutcomeUnknown)).To(Equal(typed))
+	apiErr := NewError(404, CodeNotFound, OutcomeNotRun, "gone")
+	g.Expect(AsError(errors.Wrap(apiErr, "outer"), OutcomeUnknown)).To(Equal(apiErr))
 	hidden := AsError(errors.New("address 10.0.0.1"), OutcomeUnknown)
 	g.Expect(hidden.Code).To(Equal(CodeInternal))
 	g.Expect(hidden.Message).NotTo(ContainSubstring("10.0.0.1"))
--- a/api/errors.go
+++ b/api/errors.go
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Outcome states what is known about the execution of a rejected request.
+// Outcome states what is known about whether a failed or rejected request has run.
 type Outcome string
 
-// The three outcomes. OutcomeNotRun is a guarantee that no backend ran the request.
+// The outcomes. OutcomeNotRun guarantees that no backend has run the request.
 const (
 	OutcomeNotRun  Outcome = "not-run"
 	OutcomeUnknown Outcome = "unknown"
@@ -24,7 +24,7 @@
 // Code is the stable, machine-readable name of an error.
 type Code string
 
-// The codes a caller, an operator or a peer can receive.
+// The codes that a caller, an operator or a peer can receive.
 const (
 	CodeInvalidRequest   Code = "invalid-request"
 	CodeUnauthenticated  Code = "unauthenticated"
@@ -140,15 +140,15 @@
 // internal error with the given outcome; its text is left out of the message
 // because it may contain addresses or names of other tenants.
 func AsError(err error, outcome Outcome) *Error {
-	var typed *Error
-	if errors.As(err, &typed) {
-		return typed
+	var apiErr *Error
+	if errors.As(err, &apiErr) {
+		return apiErr
 	}
 	return NewError(http.StatusInternalServerError, CodeInternal, outcome, "internal error")
 }
 
 // IsCode reports whether err is an Error with the given code.
 func IsCode(err error, code Code) bool {
-	var typed *Error
-	return errors.As(err, &typed) && typed.Code == code
+	var apiErr *Error
+	return errors.As(err, &apiErr) && apiErr.Code == code
 }
--- a/api/validate.go
+++ b/api/validate.go
@@ -54,8 +54,8 @@
 // IsLabel reports whether a name is a DNS label.
 func IsLabel(name string) bool { return labelPattern.MatchString(name) }
 
-// nameSet is the set of names seen so far. Its check method reports duplicates and
-// names that are not DNS labels.
+// nameSet is the set of the names checked so far. Its check method reports duplicates
+// and names that are not DNS labels.
 type nameSet map[string]bool
 
 func (n nameSet) check(findings *Findings, place, name string) {
@@ -69,14 +69,14 @@
 }
 
 func (c *Configuration) validateClasses(findings *Findings) nameSet {
-	seen := nameSet{}
+	names := nameSet{}
 	models := map[string]bool{}
 	for _, pool := range c.Pools {
 		models[pool.Model] = true
 	}
 	for _, class := range c.Classes {
 		place := "classes[" + class.Name + "]"
-		seen.check(findings, place, class.Name)
+		names.check(findings, place, class.Name)
 		if !models[class.Model] {
 			findings.Addf(place+".model", "no pool holds model %q", class.Model)
 		}
@@ -90,7 +90,7 @@
 			findings.Addf(place, "token limits must not be negative")
 		}
 	}
-	return seen
+	return names
 }
 
 func (c *Configuration) validatePools(findings *Findings) {
@@ -115,9 +115,9 @@
 	}
 }
 
-func validateEngine(findings *Findings, seen nameSet, poolPlace string, engine Engine) {
+func validateEngine(findings *Findings, names nameSet, poolPlace string, engine Engine) {
 	place := poolPlace + ".engines[" + engine.Name + "]"
-	seen.check(findings, place, engine.Name)
+	names.check(findings, place, engine.Name)
 	checkAddress(findings, place+".address", engine.Address)
 	if engine.Role != RolePrefill && engine.Role != RoleDecode {
 		findings.Addf(place+".role", "%q is neither %q nor %q", engine.Role, RolePrefill, RoleDecode)
@@ -128,10 +128,10 @@
 }
 
 func (c *Configuration) validateServices(findings *Findings) nameSet {
-	seen := nameSet{}
+	names := nameSet{}
 	for _, service := range c.Services {
 		place := "services[" + service.Name + "]"
-		seen.check(findings, place, service.Name)
+		names.check(findings, place, service.Name)
 		backends := nameSet{}
 		for _, backend := range service.Backends {
 			backendPlace := place + ".backends[" + backend.Name + "]"
@@ -139,14 +139,14 @@
 			checkAddress(findings, backendPlace+".address", backend.Address)
 		}
 	}
-	return seen
+	return names
 }
 
 func (c *Configuration) validateTenants(findings *Findings, classes, services nameSet) {
-	seen, hashes := nameSet{}, map[string]string{}
+	names, hashes := nameSet{}, map[string]string{}
 	for _, tenant := range c.Tenants {
 		place := "tenants[" + tenant.Name + "]"
-		seen.check(findings, place, tenant.Name)
+		names.check(findings, place, tenant.Name)
 		checkConfigured(findings, place+".classes", classes, tenant.Classes)
 		checkConfigured(findings, place+".services", services, tenant.Services)
 		if tenant.Weight < 0 {
