--- a/timeline/render.go
+++ b/timeline/render.go
@@ -54,7 +54,7 @@
 	var processes []string
 	column := map[string]int{}
 	for _, event := range events {
-		if _, known := column[event.Process]; !known {
+		if _, exists := column[event.Process]; !exists {
 			column[event.Process] = len(processes)
 			processes = append(processes, event.Process)
 		}
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -11,8 +11,8 @@
 // Kind is the type of an event.
 type Kind string
 
-// Event is an event in one process. Fields that do not apply to its kind are
-// empty.
+// Event is an event in one process. Fields that do not apply to the kind of the
+// event are empty.
 type Event struct {
 	Stamp   Stamp  `json:"stamp"`
 	Process string `json:"process"`
@@ -29,8 +29,10 @@
 	process string
 	clock   *Clock
 
-	mu          sync.Mutex
-	events      []Event
+	mu     sync.Mutex
+	events []Event
+	// next is the index of the oldest event once the ring is full; the next event
+	// overwrites it.
 	next        int
 	overwritten uint64
 }
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -10,8 +10,7 @@
 )
 
 // TestMergeKeepsCauseBeforeEffect sends messages between processes whose clocks
-// are skewed. An event that follows a received message must be ordered after the
-// message.
+// are skewed. The receipt of a message must be ordered after its sending.
 func TestMergeKeepsCauseBeforeEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(1_000_000)
