--- a/account/account.go
+++ b/account/account.go
@@ -37,8 +37,8 @@
 	c.Disconnected += read.Disconnected
 }
 
-// UnservedRequests are the requests that were not served for one reason. A wait time is how long the
-// request was held before it was answered.
+// UnservedRequests are the requests that were not served for one reason. A wait time is the time from
+// the arrival of a request to the node's response.
 type UnservedRequests struct {
 	Reason    string
 	WaitTimes []time.Duration
@@ -75,9 +75,10 @@
 // Engines is the state of the engines of a service in a window, as last reported by the coordinator
 // of the service.
 type Engines struct {
+	// Prefill, Decode and Failing are numbers of engines.
 	Prefill, Decode, Failing int
 	MemoryPercent            int
-	// Waiting is the largest number of waiting requests.
+	// Waiting is the largest number of waiting requests reported in the window.
 	Waiting int
 	Backlog time.Duration
 }
@@ -104,8 +105,8 @@
 	return total
 }
 
-// AllEngines returns the engines of all services together: sums, but the highest memory utilization
-// and the longest backlog.
+// AllEngines returns the engines of all services together: the sums of the counts, the highest memory
+// utilization and the longest backlog.
 func (w *Window) AllEngines() Engines {
 	var total Engines
 	for _, engines := range w.Engines {
@@ -201,12 +202,12 @@
 // window returns the window that contains the given time.
 func (b *builder) window(at time.Time) *Window {
 	start := at.Truncate(WindowLength)
-	known := b.windows[start]
-	if known == nil {
-		known = &Window{Start: start, Routes: map[string]Counts{}, Reasons: map[string]int{}, Engines: map[string]Engines{}}
-		b.windows[start] = known
+	window := b.windows[start]
+	if window == nil {
+		window = &Window{Start: start, Routes: map[string]Counts{}, Reasons: map[string]int{}, Engines: map[string]Engines{}}
+		b.windows[start] = window
 	}
-	return known
+	return window
 }
 
 func (b *builder) addRequests(read line) {
@@ -231,8 +232,8 @@
 	if b.unserved[reason] == nil {
 		b.unserved[reason] = &UnservedRequests{Reason: reason}
 	}
-	known := b.unserved[reason]
-	known.WaitTimes = append(known.WaitTimes, time.Duration(read.TookMs)*time.Millisecond)
+	unserved := b.unserved[reason]
+	unserved.WaitTimes = append(unserved.WaitTimes, time.Duration(read.TookMs)*time.Millisecond)
 	b.addResponse(read)
 	b.window(read.Time).Reasons[reason]++
 }
@@ -270,7 +271,7 @@
 	if text == "" {
 		return
 	}
-	if at, known := b.events[text]; !known || read.Time.Before(at) {
+	if earliest, exists := b.events[text]; !exists || read.Time.Before(earliest) {
 		b.events[text] = read.Time
 	}
 }
--- a/account/answers.go
+++ b/account/localresponses.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// LocalResponse counts the responses that nodes generated themselves instead of forwarding one from a
-// backend, for one status and reason.
+// LocalResponse counts the responses of one status and reason that nodes generated themselves instead
+// of forwarding one from a backend.
 type LocalResponse struct {
 	Status int
 	Reason string
@@ -62,7 +62,7 @@
 }
 
 // idleMemoryPercent is the memory utilization below which a rejection for lack of engines should be
-// investigated. The utilization of a window is that of its fullest service.
+// investigated. The utilization of a window is the highest among its services.
 const idleMemoryPercent = 50
 
 // rejectedWhileIdle returns how many requests were rejected for lack of engines in windows in which
--- a/account/answers_test.go
+++ b/account/localresponses_test.go
@@ -17,8 +17,8 @@
 {"time":"2026-05-19T03:26:31.5Z","msg":"engines","node":"a","service":"llm","prefill":2,"decode":5,"memory_percent":20,"waiting":0}
 `
 
-// TestLocalResponsesByStatus includes one response that falsely states that the request did not run: a
-// 503 after a run.
+// TestLocalResponsesByStatus checks the counts of local responses, among them one that falsely states
+// that the request did not run: a 503 after a run.
 func TestLocalResponsesByStatus(t *testing.T) {
 	g := NewWithT(t)
 	summary, err := account.Read(strings.NewReader(localResponseLog))
--- a/account/tenants_test.go
+++ b/account/tenants_test.go
@@ -9,7 +9,7 @@
 	"github.com/reelrun/reelrun/account"
 )
 
-func TestSumsOfSeveralNodes(t *testing.T) {
+func TestTenantAndNodeCallCountsAreSummedOverNodes(t *testing.T) {
 	g := NewWithT(t)
 	summary, err := account.Read(
 		strings.NewReader(`{"time":"2026-12-02T10:00:00Z","msg":"tenants","node":"a","tenants":{"t":{"asked":5,"in_time":2,"limited":3},"":{"asked":1,"failed":1}}}`),
