--- a/operator/accept.go
+++ b/operator/accept.go
@@ -78,8 +78,8 @@
 		return configuration.Head{}, err
 	}
 	// This node applies the new version at once. The other nodes learn of the version
-	// through the watch, and so does this node if the call fails: the change has been
-	// accepted in any case.
+	// through the watch, and so does this node if the call fails. The failure is not
+	// returned, because the change has already been accepted.
 	_ = a.Configuration.Advance(ctx, published, configuration.FromStore(a.Store))
 	return published, nil
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -15,6 +15,7 @@
 	"github.com/reelrun/reelrun/timeline"
 )
 
+// clientTimeout bounds one call to the node.
 const clientTimeout = 15 * time.Second
 
 // ErrUnreachable reports that the node did not answer.
--- a/operator/plan.go
+++ b/operator/plan.go
@@ -34,8 +34,8 @@
 	Objects api.Configuration `json:"objects,omitzero"`
 	// References name objects to remove, such as "tenants/x".
 	References []string `json:"references,omitempty"`
-	// Engine is the engine to change. The fields below hold the new values; empty
-	// ones leave the engine as it is.
+	// Engine is the engine to change. The fields below hold its new values; an empty
+	// field leaves the value of the engine unchanged.
 	Engine       string   `json:"engine,omitempty"`
 	Role         api.Role `json:"role,omitempty"`
 	ModelVersion string   `json:"model_version,omitempty"`
@@ -189,17 +189,17 @@
 	findings.Addf("engine", "%q is not configured", intent.Engine)
 }
 
-// addChanges fills in the changes and orders that lead from before to after.
+// addChanges adds the changes and orders that lead from before to after.
 func (p *Plan) addChanges(before, after *api.Configuration) error {
 	old, err := configuration.Objects(before)
 	if err != nil {
 		return err
 	}
-	wanted, err := configuration.Objects(after)
+	updated, err := configuration.Objects(after)
 	if err != nil {
 		return err
 	}
-	for reference, digest := range wanted {
+	for reference, digest := range updated {
 		switch previous, exists := old[reference]; {
 		case !exists:
 			p.Changes = append(p.Changes, Change{Reference: reference, Kind: ChangeCreate, After: digest})
@@ -208,7 +208,7 @@
 		}
 	}
 	for reference, digest := range old {
-		if _, kept := wanted[reference]; !kept {
+		if _, kept := updated[reference]; !kept {
 			p.Changes = append(p.Changes, Change{Reference: reference, Kind: ChangeDelete, Before: digest})
 		}
 	}
--- a/operator/server.go
+++ b/operator/server.go
@@ -31,7 +31,8 @@
 	maxBodyBytes = 16 << 20
 	// confirmTimeout bounds the calls to the platform during a confirmation.
 	confirmTimeout = 8 * time.Second
-	retryAfter     = 2 * time.Second
+	// retryAfter is the Retry-After while the platform does not answer.
+	retryAfter = 2 * time.Second
 	// partitionRetryAfter is the Retry-After while the node is not in contact with
 	// half of the fleet.
 	partitionRetryAfter = 10 * time.Second
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -142,7 +142,7 @@
 		Expect(plan.Orders[0].Value).To(Equal(string(api.RolePrefill)))
 	})
 
-	It("rejects a wrong token and unknown fields", func() {
+	It("rejects a wrong token and an empty body", func() {
 		client.Token = "other"
 		_, err := client.Status(ctx)
 		Expect(api.IsCode(err, api.CodeUnauthenticated)).To(BeTrue())
