--- a/sim/load/caller.go
+++ b/sim/load/caller.go
@@ -35,7 +35,7 @@
 // caller sends one request, with client retries until it has a final response.
 type caller struct {
 	client *http.Client
-	// nodes are tried in turn.
+	// nodes are the addresses or URLs of nodes; the attempts use them in turn.
 	nodes  []string
 	kind   *Kind
 	prompt string
@@ -43,12 +43,14 @@
 	body   string
 	key    string
 
-	started  time.Time
+	started time.Time
+	// first and last are when the first and the last token arrived.
 	first    time.Time
 	last     time.Time
 	received strings.Builder
-	next     int
-	result   Result
+	// next is the offset of the next expected token.
+	next   int
+	result Result
 }
 
 // errRetry marks a failure after which the caller retries.
@@ -131,7 +133,7 @@
 	return request, nil
 }
 
-// baseURL returns the URL of a node that is given by its address or its URL.
+// baseURL returns the URL of a node, which is given as an address or a URL.
 func baseURL(node string) string {
 	if strings.Contains(node, "://") {
 		return node
@@ -144,12 +146,13 @@
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(completion.HeaderKey, c.key)
 	// Every attempt opens a connection: a disconnected caller does not reuse an
-	// old one, and net/http must not retry a call by itself.
+	// old one, and net/http, which may retry a call on a reused connection, must not
+	// retry any.
 	request.Close = true
 }
 
-// readError reads a typed error. An error that leaves the outcome open is retried
-// under the same key, unless the key has already been claimed or has expired.
+// readError reads a typed error. A request whose outcome the error leaves open is
+// retried under the same key, unless the key has already been claimed or has expired.
 func (c *caller) readError(response *http.Response) error {
 	failure := &api.Error{Status: response.StatusCode}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
--- a/sim/load/result.go
+++ b/sim/load/result.go
@@ -34,11 +34,14 @@
 	// DuplicateTokens is the number of tokens that arrived more than once.
 	DuplicateTokens int
 	// Attempts is the number of attempts, each with its own connection.
-	Attempts   int
+	Attempts int
+	// FirstToken is the time from the start of the request to its first token; without
+	// a stream, to the complete response.
 	FirstToken time.Duration
 	// Interval is the mean time between tokens.
 	Interval time.Duration
-	Detail   string
+	// Detail is the error of the last attempt that failed.
+	Detail string
 }
 
 // meetsTargets reports whether the request met both targets.
--- a/sim/load/run.go
+++ b/sim/load/run.go
@@ -18,7 +18,7 @@
 	Nodes []string
 	// TLS is the configuration for the nodes that are called with TLS.
 	TLS *tls.Config
-	// Requests is the number of requests, Rate the number per second.
+	// Requests is the number of requests, Rate the mean number per second.
 	Requests int
 	Rate     float64
 	// Seed determines arrivals, kinds and prompts.
@@ -55,9 +55,10 @@
 
 // Call describes one request to send.
 type Call struct {
-	// Client sends it.
+	// Client sends the request.
 	Client *http.Client
-	// Nodes are tried in order; https:// before an address means TLS.
+	// Nodes are the addresses of nodes; the attempts use them in turn. An address that
+	// begins with https:// is called with TLS.
 	Nodes []string
 	Kind  *Kind
 	// Key is the Idempotency-Key.
--- a/sim/load/judge.go
+++ b/sim/load/verdict.go
@@ -17,13 +17,15 @@
 
 // Verdict is the summary of a run.
 type Verdict struct {
-	Requests      int     `json:"requests"`
-	Answered      int     `json:"answered"`
-	Rejected      int     `json:"refused"`
-	Lost          int     `json:"lost"`
-	Altered       int     `json:"altered"`
-	Duplicated    int     `json:"duplicated"`
-	Goodput       float64 `json:"goodput"`
+	Requests   int `json:"requests"`
+	Answered   int `json:"answered"`
+	Rejected   int `json:"refused"`
+	Lost       int `json:"lost"`
+	Altered    int `json:"altered"`
+	Duplicated int `json:"duplicated"`
+	// Goodput is the share of the requests that met their targets.
+	Goodput float64 `json:"goodput"`
+	// WastedPrefill is the share of the prefilled tokens whose prefill was wasted.
 	WastedPrefill float64 `json:"wasted_prefill"`
 	// HeldStreams is the number of streams that engines still hold after every
 	// caller has disconnected.
@@ -145,8 +147,9 @@
 	v.TTFTP95, v.IntervalP95 = quantile.P95(first), quantile.P95(intervals)
 }
 
-// evaluateServices counts non-idempotent calls that ran more than once, and those
-// that ran although their rejection reported not-run.
+// evaluateServices counts non-idempotent calls that ran more than once, those that
+// ran although their rejection reported not-run, and those that were answered but
+// never ran.
 func (v *Verdict) evaluateServices(results []Result, reports []servicesim.Report) {
 	runs := map[string]int{}
 	for _, report := range reports {
--- a/sim/load/workload.go
+++ b/sim/load/workload.go
@@ -18,7 +18,7 @@
 	Name string `json:"name"`
 	// Token is the tenant's bearer token.
 	Token string `json:"token"`
-	// Share is the kind's weight in the mix.
+	// Share is the kind's weight in the mix, relative to the other kinds.
 	Share float64 `json:"share"`
 	// Class and Model are set for completions.
 	Class string `json:"class,omitempty"`
