--- a/sim/hollow/disruptions.go
+++ b/sim/hollow/disruptions.go
@@ -12,20 +12,23 @@
 
 // Partition is the behavior of two regions during and after a network partition.
 type Partition struct {
+	// Seconds is the length of the partition.
 	Seconds float64 `json:"seconds"`
 	// Connected is the propagation of changes in the region that reaches the platform.
 	Connected Delays `json:"near"`
-	// IsolatedStopped is the time until no node of the other region accepts new work.
+	// IsolatedStopped is the time, in seconds, until no node of the other region accepts
+	// new work.
 	IsolatedStopped float64 `json:"far_stopped_s"`
-	// Rejoined is the time from the end of the partition until every node is ready
-	// with the newest version and receives the heartbeats of all others.
+	// Rejoined is the time, in seconds, from the end of the partition until every node is
+	// ready with the newest version and receives the heartbeats of all others.
 	Rejoined float64 `json:"rejoined_s"`
 }
 
 // Restarts is what callers observed while nodes were restarted.
 type Restarts struct {
-	Kills   int     `json:"kills"`
-	Stops   int     `json:"planned_stops"`
+	Kills int `json:"kills"`
+	Stops int `json:"planned_stops"`
+	// Seconds is the time from the first restart until all callers had ended.
 	Seconds float64 `json:"seconds"`
 	// Verdict is based on the callers' results and the stand-ins' ledgers.
 	Verdict *load.Verdict `json:"verdict"`
@@ -72,8 +75,8 @@
 }
 
 // partitionRegions measures a network partition of the zones into two regions, of
-// which the second is disconnected from the platform too, and changes the
-// configuration meanwhile.
+// which the second is disconnected from the platform too. It changes the
+// configuration during the partition.
 func (r *Report) partitionRegions(ctx context.Context, fleet *rehearsal.Fleet, options Options) error {
 	zones := fleet.Options.Zones
 	isolated := zones[(len(zones)+1)/2:]
@@ -133,13 +136,13 @@
 }
 
 func nodesIn(fleet *rehearsal.Fleet, zones []string) []*rehearsal.Node {
-	wanted := map[string]bool{}
+	inZones := map[string]bool{}
 	for _, zone := range zones {
-		wanted[zone] = true
+		inZones[zone] = true
 	}
 	var selected []*rehearsal.Node
 	for _, running := range fleet.Alive() {
-		if wanted[running.Zone] {
+		if inZones[running.Zone] {
 			selected = append(selected, running)
 		}
 	}
--- a/sim/hollow/measure.go
+++ b/sim/hollow/measure.go
@@ -23,7 +23,7 @@
 	Servers int
 	Tenants int
 	Models  int
-	// Window is how long the settled fleet is measured.
+	// Window is how long the fleet is measured without load or changes.
 	Window time.Duration
 	// Trials is the number of configuration changes for each measured delay.
 	Trials int
@@ -36,15 +36,16 @@
 	Restarts int
 }
 
-// Delays summarizes measured times, such as the time from the acceptance of a
-// configuration until it is active at all nodes.
+// Delays summarizes measured times, in seconds, such as the time from the
+// acceptance of a configuration until it is active at all nodes.
 type Delays struct {
 	Trials int     `json:"trials"`
 	Median float64 `json:"median_s"`
 	Worst  float64 `json:"worst_s"`
 }
 
-// Report is the result of one measurement. Rates are per node and second.
+// Report is the result of one measurement. Rates are per second. Rates, memory,
+// goroutines and processor time are per node, unless a field states otherwise.
 type Report struct {
 	Nodes   int `json:"nodes"`
 	Zones   int `json:"zones"`
@@ -52,13 +53,15 @@
 	Tenants int `json:"tenants"`
 	Models  int `json:"models"`
 
+	// StartSeconds is the time from the start of the first node until all are ready.
 	StartSeconds float64 `json:"start_s"`
 	// BytesSent counts traffic between nodes; MaxBytesSent is that of the node that sent most.
-	BytesSent      float64 `json:"bytes_sent_per_s"`
-	MaxBytesSent   float64 `json:"max_bytes_sent_per_s"`
-	Frames         float64 `json:"frames_per_s"`
-	HeapBytes      float64 `json:"heap_bytes"`
-	Goroutines     float64 `json:"goroutines"`
+	BytesSent    float64 `json:"bytes_sent_per_s"`
+	MaxBytesSent float64 `json:"max_bytes_sent_per_s"`
+	Frames       float64 `json:"frames_per_s"`
+	HeapBytes    float64 `json:"heap_bytes"`
+	Goroutines   float64 `json:"goroutines"`
+	// ProcessorShare is processor time divided by elapsed time.
 	ProcessorShare float64 `json:"processor_share"`
 	// PlatformReads, PlatformWrites and PlatformWaiting are totals of the whole fleet.
 	PlatformReads   float64 `json:"platform_reads_per_s"`
--- a/sim/hollow/measure_test.go
+++ b/sim/hollow/measure_test.go
@@ -24,12 +24,12 @@
 			Failures: true, PartitionDuration: 30 * time.Second, Restarts: 12,
 		})
 		g.Expect(err).NotTo(HaveOccurred())
-		inForce := rehearsal.ActiveWithin.Seconds()
+		activeWithin := rehearsal.ActiveWithin.Seconds()
 		for _, propagation := range []Delays{report.Propagation, *report.PropagationChurn20, *report.PropagationZoneIsolated, report.Partition.Connected} {
 			g.Expect(propagation.Trials).To(BeNumerically(">=", 2))
-			g.Expect(propagation.Worst).To(BeNumerically("<", inForce))
+			g.Expect(propagation.Worst).To(BeNumerically("<", activeWithin))
 		}
-		g.Expect(report.Partition.IsolatedStopped).To(BeNumerically("<", inForce))
+		g.Expect(report.Partition.IsolatedStopped).To(BeNumerically("<", activeWithin))
 		g.Expect(report.Partition.Seconds).To(BeNumerically(">=", 30))
 		g.Expect(report.Restarts.Kills + report.Restarts.Stops).To(Equal(12))
 		g.Expect(report.Restarts.Verdict.Requests).To(Equal(12 * requestsPerRestart))
@@ -40,9 +40,9 @@
 	})
 }
 
-// TestRestartsNoticeLostRequests kills every node under load, without a restart: the
+// TestVerdictReportsLostRequests kills every node under load, without a restart: the
 // verdict must report the lost requests.
-func TestRestartsNoticeLostRequests(t *testing.T) {
+func TestVerdictReportsLostRequests(t *testing.T) {
 	runtime.GC()
 	runtime.GC()
 	synctest.Test(t, func(t *testing.T) {
--- a/sim/hollow/react.go
+++ b/sim/hollow/react.go
@@ -145,8 +145,8 @@
 }
 
 // isolateZone disconnects the last zone from the other zones and the platform.
-// Changes must reach the other zones; the isolated one must catch up once it is
-// connected again.
+// Changes must reach the other zones; the isolated zone must apply the newest
+// version once it is connected again.
 func (r *Report) isolateZone(ctx context.Context, fleet *rehearsal.Fleet, options Options) error {
 	if options.Zones < 2 {
 		return nil
--- a/sim/hollow/restarting.go
+++ b/sim/hollow/restarting.go
@@ -25,7 +25,7 @@
 }
 
 // restart ends a node with the given function and starts it again. It blocks while
-// too many other nodes are restarting, but not until the node is ready.
+// too many other nodes are restarting, but does not wait until the node is ready.
 func (r *restarter) restart(name string, end func(string)) {
 	r.slots <- struct{}{}
 	r.running.Add(1)
--- a/sim/hollow/series.go
+++ b/sim/hollow/series.go
@@ -27,8 +27,8 @@
 	fullModels  = 18
 )
 
-// Scaled returns the options of a fleet with the given number of nodes, and with
-// the other figures of the full fleet in proportion.
+// Scaled returns the options of a fleet with the given number of nodes. The other
+// sizes are those of the full fleet, scaled in proportion.
 func Scaled(nodes int, window time.Duration, trials int, failures bool) Options {
 	share := float64(nodes) / fullNodes
 	scaled := func(full int) int { return max(int(math.Round(share*float64(full))), 1) }
