--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -101,7 +101,7 @@
 }
 
 // TestPlanWeightsBackends checks that almost nothing is sent to a backend that the plan of all nodes
-// avoids, although this node has seen no failure there.
+// avoids, although no request of this node has failed there.
 func TestPlanWeightsBackends(t *testing.T) {
 	g := NewWithT(t)
 	dialect := countingDialect{sent: map[string]int{}}
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -125,8 +125,8 @@
 	if x.tenant != nil {
 		request.TenantPriority = x.tenant.Priority
 	}
-	// Without this list, a coordinator that has not received the notice of a backend would assign the
-	// backend again and again.
+	// Without this list, a coordinator that has not received the notice of a backend would repeatedly assign
+	// that backend.
 	request.Avoid = x.handler.options.Backends.Withheld(x.service)
 	for id := range avoid {
 		request.Avoid = append(request.Avoid, id)
