--- a/account/line.go
+++ b/account/line.go
@@ -8,8 +8,7 @@
 	"github.com/reelrun/reelrun/loglines"
 )
 
-// line is one line of a log, with the fields that an account uses. Fields that a line lacks are
-// zero.
+// line is one line of a log, with the fields that an account uses. Missing fields are zero.
 type line struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
