--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -34,18 +34,19 @@
 	ReasonPrefillFailed   Reason = "prefill_failed"
 	ReasonBackendRejected Reason = "backend_refused"
 	// ReasonBackendLeft means that the engine was leaving while the prompt was being prefilled.
-	ReasonBackendLeft   Reason = "backend_left"
-	ReasonBackendFailed Reason = "backend_failed"
-	ReasonDeadline      Reason = "deadline"
-	ReasonCallerLeft    Reason = "caller_left"
-	ReasonStreamBroken  Reason = "stream_broken"
+	ReasonBackendLeft        Reason = "backend_left"
+	ReasonBackendFailed      Reason = "backend_failed"
+	ReasonDeadline           Reason = "deadline"
+	ReasonCallerDisconnected Reason = "caller_left"
+	ReasonStreamBroken       Reason = "stream_broken"
 )
 
-// failure is a final response of the gateway's own. It implements error, so that each step can return it.
+// failure is a final response that the gateway generates itself. It implements error, so that each step can
+// return it.
 type failure struct {
 	status int
 	reason Reason
-	// retryAfter is set if the request has certainly not run.
+	// retryAfter is above zero only if the request has certainly not run.
 	retryAfter time.Duration
 	cause      error
 }
