--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -106,19 +106,19 @@
 	return initialLocalPrefillFactor * current.prefill.model.Duration(engine, tokens)
 }
 
-// meetsObjective reports whether a prompt that is prefilled after the given time still gives its
-// first token in time. Requests that are late in any case must not make others late. If the engine
-// could not meet the objective even without a backlog, it still gets the prompt while it is idle,
-// because a late response is better than none.
+// meetsObjective reports whether the first token of a prompt that is prefilled after the given time
+// is still in time. A request that is late already must not make others late. If the engine could
+// not meet the objective even without a backlog, it still gets the prompt while it is idle, because
+// a late response is better than none.
 func (c *Coordinator) meetsObjective(now time.Duration, current *serviceState, queued *waiter, engine string, ready time.Duration) bool {
-	within := queued.request.Objective - c.options.FirstToken
+	prefillLimit := queued.request.Objective - c.options.FirstToken
 	idle := current.prefill.backlog(now, engine) == 0
 	if queued.request.Late {
-		return idle || ready <= within/2
+		return idle || ready <= prefillLimit/2
 	}
-	if ready <= within-(now-queued.since) {
+	if ready <= prefillLimit-(now-queued.since) {
 		return true
 	}
 	unloaded := current.prefill.model.Duration(engine, queued.request.Run.Prompt)
-	return idle && unloaded > within
+	return idle && unloaded > prefillLimit
 }
--- a/coordinator/assign_test.go
+++ b/coordinator/assign_test.go
@@ -36,8 +36,8 @@
 				request.Late = retry
 				return slow.Assign(t.Context(), request)
 			}
-			// The decode engine takes the first prompt that cannot be served in time; it takes one
-			// at a time.
+			// A decode engine takes one prompt at a time, and this one is busy with a local
+			// prefill.
 			slow.state("s").localPrefill.add(now, "d", ledger.Run{ID: "read by d", Prompt: 8000})
 			g.Expect(assign("idle").Prefill).To(Equal("p"))
 			g.Expect(assign("busy").Decode).To(BeEmpty())
@@ -65,7 +65,7 @@
 		return zoned.Assign(t.Context(), requestOf(id, 0)).Prefill
 	}
 	g.Expect([]string{prefillOf("first"), prefillOf("second")}).To(ConsistOf("b1", "b2"))
-	// Both have 8,000 tokens to prefill, which takes 160 ms.
+	// Both engines of zone b have 8,000 tokens to prefill, which takes 160 ms.
 	g.Expect(prefillOf("third")).To(HavePrefix("a"))
 	now += 130 * time.Millisecond
 	g.Expect(prefillOf("fourth")).To(HavePrefix("b"), "30 ms are not much later")
--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -22,9 +22,11 @@
 	coordinatorCheckInterval = 100 * time.Millisecond
 	// syncInterval is how often a node sends all its runs to a coordinator.
 	syncInterval = time.Second
-	// endTimeout bounds the calls that report ends of runs, finished prefills and failures, and syncs.
-	endTimeout = 300 * time.Millisecond
-	// missLimit is how many consecutive calls a coordinator may leave unanswered.
+	// reportTimeout bounds the calls that report ends of runs, finished prefills and failures, and
+	// syncs.
+	reportTimeout = 300 * time.Millisecond
+	// missLimit is the number of consecutive unanswered calls after which a coordinator counts as
+	// unresponsive.
 	missLimit = 3
 	// maxCoordinators bounds how many coordinators are called for one request.
 	maxCoordinators = 2
@@ -245,7 +247,7 @@
 	learned *LearnedModel
 }
 
-// dueReport returns the report for the coordinator of a service, if a sync is due.
+// dueReport returns what to send to the coordinator of a service, if a sync is due.
 func (c *Client) dueReport(service string, node Node) (syncReport, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -265,7 +267,7 @@
 	return due, true
 }
 
-// syncService syncs this node's runs with the coordinator of a service, if that is due.
+// syncService syncs this node's runs with the coordinator of a service, if a sync is due.
 func (c *Client) syncService(ctx context.Context, service string) {
 	node, found := c.coordinator(service)
 	if !found {
@@ -279,7 +281,7 @@
 		c.syncLocal(service, due)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, endTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	message := &peerpb.SyncRuns{Service: service, Holder: c.fleet.Own(), Runs: encodeRuns(due.runs, c.now())}
 	if due.learned != nil {
@@ -305,7 +307,7 @@
 }
 
 // minAdoptedSamples is how many complete outputs a coordinator must have learned from before its
-// model replaces one that a previous coordinator learned from more.
+// model replaces one that a previous coordinator learned from more outputs.
 const minAdoptedSamples = 50
 
 // keepLearned stores what the coordinator of a service has learned, for the next coordinator.
@@ -332,7 +334,7 @@
 		c.local.End(result)
 		return
 	}
-	// A coordinator that does not receive this learns of it at the next sync.
+	// A coordinator that does not receive this message learns of the end at the next sync.
 	c.notify(address, &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeRunResult(result)}})
 }
 
@@ -368,7 +370,7 @@
 // notify calls a node without waiting for its response.
 func (c *Client) notify(address string, request *peerpb.Request) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
 		_, _ = c.peers.Call(ctx, address, request)
 	}()
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -57,7 +57,7 @@
 	// serveInterval is the time between attempts to serve waiting requests while no run ends.
 	serveInterval = 40 * time.Millisecond
 	// attemptsPerEvent and attemptsPerInterval bound how many requests that do not fit are tried
-	// when a run ends and once per interval. Without such a bound, a coordinator with 60 engines
+	// when a run ends and once per interval. Without these bounds, a coordinator with 60 engines
 	// and 100 waiting requests missed 231 calls in one burst.
 	attemptsPerEvent    = 6
 	attemptsPerInterval = 48
@@ -66,8 +66,9 @@
 	// take.
 	recentPrefillWindow = 500 * time.Millisecond
 	// initialLocalPrefillFactor is the initial estimate of how much longer a prefill takes on a
-	// decode engine than on a prefill engine: it runs at half the rate, in smaller chunks, between
-	// the decode steps of its runs. The first observed local prefill replaces it.
+	// decode engine than on a prefill engine: the decode engine prefills at half the rate, in
+	// smaller chunks, between the decode steps of its runs. The first observed local prefill
+	// replaces the estimate.
 	initialLocalPrefillFactor = 3
 	// localPrefillMemoryShare is the share of decode memory in use up to which decode engines take
 	// prompts that prefill engines cannot serve in time. Above it the decode engines are loaded as
@@ -116,7 +117,7 @@
 	since   time.Duration
 	// maxWait is how long the request may wait; zero if it must not wait.
 	maxWait time.Duration
-	// unservable is set if the request cannot get engines within the time that it may wait.
+	// unservable is set if the request cannot be assigned engines within the time that it may wait.
 	unservable bool
 	assigned   chan Assignment
 }
@@ -132,16 +133,16 @@
 	return &Coordinator{options: options, services: map[string]*serviceState{}}
 }
 
-// Assign gives engines to a request, or returns when capacity is expected. A request that cannot
-// get engines in time is rejected at once.
+// Assign assigns engines to a request, or rejects it and returns the time until capacity is
+// expected. A request that cannot be assigned engines in time is rejected at once.
 func (c *Coordinator) Assign(ctx context.Context, request *Request) Assignment {
 	queued := c.enqueue(request)
-	until := time.NewTimer(queued.maxWait)
-	defer until.Stop()
+	timeout := time.NewTimer(queued.maxWait)
+	defer timeout.Stop()
 	select {
 	case assignment := <-queued.assigned:
 		return assignment
-	case <-until.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	return c.cancelWait(queued)
@@ -158,7 +159,7 @@
 }
 
 // enqueue tries to serve a request and queues it if it does not fit. maxWait stays zero for a
-// request that cannot get engines in time.
+// request that cannot be assigned engines in time.
 func (c *Coordinator) enqueue(request *Request) *waiter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,7 +188,8 @@
 	return queued
 }
 
-// cancelWait removes a request from the queue. It may have been served meanwhile.
+// cancelWait removes a request from the queue and returns its rejection, or its assignment if it
+// was served just before.
 func (c *Coordinator) cancelWait(cancelled *waiter) Assignment {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -250,7 +252,7 @@
 }
 
 // EngineFailed records a failure that did not end a run. An engine that timed out but has finished
-// other prefills recently is only busy.
+// other prefills recently counts as busy, not as failed.
 func (c *Coordinator) EngineFailed(failure EngineFailure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -265,7 +267,7 @@
 	current.health.failed(now, failure.Engine)
 }
 
-// Sync updates the runs of a node to those that it reports.
+// Sync updates the ledger to the runs that a node reports.
 func (c *Coordinator) Sync(service, holder string, runs []ledger.Run) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -292,8 +294,8 @@
 	}
 }
 
-// coverage returns the estimated share of a service's runs that the ledger tracks: that of the
-// nodes that have synced recently. While nodes disagree on the coordinator, each of two
+// coverage returns the estimated share of a service's runs that the ledger tracks, which is the
+// share of nodes that have synced recently. While nodes disagree on the coordinator, each of two
 // coordinators tracks a part of the runs.
 func (c *Coordinator) coverage(now time.Duration, current *serviceState) float64 {
 	nodes := c.options.Nodes()
--- a/coordinator/demand.go
+++ b/coordinator/demand.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// demandTime is the time constant of the demand: longer than a burst of a few seconds, because
-	// a role change takes about as long, and short enough to follow a lasting shift.
-	demandTime = 10 * time.Second
+	// demandTimeConstant is the time constant of the smoothed demand: longer than a burst of a few
+	// seconds, because a role change takes about as long as such a burst, and short enough to follow
+	// a lasting shift.
+	demandTimeConstant = 10 * time.Second
 	// minDemandRequests is the number of requests from which the demand is known.
 	minDemandRequests = 30
 )
@@ -59,19 +60,19 @@
 // share of a decode engine's memory that its run takes, multiplied by the run's duration.
 func (m *demandMeter) add(now time.Duration, prefill time.Duration, decode float64) {
 	m.smoothed = m.current(now)
-	m.smoothed.Prefill += prefill.Seconds() / demandTime.Seconds()
-	m.smoothed.Decode += decode / demandTime.Seconds()
+	m.smoothed.Prefill += prefill.Seconds() / demandTimeConstant.Seconds()
+	m.smoothed.Decode += decode / demandTimeConstant.Seconds()
 	m.at = now
 	m.requests++
 }
 
 // current returns the demand as of now.
 func (m *demandMeter) current(now time.Duration) Demand {
-	kept := math.Exp(-(now - m.at).Seconds() / demandTime.Seconds())
-	return Demand{Prefill: m.smoothed.Prefill * kept, Decode: m.smoothed.Decode * kept}
+	decay := math.Exp(-(now - m.at).Seconds() / demandTimeConstant.Seconds())
+	return Demand{Prefill: m.smoothed.Prefill * decay, Decode: m.smoothed.Decode * decay}
 }
 
-// countDemand counts a request that was given engines or finally rejected. A client retry is not
+// countDemand counts a request that was assigned engines or finally rejected. A client retry is not
 // counted again.
 func (c *Coordinator) countDemand(now time.Duration, current *serviceState, request *Request) {
 	if request.Late {
@@ -93,8 +94,8 @@
 	return demand, current.demand.requests >= minDemandRequests
 }
 
-// InUse returns the decode engines of a service that have runs, or recently reported use of memory
-// that no known run explains.
+// InUse returns the decode engines of a service that have runs, or that recently reported more
+// memory in use than the runs in the ledger explain.
 func (c *Coordinator) InUse(service string) map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -6,7 +6,7 @@
 // It learns from the reports of all nodes: the duration of prefills, the decode
 // rate, the lengths of outputs, and which engines fail. It learns the
 // properties of a deployment within seconds; the constants with initial
-// estimates stand beside the models that replace them.
+// estimates are declared next to the models that replace them.
 //
 // coordinator.go handles requests and reports from nodes, serve.go orders
 // waiting requests, assign.go chooses engines for one request, prefill.go
@@ -15,8 +15,8 @@
 //
 // Nothing is persisted. A node sends all its runs to a coordinator that is new
 // to it. Two coordinators at the same time may assign more capacity than there
-// is; the engines then reject the excess. A node does not wait for a
-// coordinator that does not answer at once: it chooses engines for the request
+// is; the engines then reject the excess. If a coordinator does not answer at
+// once, the node does not wait for it: it chooses engines for the request
 // itself, and calls the next candidate once the coordinator counts as
 // unresponsive.
 package coordinator
--- a/coordinator/health.go
+++ b/coordinator/health.go
@@ -9,7 +9,7 @@
 	// outcomeWeight is the weight of one outcome in the failure share: an engine without earlier
 	// failures is excluded after its second failure in a row.
 	outcomeWeight = 0.35
-	// maxFailureShare is the failure share above which an engine gets no run.
+	// maxFailureShare is the failure share above which an engine is assigned no run.
 	maxFailureShare = 0.5
 	// failureHalfLife is the time in which the failure share halves without new outcomes, so that
 	// an excluded engine is tried again: 0.4 s after two failures, 2 s after many.
@@ -30,14 +30,14 @@
 
 // share returns the failure share of an engine as of now.
 func (h *engineHealth) share(now time.Duration, engine string) float64 {
-	known, seen := h.engines[engine]
-	if !seen {
+	record, found := h.engines[engine]
+	if !found {
 		return 0
 	}
-	return known.share * math.Exp2(-(now-known.at).Seconds()/failureHalfLife.Seconds())
+	return record.share * math.Exp2(-(now-record.at).Seconds()/failureHalfLife.Seconds())
 }
 
-// healthy reports whether an engine may be given runs.
+// healthy reports whether an engine may be assigned runs.
 func (h *engineHealth) healthy(now time.Duration, engine string) bool {
 	return h.share(now, engine) <= maxFailureShare
 }
@@ -53,14 +53,14 @@
 
 // succeeded records a success of an engine.
 func (h *engineHealth) succeeded(engine string) {
-	known, seen := h.engines[engine]
-	if !seen {
+	record, found := h.engines[engine]
+	if !found {
 		return
 	}
-	known.share -= outcomeWeight * known.share
-	if known.share < outcomeWeight/10 {
+	record.share -= outcomeWeight * record.share
+	if record.share < outcomeWeight/10 {
 		delete(h.engines, engine)
 		return
 	}
-	h.engines[engine] = known
+	h.engines[engine] = record
 }
--- a/coordinator/health_test.go
+++ b/coordinator/health_test.go
@@ -9,7 +9,8 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// TestOccasionalFailuresKeepEngineInUse lets a fifth of an engine's runs fail.
+// TestOccasionalFailuresKeepEngineInUse lets every fifth run of an engine fail. The engine must
+// stay healthy.
 func TestOccasionalFailuresKeepEngineInUse(t *testing.T) {
 	g := NewWithT(t)
 	var health engineHealth
@@ -24,7 +25,8 @@
 	}
 }
 
-// TestFailingEngineIsRetried lets every run of an engine fail.
+// TestFailingEngineIsRetried lets every run of an engine fail. The engine must be tried again from
+// time to time, and be healthy after two successes.
 func TestFailingEngineIsRetried(t *testing.T) {
 	g := NewWithT(t)
 	var health engineHealth
@@ -77,7 +79,8 @@
 	}
 }
 
-// TestFailedDecodeEngineIsExcluded ends runs of one engine with a failure.
+// TestFailedDecodeEngineIsExcluded has two runs of the preferred engine fail. The next run must go
+// to the other engine.
 func TestFailedDecodeEngineIsExcluded(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Duration(0)
--- a/coordinator/local_prefill_test.go
+++ b/coordinator/local_prefill_test.go
@@ -40,25 +40,25 @@
 	g.Expect(coordinator.Assign(t.Context(), requestOf("third", 0)).Decode).To(Equal(first.Decode))
 }
 
-// TestLocalPrefillStopsAtMemoryShare leaves the prefill engine with a backlog. Decode engines take
-// prompts while their memory is mostly free, and no longer.
+// TestLocalPrefillStopsAtMemoryShare gives the prefill engine a backlog that never shrinks. Decode
+// engines must take prompts only while at most localPrefillMemoryShare of their memory is in use.
 func TestLocalPrefillStopsAtMemoryShare(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Duration(0)
-	behind := newDecodePair(&now, "p")
+	backlogged := newDecodePair(&now, "p")
 	localPrefills := 0
 	for i := range 40 {
 		id := strconv.Itoa(i)
-		assigned := behind.Assign(t.Context(), requestOf(id, 0))
+		assigned := backlogged.Assign(t.Context(), requestOf(id, 0))
 		if !assigned.LocalPrefill {
 			continue
 		}
 		localPrefills++
-		g.Expect(behind.state("s").decode.MemoryShare(now)).To(BeNumerically("<", localPrefillMemoryShare+0.1))
-		behind.PrefillDone("s", id, assigned.Decode)
+		g.Expect(backlogged.state("s").decode.MemoryShare(now)).To(BeNumerically("<", localPrefillMemoryShare+0.1))
+		backlogged.PrefillDone("s", id, assigned.Decode)
 	}
 	g.Expect(localPrefills).To(BeNumerically(">", 0))
-	g.Expect(behind.state("s").decode.MemoryShare(now)).To(BeNumerically("<", localPrefillMemoryShare+0.1))
+	g.Expect(backlogged.state("s").decode.MemoryShare(now)).To(BeNumerically("<", localPrefillMemoryShare+0.1))
 }
 
 // TestDemandFollowsTheRequests sends requests at a steady rate, and expects the demand that follows
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -21,13 +21,14 @@
 	// Wait is how long the request may wait for engines. A first attempt waits only as long as it
 	// can still meet the objective.
 	Wait time.Duration
-	// Objective is the time in which the first token is due. A prompt that would be queued too long
-	// for it is not accepted.
+	// Objective is the time in which the first token is due. A prompt that would be queued for too
+	// long to meet it is not accepted.
 	Objective time.Duration
-	// Probe is set if the sender asks again when no capacity is free now: the request does not
-	// wait, and Wait is how long it will wait when repeated. AfterProbe is set in that repetition.
+	// Probe is set if the sender will repeat the request when no capacity is free now: the request
+	// does not wait, and Wait is how long the repeated one will wait. AfterProbe is set in the
+	// repeated request.
 	Probe, AfterProbe bool
-	// Late is set for a request that misses its objective in any case: a client retry after a
+	// Late is set for a request that can no longer meet its objective: a client retry after a
 	// rejection, or the rest of an interrupted stream.
 	Late bool
 	// TenantPriority is the priority of the tenant, and Priority that of the route, which orders
--- a/coordinator/overload_replay_test.go
+++ b/coordinator/overload_replay_test.go
@@ -16,8 +16,8 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// overloadReplay requests about twice as many runs as end from a coordinator of 60 decode engines.
-// A rejected client retries once.
+// overloadReplay sends requests to a coordinator of 60 decode engines, in a burst at about twice the
+// rate at which runs end. A rejected client retries once.
 type overloadReplay struct {
 	coordinator *Coordinator
 	listings    int
@@ -38,7 +38,7 @@
 	sent, assigned, late int
 	// othersSent and othersAssigned count the requests of all tenants but the hot one.
 	othersSent, othersAssigned int
-	// rejected is how long each rejected request was held.
+	// rejected is how long each rejected request waited for its rejection.
 	rejected []time.Duration
 	// maxWaiting is the maximum number of waiting requests.
 	maxWaiting int
@@ -146,7 +146,7 @@
 	}
 }
 
-func (r *overloadReplay) record(late, hot bool, assignment Assignment, held time.Duration) {
+func (r *overloadReplay) record(late, hot bool, assignment Assignment, waited time.Duration) {
 	waiting := r.coordinator.State("s").Waiting
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,7 +162,7 @@
 	}
 	switch {
 	case assignment.Decode == "":
-		r.counts.rejected = append(r.counts.rejected, held)
+		r.counts.rejected = append(r.counts.rejected, waited)
 	case late:
 		r.counts.late++
 	default:
@@ -182,28 +182,28 @@
 	})
 }
 
-func quantileOf(held []time.Duration, share float64) time.Duration {
-	if len(held) == 0 {
+func quantileOf(waits []time.Duration, share float64) time.Duration {
+	if len(waits) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(held))
+	sorted := slices.Sorted(slices.Values(waits))
 	return sorted[int(share*float64(len(sorted)-1))]
 }
 
 // TestOverloadIsRejectedAtOnce replays a burst of 12 s at about twice the rate at which runs end.
 // Requests that cannot be served in time must be rejected at once. Without predicted waits, half of
-// the rejected requests had been held for 754 ms and a tenth for 2.7 s, and up to 643 waited at a
-// time.
+// the rejected requests waited for 754 ms or more and a tenth for 2.7 s or more, and up to 643
+// waited at a time.
 func TestOverloadIsRejectedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		replayed := newOverloadReplay(false)
 		counts := replayed.play(t)
 		t.Logf("sent %d, assigned %d, late %d, rejected %d", counts.sent, counts.assigned, counts.late, len(counts.rejected))
-		t.Logf("held p50 %v p90 %v, at most %d waiting, %d listings", quantileOf(counts.rejected, 0.5), quantileOf(counts.rejected, 0.9), counts.maxWaiting, replayed.listings)
+		t.Logf("rejected after p50 %v p90 %v, at most %d waiting, %d listings", quantileOf(counts.rejected, 0.5), quantileOf(counts.rejected, 0.9), counts.maxWaiting, replayed.listings)
 		g.Expect(quantileOf(counts.rejected, 0.9)).To(BeNumerically("<", 100*time.Millisecond))
 		g.Expect(counts.maxWaiting).To(BeNumerically("<", 250))
-		g.Expect(counts.assigned).To(BeNumerically(">", 2900), "without a prediction 3,023")
+		g.Expect(counts.assigned).To(BeNumerically(">", 2900), "3,023 without predicted waits")
 	})
 }
 
@@ -231,8 +231,9 @@
 	})
 }
 
-// TestTenantNearItsLimitYieldsToOthers replays the burst as that of one tenant beside others, which
-// together send no more than the engines can serve.
+// TestTenantNearItsLimitYieldsToOthers replays the burst as that of one tenant, while all others
+// together send no more than the engines can serve. If the requests of that tenant are marked with
+// AboveUsual, nearly all requests of the others must be served in time.
 func TestTenantNearItsLimitYieldsToOthers(t *testing.T) {
 	served := func(marked bool) (share float64) {
 		synctest.Test(t, func(t *testing.T) {
--- a/coordinator/prefill.go
+++ b/coordinator/prefill.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// promptLifetime is the longest time for which a prompt counts as queued. For an older one, the
-	// node or its messages were lost.
+	// promptLifetime is the longest time for which a prompt counts as queued. If it is older, its
+	// node or the messages about it were lost.
 	promptLifetime = 5 * time.Second
 	// stallFactor and stallSlack bound the time that an engine may take for the prompt at the head
-	// of its queue, relative to the expected time. Beyond that it counts as stalled. The factor
-	// covers the variance of prefill times; the slack covers message delays and the initial
-	// estimate of the engine's rate.
+	// of its queue, relative to the expected time. Beyond the bound it counts as stalled. The factor
+	// covers the variance of prefill times; the slack covers message delays and the error of the
+	// initial estimate of the engine's rate.
 	stallFactor = 3
 	stallSlack  = 300 * time.Millisecond
 )
@@ -58,7 +58,7 @@
 }
 
 // shortestPreferred is shortest among the engines for which preferred holds. The result is empty if
-// none is ready by the latest time.
+// none of them can have the prompt ready by the latest time.
 func (q *prefillQueue) shortestPreferred(
 	now time.Duration, engines []string, run ledger.Run, avoid map[string]bool, preferred func(id string) bool, latest time.Duration,
 ) (string, time.Duration) {
@@ -164,9 +164,9 @@
 	engine.lastDone = now
 }
 
-// timeOut removes a prompt on which its node has given up, and records that the engine takes longer
-// than that. Otherwise the model would never learn of engines that are all slower than the initial
-// estimate, because no prompt would be waited for until its prefill ends.
+// timeOut removes a prompt that its node no longer waits for, and records that the engine takes
+// longer than the node has waited. Otherwise the model would never learn that all engines are slower
+// than the initial estimate, because no node would wait until a prefill ends.
 func (q *prefillQueue) timeOut(now time.Duration, id, by string) {
 	assigned, abandoned, known := q.remove(id)
 	if known && assigned == by {
--- a/coordinator/prefill_test.go
+++ b/coordinator/prefill_test.go
@@ -39,7 +39,8 @@
 	g.Expect(queue.model.Duration("e", 5000)).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 }
 
-// TestSlownessIsLearnedAndForgottenUnderLoad keeps the engine busy throughout.
+// TestSlownessIsLearnedAndForgottenUnderLoad has an engine, which always has a queue, become slow
+// and recover. The estimate must follow both changes.
 func TestSlownessIsLearnedAndForgottenUnderLoad(t *testing.T) {
 	g := NewWithT(t)
 	queue := newTrainedQueue("e", "other")
@@ -104,7 +105,8 @@
 	g.Expect(queue.engineOf).To(BeEmpty())
 }
 
-// TestPromptsOfLostNodesExpire never reports the end of the prompts.
+// TestPromptsOfLostNodesExpire adds prompts whose prefill is never reported as done, because their
+// node was lost. They must leave the queue after promptLifetime.
 func TestPromptsOfLostNodesExpire(t *testing.T) {
 	g := NewWithT(t)
 	queue := newTrainedQueue("e")
@@ -117,8 +119,9 @@
 	queue.complete(6*time.Second, "3", "e")
 }
 
-// TestStalledEngineIsSkipped assigns prompts to an engine that never finishes one. It must get no
-// more once it is overdue, while an engine that is slow but makes progress still does.
+// TestStalledEngineIsSkipped assigns prompts to an engine that never finishes one. Once its first
+// prompt is overdue, it must get no more, while an engine that is slow but makes progress still
+// does.
 func TestStalledEngineIsSkipped(t *testing.T) {
 	g := NewWithT(t)
 	queue := newTrainedQueue("silent", "steady")
--- a/coordinator/queue.go
+++ b/coordinator/queue.go
@@ -16,7 +16,7 @@
 
 // queueLoad is the load ahead of a request that does not fit: the number of requests before it, and
 // the rates at which capacity is freed and requested. It guards against a load far above the
-// engines' capacity: without a bound, requests wait until their time is over and are rejected
+// engines' capacity: without a bound, requests would wait as long as they may and be rejected
 // anyway, while the coordinator is busy with the queue.
 type queueLoad struct {
 	// firstAttempts and retries are the numbers of waiting requests.
--- a/coordinator/rate.go
+++ b/coordinator/rate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// rateSmoothing is the time constant of a rate.
-const rateSmoothing = 2 * time.Second
+// rateTimeConstant is the time constant of a rate.
+const rateTimeConstant = 2 * time.Second
 
 // rateMeter measures the rate of events, weighted towards newer ones. The zero value has seen none.
 type rateMeter struct {
@@ -17,12 +17,12 @@
 
 // add counts one event.
 func (m *rateMeter) add(now time.Duration) {
-	m.rate = m.perSecond(now) + 1/rateSmoothing.Seconds()
+	m.rate = m.perSecond(now) + 1/rateTimeConstant.Seconds()
 	m.at = now
 	m.events++
 }
 
 // perSecond returns the rate as of now.
 func (m *rateMeter) perSecond(now time.Duration) float64 {
-	return m.rate * math.Exp(-(now-m.at).Seconds()/rateSmoothing.Seconds())
+	return m.rate * math.Exp(-(now-m.at).Seconds()/rateTimeConstant.Seconds())
 }
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -10,7 +10,7 @@
 
 // scheduleServe sets a timer that serves waiting requests, at intervals until none is left; the
 // lock is held. There is one timer per service: a timer per request would cost a coordinator 25
-// wake-ups a second for each of several hundred.
+// wake-ups a second for each of several hundred requests.
 func (c *Coordinator) scheduleServe(service string, current *serviceState) {
 	if current.serveScheduled {
 		return
@@ -31,11 +31,11 @@
 	}
 }
 
-// serve gives engines to waiting requests, first attempts first, then by priority and in the order
-// of arrival; the lock is held. First attempts can still meet their objective, while a retry after
-// a rejection is late in any case. A request that does not fit lets smaller ones pass. After the
-// given number of failed attempts, the others are left for the next interval: each attempt checks
-// all engines, and a coordinator that is busy with that misses calls.
+// serve assigns engines to waiting requests, first attempts first, then by priority and in the
+// order of arrival; the lock is held. First attempts can still meet their objective, while a retry
+// after a rejection cannot. Smaller requests pass one that does not fit. Once the given number of
+// requests did not fit, the others are left for the next interval: each try checks all engines, and
+// a coordinator that is busy with these checks misses calls.
 func (c *Coordinator) serve(service string, current *serviceState, attempts int) {
 	if len(current.waiting) == 0 {
 		return
@@ -75,8 +75,8 @@
 	all *Engines
 }
 
-// assign gives engines to one request: from its shortlist, or from all engines if none of the
-// shortlist fits. After that has happened once, later requests of the round use all engines
+// assign assigns engines to one request: from its shortlist, or from all engines if none of the
+// shortlist fits. After a shortlist did not suffice, later requests of the round use all engines
 // directly.
 func (r *servingRound) assign(queued *waiter) (Assignment, bool) {
 	options := r.coordinator.options
@@ -108,7 +108,8 @@
 
 // compareRank orders waiting requests: first attempts, then higher tenant priority, then tenants
 // that are not near their limit, then higher route priority, then earlier arrivals. A tenant that
-// sends many times its usual load fills the queue up to its limit; others pass it.
+// sends many times its usual load fills the queue up to its limit, so the requests of other tenants
+// pass its requests.
 func compareRank(a, b *waiter) int {
 	return cmp.Or(
 		trueLast(a.request.Late, b.request.Late),
--- a/coordinator/state.go
+++ b/coordinator/state.go
@@ -17,7 +17,7 @@
 	Backlog time.Duration
 	// Demand is how many engines of each role recent requests keep busy.
 	Demand Demand
-	// DecodeRate is the number of tokens per second of one run.
+	// DecodeRate is the learned decode rate of one run, in tokens per second.
 	DecodeRate float64
 }
 
--- a/coordinator/waiting_test.go
+++ b/coordinator/waiting_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestWaitingCostGrowsLinearly lets many requests wait for capacity at once. The number of listings
-// may grow with their number, but not with its square: a coordinator that is busy with that misses
-// the calls of all nodes.
+// TestWaitingCostGrowsLinearly lets many requests wait for capacity at once. The number of times
+// that the engines are listed may grow with the number of requests, but not with its square: a
+// coordinator that is busy listing engines misses the calls of all nodes.
 func TestWaitingCostGrowsLinearly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
@@ -87,8 +87,8 @@
 	})
 }
 
-// TestFirstAttemptsGoFirst has a retry wait longest. Capacity goes to the first attempt, which can
-// still meet its objective, and then to the retry.
+// TestFirstAttemptsGoFirst has a retry wait for longer than a first attempt. Capacity goes to the
+// first attempt, which can still meet its objective, and then to the retry.
 func TestFirstAttemptsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -129,13 +129,14 @@
 		rejected := full.Assign(t.Context(), requestOf("waits", time.Second))
 		g.Expect(rejected.Decode).To(BeEmpty())
 		g.Expect(rejected.RetryAfter).To(BeNumerically(">", 0))
-		// Of the second, the prefill of 8,000 tokens at 50,000 a second and the first token take a
-		// part.
+		// The objective of one second, less the prefill of 8,000 tokens at 50,000 a second and the
+		// time from there to the first token.
 		g.Expect(time.Since(began)).To(Equal(time.Second - 160*time.Millisecond - defaultFirstToken))
 	})
 }
 
-// TestMoreUrgentRoutesGoFirst has the request of the less urgent route wait longest.
+// TestMoreUrgentRoutesGoFirst has a request of a less urgent route wait for longer than one of a
+// more urgent route. Capacity goes to the latter.
 func TestMoreUrgentRoutesGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/coordinator/wire_test.go
+++ b/coordinator/wire_test.go
@@ -10,8 +10,8 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// TestRunResultRoundTrip encodes and decodes a run result. A coordinator never receives a field
-// that the encoding loses from other nodes.
+// TestRunResultRoundTrip encodes and decodes a run result. A field that the encoding omits would
+// reach the coordinator only from its own node.
 func TestRunResultRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	result := RunResult{Service: "s", ID: "run", Duration: 3500 * time.Millisecond, Output: 640, FirstEvent: 210 * time.Millisecond, RestTokens: 631, Rejection: RejectionFull}
@@ -22,9 +22,9 @@
 // The ledger must then expect such runs to last five times as long.
 func TestRemoteResultsTeachDecodeRate(t *testing.T) {
 	const (
-		runs  = 100
-		rate  = 200
-		taken = 3 * time.Second
+		runs     = 100
+		rate     = 200
+		duration = 3 * time.Second
 	)
 	g := NewWithT(t)
 	now := time.Duration(0)
@@ -37,10 +37,10 @@
 	})
 	for range runs {
 		g.Expect(learning.Assign(t.Context(), requestOf("run", 0)).Decode).To(Equal("d"))
-		now += taken
+		now += duration
 		_, err := learning.Handle(t.Context(), &peerpb.Request{Body: &peerpb.Request_EndRun{EndRun: encodeRunResult(RunResult{
-			Service: "s", ID: "run", Duration: taken, Output: int(rate * taken.Seconds()),
-			FirstEvent: taken / 10, RestTokens: int(rate * taken.Seconds() * 9 / 10),
+			Service: "s", ID: "run", Duration: duration, Output: int(rate * duration.Seconds()),
+			FirstEvent: duration / 10, RestTokens: int(rate * duration.Seconds() * 9 / 10),
 		})}})
 		g.Expect(err).NotTo(HaveOccurred())
 	}
