--- a/ledger/allocations_test.go
+++ b/ledger/allocations_test.go
@@ -11,7 +11,8 @@
 )
 
 // TestAssignToFullEnginesDoesNotAllocate tries to assign a run to full engines, as a coordinator
-// does for the waiting requests of a service each time a run ends.
+// does for the waiting requests of a service each time a run ends. It must allocate less than once
+// for every ten engines.
 func TestAssignToFullEnginesDoesNotAllocate(t *testing.T) {
 	const engines = 60
 	g := NewWithT(t)
--- a/ledger/duplicate_test.go
+++ b/ledger/duplicate_test.go
@@ -9,8 +9,8 @@
 	"github.com/reelrun/reelrun/ledger"
 )
 
-// TestDuplicateRunIDIsReplaced assigns two runs with the same identifier. Once that run has ended,
-// both engines must be empty.
+// TestDuplicateRunIDIsReplaced assigns two runs with the same identifier. The second replaces the
+// first, so both engines must be empty once it has ended.
 func TestDuplicateRunIDIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	l := newLedger(2)
--- a/ledger/external.go
+++ b/ledger/external.go
@@ -10,22 +10,23 @@
 
 const (
 	// reportToleranceFactor and reportToleranceTokens bound how far the memory use that an engine
-	// reports may exceed the ledger's prediction before the rest counts as external: reports arrive
-	// late, and predictions are inexact.
+	// reports may exceed the ledger's prediction; only the excess beyond the bound counts as
+	// external, because reports arrive late and predictions are inexact.
 	reportToleranceFactor = 1.25
 	reportToleranceTokens = 4000
 	// externalUseLifetime is how long a report is valid.
 	externalUseLifetime = 2500 * time.Millisecond
 )
 
-// ReportMemoryUse records the memory in use that an engine reports. The runs of a failed node
-// continue on an engine until it detects the failure.
+// ReportMemoryUse records the memory in use that an engine reports, in tokens. It may include runs
+// that the ledger does not track: those of a failed node continue on an engine until the engine
+// detects the failure.
 func (l *Ledger) ReportMemoryUse(now time.Duration, id string, used int) {
-	known := 0.0
+	predicted := 0.0
 	for _, run := range l.byEngine[id] {
-		known += l.project(now, run).size
+		predicted += l.project(now, run).size
 	}
-	l.external[id] = externalUse{tokens: max(0, float64(used)-reportToleranceFactor*known-reportToleranceTokens), at: now}
+	l.external[id] = externalUse{tokens: max(0, float64(used)-reportToleranceFactor*predicted-reportToleranceTokens), at: now}
 }
 
 // InUse returns the engines that have runs, or use memory that the ledger cannot explain.
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -27,7 +27,7 @@
 // Engine is a decode engine.
 type Engine struct {
 	ID string
-	// Memory is the number of tokens that fit.
+	// Memory is the size of its KV memory in tokens.
 	Memory int
 	// Slots is the number of concurrent runs.
 	Slots int
@@ -63,7 +63,7 @@
 	minDecodeTime = 10 * time.Millisecond
 	// holderTimeout is how long the runs of a node without contact are kept.
 	holderTimeout = 4 * time.Second
-	// expireInterval is the minimum time between two checks for such nodes.
+	// expireInterval is the minimum time between two checks for nodes without contact.
 	expireInterval = 500 * time.Millisecond
 	// syncGracePeriod is the age from which a run that its holder does not report counts as ended:
 	// the assignment of a younger one may still be on its way to the holder.
@@ -76,8 +76,8 @@
 	// decodeRate and firstTokenDelay are learned; options holds the initial estimates.
 	decodeRate      float64
 	firstTokenDelay time.Duration
-	// samples counts the outputs they were learned from; tokens and seconds are the weighted totals
-	// of these.
+	// samples counts the outputs that these were learned from; tokens and seconds are the weighted
+	// totals of these outputs.
 	samples         int
 	tokens, seconds float64
 	engines         []Engine
@@ -92,7 +92,8 @@
 	// rejectedUntil is the time until which an engine gets no runs after it rejected one that
 	// should have fitted.
 	rejectedUntil map[string]time.Duration
-	expiredAt     time.Duration
+	// expiredAt is the time of the last check for holders without contact.
+	expiredAt time.Duration
 	// external is the memory that engines use for runs that the ledger does not track.
 	external map[string]externalUse
 	// outputDeviation is the standard deviation of a run's output, as a share of the expected
@@ -172,8 +173,8 @@
 	}
 }
 
-// Assign assigns a run to the engine with the lowest predicted peak, and reports false if it fits
-// nowhere.
+// Assign assigns a run to the engine with the lowest predicted peak of memory use. It reports false
+// if the run fits on no engine.
 func (l *Ledger) Assign(now time.Duration, run Run, avoid map[string]bool) (string, bool) {
 	return l.AssignPreferring(now, run, avoid, func(string) bool { return false })
 }
@@ -257,16 +258,16 @@
 }
 
 // TimeUntilCapacity returns the time until a run fits on some engine, if every run ends as expected
-// and no other arrives.
+// and no other run arrives. It is zero if the run would not fit on any engine even then.
 func (l *Ledger) TimeUntilCapacity(now time.Duration, run Run) time.Duration {
-	soonest := time.Duration(0)
+	earliest := time.Duration(0)
 	for _, engine := range l.engines {
 		after, found := l.capacityAt(now, engine, run, l.byEngine[engine.ID])
-		if found && (soonest == 0 || after < soonest) {
-			soonest = after
+		if found && (earliest == 0 || after < earliest) {
+			earliest = after
 		}
 	}
-	return soonest
+	return earliest
 }
 
 // capacityAt returns the time until a run fits on one engine.
--- a/ledger/margin_test.go
+++ b/ledger/margin_test.go
@@ -33,8 +33,8 @@
 		for _, deviation := range []float64{0, 0.5, 1} {
 			// All runs begin at once, so memory use is highest right before they end together. The
 			// ledger assumes that they also grow before the first token.
-			whole, want := float64(size.prompt+size.output)+start.Seconds()*1000, 0
-			for n := 1.0; n*whole+deviation*float64(size.output)*math.Sqrt(n) <= memory && n <= slots; n++ {
+			finalSize, want := float64(size.prompt+size.output)+start.Seconds()*1000, 0
+			for n := 1.0; n*finalSize+deviation*float64(size.output)*math.Sqrt(n) <= memory && n <= slots; n++ {
 				want = int(n)
 			}
 			g.Expect(fittingRuns(deviation, size.prompt, size.output)).To(Equal(want), "%+v, deviation %v", size, deviation)
--- a/ledger/preference_test.go
+++ b/ledger/preference_test.go
@@ -7,7 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestAssignPrefersZoneUnlessMuchFuller assigns runs while one engine is in the zone of their node.
+// TestAssignPrefersZoneUnlessMuchFuller assigns runs to two engines, of which one is in the zone of
+// their node. That engine must get them until it is a tenth fuller than the other one.
 func TestAssignPrefersZoneUnlessMuchFuller(t *testing.T) {
 	g := NewWithT(t)
 	l := New(Options{})
--- a/ledger/projection.go
+++ b/ledger/projection.go
@@ -25,7 +25,7 @@
 	return l.peakOf(now, engine, run, active)
 }
 
-// peakOf is peakWith for given runs of the engine.
+// peakOf is peakWith for an engine with the given active runs.
 func (l *Ledger) peakOf(now time.Duration, engine Engine, run Run, active []Run) (float64, bool) {
 	run.Started = now
 	runs := l.projected[:0]
@@ -40,7 +40,8 @@
 	external := l.externalTokens(now, engine.ID)
 	needed := l.peak(runs) + l.margin(run, active)
 	peak := (needed/l.coverage + external) / (float64(engine.Memory) * l.options.UsableShare)
-	// A run that is too large for any engine is admitted to an empty one.
+	// An empty engine admits any run, because otherwise a run larger than every engine would never
+	// be assigned.
 	return peak, peak <= 1 || len(runs) == 1 && external == 0
 }
 
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -24,7 +24,7 @@
 	return l
 }
 
-// expectedRun is a run as the test models it: it generates exactly the expected output.
+// expectedRun is the test's model of a run, which generates exactly the expected output.
 type expectedRun struct {
 	engine  string
 	prompt  int
@@ -92,13 +92,13 @@
 func TestRunsGoToTheEmptiestEngine(t *testing.T) {
 	g := NewWithT(t)
 	l := newLedger(3)
-	seen := map[string]bool{}
+	assigned := map[string]bool{}
 	for i := range 3 {
 		engine, ok := l.Assign(0, ledger.Run{ID: strconv.Itoa(i), Prompt: 5000, Output: 2000}, nil)
 		g.Expect(ok).To(BeTrue())
-		seen[engine] = true
+		assigned[engine] = true
 	}
-	g.Expect(seen).To(HaveLen(3))
+	g.Expect(assigned).To(HaveLen(3))
 }
 
 func TestRejectingAndAvoidedEnginesGetNoRuns(t *testing.T) {
@@ -129,7 +129,8 @@
 	g.Expect(after).To(And(BeNumerically(">", time.Second), BeNumerically("<", 4*time.Second)))
 }
 
-// TestExternalUseTakesCapacity reports memory use that no run in the ledger explains.
+// TestExternalUseTakesCapacity reports memory use that no run in the ledger explains. The engine
+// must get no runs until the report has expired.
 func TestExternalUseTakesCapacity(t *testing.T) {
 	g := NewWithT(t)
 	l := newLedger(2)
@@ -148,7 +149,8 @@
 	g.Expect(engine).To(Equal("e0"))
 }
 
-// TestRunsOfUnresponsiveHoldersExpire never reports the ends of the runs.
+// TestRunsOfUnresponsiveHoldersExpire assigns runs whose holder has no further contact with the
+// ledger. They must be removed.
 func TestRunsOfUnresponsiveHoldersExpire(t *testing.T) {
 	g := NewWithT(t)
 	l := newLedger(1)
@@ -160,7 +162,9 @@
 	g.Expect(l.Len()).To(Equal(1))
 }
 
-// TestSyncRepairsTheLedger loses the ends of runs, and the runs themselves.
+// TestSyncRepairsTheLedger omits messages about the end of a run and about the assignment of
+// another one. The next sync must remove the former and add the latter, but keep a run that is too
+// young for the holder to report.
 func TestSyncRepairsTheLedger(t *testing.T) {
 	g := NewWithT(t)
 	l := newLedger(1)
--- a/ledger/rate.go
+++ b/ledger/rate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// OutputTiming is the timing of a complete output, from which the decode rate is learned. The zero
-// value is ignored.
+// OutputTiming is the timing of a complete output, from which the decode rate is learned. The ledger
+// ignores the zero value.
 type OutputTiming struct {
 	// FirstEvent is the time from the assignment to the first event, and Duration the time to the
 	// last one.
@@ -30,8 +30,8 @@
 
 // LearnedRate is what a ledger has learned about the speed of runs.
 type LearnedRate struct {
-	// Samples is the number of outputs it was learned from; Tokens and Seconds are the weighted
-	// totals of these.
+	// Samples is the number of outputs that it was learned from; Tokens and Seconds are the weighted
+	// totals of these outputs.
 	Samples         int
 	Tokens, Seconds float64
 	// FirstTokenDelay is the time from an assignment to the first token.
--- a/ledger/rate_test.go
+++ b/ledger/rate_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestBufferedOutputsDoNotDistortDecodeRate has some outputs buffered on the way, so that all their
-// events arrive at almost the same time.
+// events arrive at almost the same time. The learned rate must stay near the actual one.
 func TestBufferedOutputsDoNotDistortDecodeRate(t *testing.T) {
 	g := NewWithT(t)
 	const rate = 1000
