--- a/estimate/learned_test.go
+++ b/estimate/learned_test.go
@@ -10,8 +10,9 @@
 	"github.com/reelrun/reelrun/estimate"
 )
 
-// TestAdoptedModelsGiveTheSameEstimates passes learned state on. An estimator that has learned
-// something itself must keep that, and sums that no fit can have must be ignored.
+// TestAdoptedModelsGiveTheSameEstimates passes learned state to new estimators, which must then
+// give the same estimates. An estimator that has learned something itself must keep its own state,
+// and sums that no fit can have must be ignored.
 func TestAdoptedModelsGiveTheSameEstimates(t *testing.T) {
 	g := NewWithT(t)
 	var output, next estimate.OutputLength
--- a/estimate/output.go
+++ b/estimate/output.go
@@ -18,9 +18,11 @@
 // OutputLength fits a line to the logarithms of actual and expected lengths, with exponentially
 // decaying weights. The zero value has no samples. It is not safe for concurrent use.
 type OutputLength struct {
-	samples                    int
-	sums                       line
-	sumYY                      float64
+	samples int
+	sums    line
+	// sumYY is the weighted sum of the squares of y.
+	sumYY float64
+	// intercept and slope describe the fitted line, and variance is that of y around it.
 	intercept, slope, variance float64
 }
 
@@ -43,8 +45,8 @@
 	varianceX := sums.sumXX/sums.weight - meanX*meanX
 	covariance := sums.sumXY/sums.weight - meanX*meanY
 	o.slope = 0
-	const flat = 1e-6
-	if varianceX > flat {
+	const minVarianceX = 1e-6
+	if varianceX > minVarianceX {
 		o.slope = min(max(covariance/varianceX, minSlope), maxSlope)
 	}
 	o.intercept = meanY - o.slope*meanX
@@ -52,8 +54,8 @@
 	o.variance = max(0, varianceY-2*o.slope*covariance+o.slope*o.slope*varianceX)
 }
 
-// initialDeviation is the initial estimate of RelativeDeviation: callers' estimates are often far
-// off.
+// initialDeviation is the initial value of RelativeDeviation. It is large because callers'
+// estimates are often far from the actual lengths.
 const initialDeviation = 0.5
 
 // RelativeDeviation returns the standard deviation of an output length, as a share of the expected
@@ -67,7 +69,7 @@
 }
 
 // Mean returns the expected output length, given the length that the caller expects and the maximum
-// length, zero for none.
+// length, which is zero if there is none.
 func (o *OutputLength) Mean(expected, maxOutput int) int {
 	if o.samples < minSamples || expected <= 0 {
 		return expected
--- a/estimate/output_test.go
+++ b/estimate/output_test.go
@@ -10,26 +10,27 @@
 	"github.com/reelrun/reelrun/estimate"
 )
 
-// TestEstimateBeatsCallerEstimates draws output lengths and caller estimates that are off by a
-// factor, and compares the errors.
+// TestEstimateBeatsCallerEstimates draws output lengths and caller estimates that are wrong by a
+// random factor. The mean error of the learned estimates must be a tenth smaller, and their bias
+// below a tenth of the usual length.
 func TestEstimateBeatsCallerEstimates(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	var output estimate.OutputLength
-	var plain, learned, bias float64
+	var callerError, learnedError, bias float64
 	const draws = 4000
 	for i := range draws {
 		actual := 4000 * math.Exp(0.7*random.NormFloat64())
 		expected := int(actual * math.Exp(0.5*random.NormFloat64()))
 		if i > draws/2 {
 			mean := float64(output.Mean(expected, 0))
-			plain += math.Abs(float64(expected) - actual)
-			learned += math.Abs(mean - actual)
+			callerError += math.Abs(float64(expected) - actual)
+			learnedError += math.Abs(mean - actual)
 			bias += mean - actual
 		}
 		output.Observe(expected, int(actual))
 	}
-	g.Expect(learned).To(BeNumerically("<", 0.9*plain))
+	g.Expect(learnedError).To(BeNumerically("<", 0.9*callerError))
 	g.Expect(math.Abs(bias) / (draws / 2)).To(BeNumerically("<", 0.1*4000))
 }
 
@@ -50,7 +51,8 @@
 	output.Observe(5, -1)
 }
 
-// TestDeviationIsLearned draws lengths around the expected ones.
+// TestDeviationIsLearned observes lengths that equal the expected ones, and lengths that vary
+// around them. The learned deviation must be that of the lengths.
 func TestDeviationIsLearned(t *testing.T) {
 	g := NewWithT(t)
 	var exact, varying estimate.OutputLength
@@ -62,6 +64,6 @@
 		varying.Observe(expected, max(1, int(float64(expected)*math.Exp(0.4*random.NormFloat64()))))
 	}
 	g.Expect(exact.RelativeDeviation()).To(BeNumerically("<", 0.01))
-	// Of a log-normal distribution with a deviation of 0.4.
+	// The relative deviation of a log-normal distribution with a deviation of 0.4.
 	g.Expect(varying.RelativeDeviation()).To(BeNumerically("~", 0.416, 0.06))
 }
--- a/estimate/prefill.go
+++ b/estimate/prefill.go
@@ -7,10 +7,10 @@
 	// second. The first observed prefill replaces it.
 	initialPrefillRate = 50_000.0
 	// originWeight is the weight, in prompts, of the assumption that a prompt without tokens takes
-	// no time. It determines the fit if all prompts have the same size.
+	// no time. This assumption determines the fit if all prompts have the same size.
 	originWeight = 0.1
-	// priorWeight is the weight, in prompts, of the pooled estimate for a new engine: after so many
-	// prefills of its own, these count as much as those of all engines.
+	// priorWeight is the weight, in prompts, of the pooled estimate for a new engine: after this
+	// number of prefills, the engine's own prefills count as much as those of all engines.
 	priorWeight = 1.0
 	// poolDecay and engineDecay are the factors applied to the weight of a prompt with each later
 	// one: about the last 100 prompts of all engines count, and about the last 7 of one engine, so
@@ -49,26 +49,26 @@
 func (p *PrefillTime) HasSamples() bool { return p.pool.weight > 0 }
 
 // ObserveAtLeast adds a prefill that was abandoned after the given time. The engine takes longer
-// than that; how much longer is learned from later prefills.
+// than that time; how much longer is learned from later prefills.
 func (p *PrefillTime) ObserveAtLeast(engine string, tokens int, waited time.Duration) {
-	guess := timeoutFactor * waited
-	if tokens <= 0 || waited <= 0 || p.Duration(engine, tokens) >= guess {
+	assumed := timeoutFactor * waited
+	if tokens <= 0 || waited <= 0 || p.Duration(engine, tokens) >= assumed {
 		return
 	}
-	// This does not affect the estimate for other engines.
-	p.engine(engine).observe(float64(tokens), guess.Seconds(), engineDecay)
+	// The sample does not affect the estimate for other engines.
+	p.engine(engine).observe(float64(tokens), assumed.Seconds(), engineDecay)
 }
 
 // Duration returns the expected time of a prefill on an engine.
 func (p *PrefillTime) Duration(engine string, tokens int) time.Duration {
-	known := p.engines[engine]
-	if known == nil {
-		known = &p.pool
+	samples := p.engines[engine]
+	if samples == nil {
+		samples = &p.pool
 	}
-	if known.weight == 0 {
+	if samples.weight == 0 {
 		return seconds(float64(tokens) / initialPrefillRate)
 	}
-	fixed, slope := known.fit()
+	fixed, slope := samples.fit()
 	return seconds(fixed + slope*float64(tokens))
 }
 
@@ -88,17 +88,17 @@
 // prior returns the initial line of an engine: the pooled line, sampled at half and at twice the
 // mean prompt size. Its weight decays as the engine's own prefills are observed.
 func (p *PrefillTime) prior() *line {
-	known := &line{}
+	initial := &line{}
 	if p.pool.weight == 0 {
-		return known
+		return initial
 	}
 	weight := priorWeight * p.pool.weight / (p.pool.weight + 1)
 	mean := p.pool.sumX / p.pool.weight
 	fixed, slope := p.pool.fit()
 	for _, tokens := range []float64{mean / 2, 2 * mean} {
-		known.add(tokens, fixed+slope*tokens, weight/2)
+		initial.add(tokens, fixed+slope*tokens, weight/2)
 	}
-	return known
+	return initial
 }
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
--- a/estimate/prefill_test.go
+++ b/estimate/prefill_test.go
@@ -36,7 +36,8 @@
 	})
 }
 
-// TestSlowEngineIsLearnedAndRecovers has one of three engines become slow and recover.
+// TestSlowEngineIsLearnedAndRecovers has one of three engines become slow and recover. Its estimate
+// must follow, and those of the others must not.
 func TestSlowEngineIsLearnedAndRecovers(t *testing.T) {
 	g := NewWithT(t)
 	const usual = 100 * time.Millisecond
