--- a/roles/controller.go
+++ b/roles/controller.go
@@ -41,8 +41,8 @@
 type EngineClient interface {
 	// Report requests an engine's report about its orders.
 	Report(ctx context.Context, target backend.Backend) (EngineReport, error)
-	// ChangeRole sends an order. ErrOrderRefused means that it is not carried out; after any other
-	// error it may still be, seconds later.
+	// ChangeRole sends an order. ErrOrderRejected means that the order is not carried out; after
+	// any other error it may still be carried out, seconds later.
 	ChangeRole(ctx context.Context, target backend.Backend, order Order) error
 }
 
@@ -67,14 +67,15 @@
 	// FirstStabilization is how long a change must be needed before the first order of this node.
 	// Default 2s.
 	FirstStabilization time.Duration
-	// Stabilization is the same for later orders. It is longer than the restart of an engine.
-	// Default 6s.
+	// Stabilization is how long a change must be needed before a later order. It is longer than the
+	// restart of an engine. Default 6s.
 	Stabilization time.Duration
-	// UrgentStabilization is the same if one role has far too few engines. Default 1s.
+	// UrgentStabilization is how long a change must be needed if one role has far too few engines.
+	// Default 1s.
 	UrgentStabilization time.Duration
 	// Announce notifies all nodes of an order that is about to be sent.
 	Announce func(change Change, fencingToken uint64)
-	// Withdraw notifies them that the announced order is not sent.
+	// Withdraw notifies all nodes that an announced order is not sent.
 	Withdraw func(change Change, fencingToken uint64)
 	// NoticePeriod is the time between the announcement and the order, in which runs whose prefill
 	// is in progress still reach the engine. Default 700ms.
@@ -184,7 +185,8 @@
 	if !c.due(service, planned) {
 		return
 	}
-	// Changes that are still needed after these must be needed for the whole time again.
+	// Changes that are still needed after these must be needed for the whole stabilization time
+	// again.
 	c.desired[service] = desiredChange{planned[0].Role, c.options.Now()}
 	if err := c.order(ctx, planned); err != nil {
 		c.options.Logger.Warn("role change failed", "service", service, "engines", len(planned),
@@ -240,13 +242,13 @@
 		delete(c.desired, service)
 		return false
 	}
-	known, seen := c.desired[service]
-	if !seen || known.role != planned[0].Role {
+	previous, found := c.desired[service]
+	if !found || previous.role != planned[0].Role {
 		// The choice of engines may differ between two plans; only the role counts.
 		c.desired[service] = desiredChange{planned[0].Role, c.options.Now()}
 		return false
 	}
-	return c.options.Now().Sub(known.since) >= c.stabilization(planned[0])
+	return c.options.Now().Sub(previous.since) >= c.stabilization(planned[0])
 }
 
 // stabilization returns how long a change must be needed before it is ordered.
--- a/roles/controller_test.go
+++ b/roles/controller_test.go
@@ -21,7 +21,7 @@
 // what the new role needs.
 const changeTime = 8 * time.Second
 
-// fleet simulates the engines of a service, which carry out orders.
+// fleet simulates the engines of a service, which carry out all orders.
 type fleet struct {
 	backends *backend.Registry
 
@@ -39,13 +39,13 @@
 		if i < engines/3 {
 			role = backend.RolePrefill
 		}
-		created.backends.Update(described(fmt.Sprintf("e%03d", i), role))
+		created.backends.Update(newBackend(fmt.Sprintf("e%03d", i), role))
 	}
 	created.backends.SetSynced()
 	return created
 }
 
-func described(id string, role backend.Role) backend.Backend {
+func newBackend(id string, role backend.Role) backend.Backend {
 	return backend.Backend{ID: id, Service: "s", State: backend.StateReady, Role: role, Slots: 24}
 }
 
@@ -67,7 +67,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		delete(f.changing, target.ID)
-		f.backends.Update(described(target.ID, order.Role))
+		f.backends.Update(newBackend(target.ID, order.Role))
 	})
 	return nil
 }
--- a/roles/order.go
+++ b/roles/order.go
@@ -63,8 +63,8 @@
 	return err
 }
 
-// prepare requests the reports of all engines that are to change at once, and returns the changes
-// that can be ordered. The error is that of any engine that did not answer.
+// prepare requests the reports of all engines that are to change, and returns the changes that can
+// be ordered. The error is that of the first engine that did not answer.
 func (c *Controller) prepare(ctx context.Context, planned []Change) ([]prepared, error) {
 	ready := make([]*prepared, len(planned))
 	failures := make([]error, len(planned))
@@ -72,16 +72,16 @@
 		ready[i], failures[i] = c.prepareOne(ctx, change)
 	})
 	var orderable []prepared
-	for _, one := range ready {
-		if one != nil {
-			orderable = append(orderable, *one)
+	for _, result := range ready {
+		if result != nil {
+			orderable = append(orderable, *result)
 		}
 	}
 	return orderable, firstError(failures)
 }
 
-// prepareOne is prepare for one engine; the result is nil for an engine that was removed, is
-// changing already or has the new role.
+// prepareOne is prepare for one engine. The result is nil for an engine that was removed, is
+// already changing or has the new role.
 func (c *Controller) prepareOne(ctx context.Context, change Change) (*prepared, error) {
 	entry := c.options.Backends.Lookup(change.Engine)
 	if entry == nil {
@@ -104,12 +104,12 @@
 // send sends all orders concurrently. It reports whether each got a definite response.
 func (c *Controller) send(ctx context.Context, ready []prepared, fencingToken uint64) (definite bool, err error) {
 	failures := make([]error, len(ready))
-	forEach(ready, func(i int, one prepared) {
-		failures[i] = c.options.EngineClient.ChangeRole(ctx, one.target, Order{
-			Role: one.change.Role, Holder: c.options.Holder, FencingToken: fencingToken, Expected: one.sequence,
+	forEach(ready, func(i int, item prepared) {
+		failures[i] = c.options.EngineClient.ChangeRole(ctx, item.target, Order{
+			Role: item.change.Role, Holder: c.options.Holder, FencingToken: fencingToken, Expected: item.sequence,
 		})
-		c.options.Logger.Info("role ordered", "engine", one.change.Engine, "role", string(one.change.Role),
-			"fence", fencingToken, "expected", one.sequence, "error", logging.ErrorText(failures[i]))
+		c.options.Logger.Info("role ordered", "engine", item.change.Engine, "role", string(item.change.Role),
+			"fence", fencingToken, "expected", item.sequence, "error", logging.ErrorText(failures[i]))
 	})
 	for _, failure := range failures {
 		if failure != nil && !errors.Is(failure, ErrOrderRejected) {
@@ -148,8 +148,8 @@
 
 // withdraw withdraws announced changes whose orders were not sent.
 func (c *Controller) withdraw(ready []prepared, fencingToken uint64) {
-	for _, one := range ready {
-		c.ClearChanging(one.change.Engine)
-		c.options.Withdraw(one.change, fencingToken)
+	for _, item := range ready {
+		c.ClearChanging(item.change.Engine)
+		c.options.Withdraw(item.change, fencingToken)
 	}
 }
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -46,14 +46,14 @@
 type Policy struct {
 	// PrefillShare is the share of prefill engines while the demand is unknown. Default 0.33.
 	PrefillShare float64
-	// Hysteresis is by how much the load of the busier role must exceed that of the best allocation
-	// before an engine changes, as a share of the latter and for a single engine: a change makes the
-	// engine unavailable for several seconds. For n engines it is divided by n to the power of 1.5:
-	// one engine is an n-th of them, and the relative standard deviation of the demand on n engines
-	// falls with the root of n. Default 13.5, which is a half for nine engines, a seventeenth for 38
-	// and a sixtieth for ninety.
+	// Hysteresis is the share by which the load of the busier role must exceed its load in the best
+	// allocation before an engine changes, because a change makes the engine unavailable for
+	// several seconds. The value is for a single engine. For n engines it is divided by n to the
+	// power of 1.5: one engine is an n-th of them, and the relative standard deviation of the
+	// demand on n engines falls with the root of n. Default 13.5, which is a half for nine engines,
+	// a seventeenth for 38 and a sixtieth for ninety.
 	Hysteresis float64
-	// UrgentLoad is the ratio of the load to that of the best allocation from which a change is
+	// UrgentLoad is the ratio of the load to the load in the best allocation from which a change is
 	// urgent. Default 1.8.
 	UrgentLoad float64
 }
@@ -84,16 +84,17 @@
 	hysteresisExponent = 1.5
 	// minEngines is the smallest number of engines that can be allocated to both roles.
 	minEngines = 2
-	// shareTolerance is how far the share of prefill engines may be off while the demand is
-	// unknown, if that is lightLoadEngines or more: the initial share is not more accurate than
-	// that, and in a fleet of thousands the tolerance saves hundreds of orders, each of which makes
-	// an engine unavailable for seconds. In smaller fleets every engine in the wrong role is needed
-	// in the first burst, and would change roles in the middle of it.
+	// shareTolerance is how far the share of prefill engines may deviate from PrefillShare while
+	// the demand is unknown, if that is lightLoadEngines engines or more: PrefillShare is not more
+	// accurate than that, and in a fleet of thousands the tolerance saves hundreds of orders, each
+	// of which makes an engine unavailable for seconds. In smaller fleets every engine in the wrong
+	// role is needed in the first burst, and would change roles in the middle of it.
 	shareTolerance = 0.03
 	// A role is lightly loaded if at most lightLoad of it is busy and at least lightLoadEngines are
-	// free: another allocation would serve none of its requests sooner. The best allocation has
-	// both roles equally busy, however low the load, and the more engines there are, the smaller
-	// the deviation that exceeds the hysteresis.
+	// free: another allocation would serve none of its requests sooner. Without this exception, a
+	// large fleet would change roles without need: the best allocation has both roles equally busy,
+	// however low the load, and the more engines there are, the smaller the deviation that exceeds
+	// the hysteresis.
 	lightLoad        = 0.5
 	lightLoadEngines = 64
 )
@@ -102,8 +103,8 @@
 // enough. Each role keeps at least one engine.
 //
 // If the demand were certain, all surplus engines of a role could change at once, because the best
-// allocation has fewer of them anyway. It is an estimate, so only a part of a role changes at once,
-// and the next changes follow the demand measured then.
+// allocation has fewer of them anyway. The demand is an estimate, so only a part of the engines of
+// a role changes at once, and the next changes follow the demand that is measured then.
 func (p Policy) Plan(allocation Allocation) []Change {
 	total := allocation.total()
 	if total < minEngines {
@@ -170,16 +171,16 @@
 }
 
 // load returns the load of the busier role relative to its target, for a given number of prefill
-// engines among all.
+// engines among all engines.
 func (d Demand) load(prefill, total int) float64 {
 	return max(loadOf(d.Prefill, prefillCapacity(prefill)), loadOf(d.Decode, d.decodeTarget()*float64(total-prefill)))
 }
 
 // isLight reports whether both roles are lightly loaded, for a given number of prefill engines
-// among all.
+// among all engines.
 func (d Demand) isLight(prefill, total int) bool {
-	prefillEngines, decodeEngines := prefillCapacity(prefill), d.decodeTarget()*float64(total-prefill)
-	return isLightForRole(d.Prefill, prefillEngines) && isLightForRole(d.Decode, decodeEngines)
+	prefillLimit, decodeLimit := prefillCapacity(prefill), d.decodeTarget()*float64(total-prefill)
+	return isLightForRole(d.Prefill, prefillLimit) && isLightForRole(d.Decode, decodeLimit)
 }
 
 func isLightForRole(demand, capacity float64) bool {
--- a/roles/plan_test.go
+++ b/roles/plan_test.go
@@ -57,7 +57,8 @@
 	g.Expect(roles.Policy{}.Plan(allocation)).To(BeEmpty())
 }
 
-// TestPlanFollowsDemand plans nine engines for different demands.
+// TestPlanFollowsDemand plans nine engines, of which three have the prefill role, for different
+// demands.
 func TestPlanFollowsDemand(t *testing.T) {
 	three := []string{"a", "b", "c"}
 	six := []string{"d", "e", "f", "g", "h", "i"}
@@ -95,7 +96,7 @@
 		demand := &roles.Demand{Prefill: rapid.Float64Range(0, 50).Draw(t, "prefill"), Decode: rapid.Float64Range(0, 50).Draw(t, "decode")}
 		engines := rapid.IntRange(0, 40).Draw(t, "engines")
 		prefill := rapid.IntRange(0, engines).Draw(t, "of them prefill")
-		first := prefill
+		initialPrefill := prefill
 		for steps := 0; ; steps++ {
 			allocation := roles.Allocation{Demand: demand}
 			for i := range engines {
@@ -115,7 +116,7 @@
 				prefill -= len(planned)
 			}
 			if steps > 40 {
-				t.Fatalf("does not end, started with %d of %d", first, engines)
+				t.Fatalf("plan does not end, started with %d prefill engines of %d", initialPrefill, engines)
 			}
 			if prefill <= 0 || prefill >= engines {
 				t.Fatal("a role has no engines left")
