--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// BenchmarkGrantAmongTenants measures the path of a request through the queue for different numbers
-// of waiting tenants.
+// BenchmarkGrantAmongTenants queues, grants and finishes a request, for different numbers of
+// tenants with waiting requests.
 func BenchmarkGrantAmongTenants(b *testing.B) {
 	for _, tenants := range []int{10, 100, 1000, 13000} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
--- a/scheduler/decide.go
+++ b/scheduler/decide.go
@@ -114,7 +114,7 @@
 
 // DecideDecode picks the decode engine for a request whose prefill has ended: among the engines
 // with a free slot, enough memory and a step time within the target, the one with the smallest
-// share of slots and memory in use. It returns "" if there is none.
+// share of slots and memory in use. It returns "" if there is no such engine.
 func DecideDecode(snapshot *Snapshot, request *Request, options Options) string {
 	options.setDefaults()
 	best, bestShare := "", 0.0
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -12,8 +12,8 @@
 // Demand returns the work requested from the pool so far.
 func (p *Pool) Demand() Demand { return p.demand }
 
-// countDemand adds the work of a request, of which some tokens are cached. It assumes that the
-// engines of a pool are alike.
+// countDemand adds the work of a request, of whose prompt the given number of tokens is cached. It
+// assumes that all engines of a role are alike.
 func (p *Pool) countDemand(request *Request, cached int) {
 	if len(p.prefill) > 0 && p.prefill[0].TokensPerSecond > 0 {
 		p.demand.Prefill += float64(request.PromptTokens-cached) / p.prefill[0].TokensPerSecond
--- a/scheduler/filter.go
+++ b/scheduler/filter.go
@@ -47,8 +47,8 @@
 // requestKV is the KV memory that a request needs at its decode engine.
 func requestKV(request *Request) int { return request.PromptTokens + request.MaxTokens }
 
-// batchLimit is the number of slots of an engine that keeps the step time within the target, for
-// its current context.
+// batchLimit is the largest batch of an engine that keeps the step time within the target, for the
+// context tokens that are in use now.
 func batchLimit(engine *DecodeState, interval time.Duration, options *Options) int {
 	if options.NoBatchLimit || interval <= 0 || engine.Step.PerRequest <= 0 {
 		return engine.Slots
@@ -68,9 +68,9 @@
 	return false
 }
 
-// freeSlots counts the decode slots that are open to the request at a time: those free now and, if
-// ahead is set, a share of those that are expected to become free by then. The share is below one,
-// because a request that finds no slot waits while its prefill result ages.
+// freeSlots counts the decode slots that are open to the request at a given time: those free now
+// and, if ahead is set, a share of those that are expected to become free by then. The share is
+// below one, because a request that finds no slot has to wait, and its prefill result may expire.
 func freeSlots(snapshot *Snapshot, request *Request, options *Options, at time.Duration, ahead bool) int {
 	free, ending := 0, 0.0
 	for i := range snapshot.Decode {
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -25,16 +25,19 @@
 	phase   phase
 	prefill string
 	decode  string
-	cached  int
-	// completionRate is its share of the completion rate of its decode engine.
+	// cached is the number of prompt tokens that are expected to be cached.
+	cached int
+	// completionRate is its part of the completion rate of its decode engine.
 	completionRate float64
-	charged        float64
+	// charged is the cost that the tenant was charged with at the grant.
+	charged float64
 }
 
 // Pool tracks the engines, queues and grants of one pool. It is not safe for concurrent use; its
 // owner serializes the calls. Each call that changes something must be followed by Schedule.
 type Pool struct {
-	options  Options
+	options Options
+	// linkRate is the rate of a KV transfer in tokens per second.
 	linkRate float64
 
 	prefill []PrefillState
@@ -148,8 +151,8 @@
 // Active returns the number of granted requests.
 func (p *Pool) Active() int { return len(p.active) }
 
-// Submit queues a request, or rejects it at once if the work ahead of it makes its deadline
-// unreachable.
+// Submit queues a request and returns nil. If the request cannot be served, or the work ahead of it
+// makes its deadline unreachable, Submit returns the rejection.
 func (p *Pool) Submit(now time.Duration, request *Request) *Decision {
 	snapshot := p.Snapshot(now)
 	snapshot.Ahead = p.ahead(request)
@@ -179,14 +182,14 @@
 func (p *Pool) ahead(request *Request) Backlog {
 	prefillOnly, withDecode := p.prefillOnly.ahead(request.Tenant, 0), p.withDecode.ahead(request.Tenant, 0)
 	if request.IsPrefillOnly() {
-		// Requests that wait for a decode slot do not use the prefill engines meanwhile.
+		// Requests that wait for a decode slot do not occupy the prefill engines.
 		return prefillOnly
 	}
 	return Backlog{Requests: prefillOnly.Requests + withDecode.Requests, PrefillTokens: prefillOnly.PrefillTokens + withDecode.PrefillTokens}
 }
 
-// idlePrefill returns the prefill engines as if they were idle, so that work in progress, which the
-// prediction includes already, is not counted twice.
+// idlePrefill returns the prefill engines as if they were idle, so that the work in progress, which
+// Decision.FirstToken includes already, is not counted twice.
 func (p *Pool) idlePrefill() []PrefillState {
 	idle := slices.Clone(p.prefill)
 	for i := range idle {
@@ -359,7 +362,7 @@
 	}
 }
 
-// Withdraw removes a request from the queue. It reports whether it was there.
+// Withdraw removes a request from the queue. It reports whether the request was queued.
 func (p *Pool) Withdraw(request *Request) bool { return p.queueOf(request).remove(request) }
 
 // Restore adds a request that another owner has granted.
--- a/scheduler/prefix.go
+++ b/scheduler/prefix.go
@@ -14,25 +14,25 @@
 
 // blockSet holds the newest blocks of one engine; order lists them from oldest to newest.
 type blockSet struct {
-	held  map[uint64]struct{}
-	order []uint64
+	blocks map[uint64]struct{}
+	order  []uint64
 }
 
 // NewPrefixIndex returns an empty index.
 func NewPrefixIndex() *PrefixIndex { return &PrefixIndex{engines: map[string]*blockSet{}} }
 
-// Store records that an engine holds blocks.
+// Store records that an engine has cached blocks.
 func (x *PrefixIndex) Store(engine string, blocks []uint64) {
 	set, ok := x.engines[engine]
 	if !ok {
-		set = &blockSet{held: map[uint64]struct{}{}}
+		set = &blockSet{blocks: map[uint64]struct{}{}}
 		x.engines[engine] = set
 	}
 	for _, block := range blocks {
-		if _, known := set.held[block]; known {
+		if _, known := set.blocks[block]; known {
 			continue
 		}
-		set.held[block] = struct{}{}
+		set.blocks[block] = struct{}{}
 		set.order = append(set.order, block)
 	}
 	set.trim()
@@ -44,7 +44,7 @@
 	}
 	excess := len(s.order) - maxIndexBlocks
 	for _, block := range s.order[:excess] {
-		delete(s.held, block)
+		delete(s.blocks, block)
 	}
 	s.order = append([]uint64(nil), s.order[excess:]...)
 }
@@ -52,7 +52,7 @@
 // Evict records that an engine has dropped a block.
 func (x *PrefixIndex) Evict(engine string, block uint64) {
 	if set, ok := x.engines[engine]; ok {
-		delete(set.held, block)
+		delete(set.blocks, block)
 	}
 }
 
@@ -69,7 +69,7 @@
 		return 0
 	}
 	for i, block := range blocks {
-		if _, held := set.held[block]; !held {
+		if _, cached := set.blocks[block]; !cached {
 			return i * BlockTokens
 		}
 	}
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -40,7 +40,8 @@
 	return prefills, decodes
 }
 
-// checkAccounting compares a pool's accounting with its active requests.
+// checkAccounting compares a pool's accounting with its active requests, and both with the capacity
+// of its engines.
 func checkAccounting(t *rapid.T, pool *Pool) {
 	for i := range pool.decode {
 		state := &pool.decode[i]
@@ -63,20 +64,21 @@
 	}
 }
 
-// TestNeverGrantsBeyondCapacity runs random operations on a pool.
+// TestNeverGrantsBeyondCapacity runs random operations on a pool, and checks its accounting and the
+// capacity of its engines after each.
 func TestNeverGrantsBeyondCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := NewPool(drawOptions(t), 200000)
 		pool.SetEngines(testEngines(rapid.IntRange(0, 3).Draw(t, "prefills"), rapid.IntRange(0, 3).Draw(t, "decodes")))
 		now := time.Duration(0)
-		known := []string{}
+		submitted := []string{}
 		for number := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "advance")) * time.Millisecond
-			pick := func() string { return known[rapid.IntRange(0, len(known)-1).Draw(t, "pick")] }
+			pick := func() string { return submitted[rapid.IntRange(0, len(submitted)-1).Draw(t, "pick")] }
 			switch action := rapid.IntRange(0, 5).Draw(t, "action"); {
-			case action <= 1 || len(known) == 0:
+			case action <= 1 || len(submitted) == 0:
 				request := drawRequest(t, number, now)
-				known = append(known, request.ID)
+				submitted = append(submitted, request.ID)
 				pool.Submit(now, request)
 			case action == 2:
 				pool.PrefillDone(now, pick())
@@ -122,8 +124,8 @@
 	})
 }
 
-// TestNoTenantStarves has one tenant flood the pool; another tenant's request must be granted after
-// a bounded amount of the flood's work.
+// TestNoTenantStarves has one tenant flood the pool. Another tenant's request must be granted after
+// a bounded number of the flood's requests.
 func TestNoTenantStarves(t *testing.T) {
 	for _, ordering := range []Ordering{OrderDeficit, OrderVTC} {
 		rapid.Check(t, func(t *rapid.T) {
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -13,7 +13,8 @@
 	requests []*Request
 	// keys are the sort keys of the requests.
 	keys []time.Duration
-	// credit is the deficit counter; counter is the service received.
+	// credit is the deficit counter of OrderDeficit, in cost units, and counter the service counter
+	// of OrderVTC, in cost units divided by the weight.
 	credit  float64
 	counter float64
 	// position is the index in the heap, or -1.
@@ -145,8 +146,8 @@
 	q.updateHeap(tenant)
 }
 
-// raiseCounter raises the counter of a tenant that was idle, so that it cannot use its idle time as
-// credit.
+// raiseCounter raises the counter of a tenant that was idle to the lowest one of the waiting
+// tenants, so that the tenant cannot use its idle time as credit.
 func (q *fairQueue) raiseCounter(tenant *tenantQueue) {
 	if q.ordering != OrderVTC || q.order.Len() == 0 {
 		return
@@ -252,7 +253,7 @@
 }
 
 // ahead predicts the work that is granted before a new request of the tenant: the tenant's own
-// waiting requests and, for each other tenant, up to as many tokens.
+// waiting requests and, for each other tenant, up to the same number of tokens.
 func (q *fairQueue) ahead(name string, tokens int) Backlog {
 	own := tokens
 	var backlog Backlog
--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -12,7 +12,8 @@
 	Arrival      time.Duration
 	PromptTokens int
 	MaxTokens    int
-	// FirstToken and TokenInterval are the class's targets.
+	// FirstToken is the target of the request's class for the time from the arrival to the first
+	// token, and TokenInterval that for the time between tokens.
 	FirstToken    time.Duration
 	TokenInterval time.Duration
 	// LateAllowed admits the request even if its first token will be late.
@@ -70,7 +71,7 @@
 type DecodeState struct {
 	Name  string
 	Ready bool
-	// Slots and KVTokens are its limits.
+	// Slots is the limit on its concurrent requests, and KVTokens that on its KV memory in tokens.
 	Slots    int
 	KVTokens int
 	Step     StepModel
@@ -81,7 +82,7 @@
 	CompletionRate float64
 }
 
-// Backlog is the work that will be granted before a request.
+// Backlog is the amount of work that will be granted before a request.
 type Backlog struct {
 	Requests      int
 	PrefillTokens int
