--- a/router/capabilities.go
+++ b/router/capabilities.go
@@ -31,8 +31,8 @@
 
 var knownCapabilities = [...]capability{capabilityServices, capabilityQuotas, capabilityQuarantines, capabilityRetryShares}
 
-// unlistedCapabilities returns the capabilities of builds that do not list theirs: those of the last such
-// build.
+// unlistedCapabilities returns the capabilities of builds that do not list theirs: those of the last build
+// without a list.
 func unlistedCapabilities() []capability {
 	return []capability{capabilityServices, capabilityQuotas, capabilityQuarantines}
 }
--- a/router/fleetview.go
+++ b/router/fleetview.go
@@ -15,8 +15,7 @@
 const relaysPerZone = 4
 
 // fleetView is what this node knows of the fleet at one moment. It is read-only, and computed once for
-// many decisions: otherwise each decision would look at all nodes, of which a fleet may have a
-// thousand.
+// many decisions: otherwise each decision would iterate over all nodes, and a fleet may have a thousand.
 type fleetView struct {
 	// others are the other known nodes, and addresses their addresses.
 	others    []knownNode
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -16,11 +16,11 @@
 
 // revisionKnown returns the newest revision of a configuration in the replica.
 func (r *Router) revisionKnown() int64 {
-	known := int64(0)
+	newest := int64(0)
 	for _, object := range r.replica.Live(r.options.Environment.ConfigurationKind) {
-		known = max(known, object.Version)
+		newest = max(newest, object.Version)
 	}
-	return known
+	return newest
 }
 
 // publishFreshness registers the gauges of the configuration's age.
--- a/router/registration.go
+++ b/router/registration.go
@@ -168,7 +168,7 @@
 	version := r.replica.Version(replica.Key{Kind: kindNode, Name: name})
 	written, err := store.Put(ctx, objectapi.Object{Kind: kindNode, Name: name, Version: version, Spec: spec})
 	if errors.Is(err, objectapi.ErrConflict) || errors.Is(err, objectapi.ErrNotFound) {
-		written, err = r.registerAnew(ctx, spec)
+		written, err = r.registerWithStoredVersion(ctx, spec)
 	}
 	if err == nil {
 		r.replica.Apply(replica.SourceStore, replica.Record{Object: written})
@@ -176,8 +176,8 @@
 	return err
 }
 
-// registerAnew replaces the object that the store has, if any.
-func (r *Router) registerAnew(ctx context.Context, spec json.RawMessage) (objectapi.Object, error) {
+// registerWithStoredVersion replaces the object that the store has, if any.
+func (r *Router) registerWithStoredVersion(ctx context.Context, spec json.RawMessage) (objectapi.Object, error) {
 	store, name := r.options.Environment.Store, r.options.Settings.Name
 	stored, err := store.Get(ctx, kindNode, name)
 	if err != nil && !errors.Is(err, objectapi.ErrNotFound) {
