--- a/antientropy/chunkindex.go
+++ b/antientropy/chunkindex.go
@@ -30,9 +30,9 @@
 func (x *chunkIndex) manifest(record replica.Record) chunk.Manifest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	known, found := x.objects[record.Key()]
-	if found && known.version == record.Object.Version {
-		return known.manifest
+	indexed, found := x.objects[record.Key()]
+	if found && indexed.version == record.Object.Version {
+		return indexed.manifest
 	}
 	manifest := chunk.Split(record.Object.Spec)
 	x.put(record, manifest)
--- a/antientropy/contact.go
+++ b/antientropy/contact.go
@@ -32,11 +32,11 @@
 func (s *Syncer) UnresponsiveFor(address string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	current, unresponsive := s.unresponsive[address]
+	state, unresponsive := s.unresponsive[address]
 	if !unresponsive {
 		return 0
 	}
-	return time.Since(current.since)
+	return time.Since(state.since)
 }
 
 // ReportFailure records that a node did not answer a call. The node counts as unresponsive once a comparison
@@ -65,14 +65,14 @@
 // the lock.
 func (s *Syncer) markUnresponsive(address string, err error) {
 	now := time.Now()
-	current, known := s.unresponsive[address]
-	if !known {
-		current.since = now
+	state, wasUnresponsive := s.unresponsive[address]
+	if !wasUnresponsive {
+		state.since = now
 		s.responsivenessChanges.Add(1)
 		s.options.Logger.Warn("node lost", "address", address, "error", err.Error())
 	}
-	current.until = now.Add(s.options.UnresponsiveBackoff)
-	s.unresponsive[address] = current
+	state.until = now.Add(s.options.UnresponsiveBackoff)
+	s.unresponsive[address] = state
 	s.options.Client.Reset(address)
 }
 
--- a/antientropy/exchange.go
+++ b/antientropy/exchange.go
@@ -175,11 +175,11 @@
 	}
 	result := exchangeResult{truncated: received.GetTruncated()}
 	result.applied, result.offered = s.applyReceived(objects, address)
-	wanted := s.options.Replica.Records(keysOf(received.GetWanted()))
-	if len(wanted) == 0 {
+	requested := s.options.Replica.Records(keysOf(received.GetWanted()))
+	if len(requested) == 0 {
 		return result, nil
 	}
-	sent, _ := s.storedObjects(wanted, maxExchangedBytes)
+	sent, _ := s.storedObjects(requested, maxExchangedBytes)
 	_, err = s.callExchange(ctx, address, &peerpb.ExchangeObjects{Objects: sent, Address: s.options.Address})
 	return result, errors.Wrap(err, "send objects")
 }
--- a/antientropy/partners.go
+++ b/antientropy/partners.go
@@ -87,11 +87,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, address := range addresses {
-		known, isUnresponsive := s.unresponsive[address]
+		state, isUnresponsive := s.unresponsive[address]
 		switch {
 		case !isUnresponsive:
 			responsive = append(responsive, address)
-		case !now.Before(known.until):
+		case !now.Before(state.until):
 			unresponsive = append(unresponsive, address)
 		}
 	}
--- a/antientropy/syncer.go
+++ b/antientropy/syncer.go
@@ -45,8 +45,8 @@
 	// Monitored returns the addresses of nodes that are compared with in addition to the partners, whatever
 	// their zone: those that watch the store, or all nodes if this node removes lost ones. Default: none.
 	Monitored func() []string
-	// SameZone reports whether a node is in this node's zone. Updates are pushed to such nodes. Default: all
-	// are.
+	// SameZone reports whether a node is in this node's zone. Updates are pushed to nodes of the zone. Default:
+	// all nodes are in it.
 	SameZone func(address string) bool
 	// RemoteRelays returns zone relays of other zones, to which updates from the store are pushed too. Default:
 	// none.
--- a/antientropy/transfer.go
+++ b/antientropy/transfer.go
@@ -59,8 +59,8 @@
 
 // addSource adds another node that has chunks.
 func (t *transfer) addSource(address string) {
-	known := func(s *source) bool { return s.address == address }
-	if address != "" && !slices.ContainsFunc(t.sources, known) {
+	hasAddress := func(s *source) bool { return s.address == address }
+	if address != "" && !slices.ContainsFunc(t.sources, hasAddress) {
 		t.sources = append(t.sources, &source{address: address})
 	}
 }
@@ -72,9 +72,9 @@
 
 // pauseSource suspends requests to a node until the given time.
 func (t *transfer) pauseSource(address string, until time.Time) {
-	for _, known := range t.sources {
-		if known.address == address {
-			known.notBefore = until
+	for _, candidate := range t.sources {
+		if candidate.address == address {
+			candidate.notBefore = until
 		}
 	}
 }
