--- a/chunk/chunk.go
+++ b/chunk/chunk.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// MaxBytes bounds one chunk. Such a chunk takes 26 ms on a link of 10 Mbit/s, the slowest that
-	// is supported, while nodes wait 300 ms for each other's responses.
+	// MaxBytes bounds one chunk. A chunk of this size takes 26 ms on a link of 10 Mbit/s, the slowest
+	// that is supported, while nodes wait 300 ms for each other's responses.
 	MaxBytes = 32 << 10
 	// minBytes keeps the size of chunk IDs small in proportion to the chunks.
 	minBytes = 4 << 10
