--- a/membership/own_zone.go
+++ b/membership/own_zone.go
@@ -14,8 +14,8 @@
 	digest  uint64
 	// isRepresentative reports whether the node is a representative of the zone.
 	isRepresentative bool
-	// from and until bound the validity of the view: at until the member with the
-	// oldest heartbeat expires unless it sends another one.
+	// from and until bound the validity of the view: the member with the oldest
+	// heartbeat expires at the time until, unless it sends another one.
 	from, until time.Time
 }
 
@@ -32,12 +32,12 @@
 
 func (t *Table) computeOwnZone(now time.Time) *ownZoneView {
 	view := &ownZoneView{members: []Member{t.self}, from: now, until: now.Add(t.options.FailureTimeout)}
-	for _, known := range t.contacts {
-		if known.member.Zone != t.self.Zone || !t.isLive(now, known) {
+	for _, node := range t.contacts {
+		if node.member.Zone != t.self.Zone || !t.isLive(now, node) {
 			continue
 		}
-		view.members = append(view.members, known.member)
-		if expiry := known.lastHeartbeat.Add(t.options.FailureTimeout); expiry.Before(view.until) {
+		view.members = append(view.members, node.member)
+		if expiry := node.lastHeartbeat.Add(t.options.FailureTimeout); expiry.Before(view.until) {
 			view.until = expiry
 		}
 	}
--- a/membership/table.go
+++ b/membership/table.go
@@ -107,8 +107,8 @@
 		return 0
 	}
 	t.invalidateOwnZone()
-	for _, known := range t.contacts {
-		known.lastHeartbeat = known.lastHeartbeat.Add(pause)
+	for _, node := range t.contacts {
+		node.lastHeartbeat = node.lastHeartbeat.Add(pause)
 	}
 	for _, view := range t.zones {
 		view.reportedAt = view.reportedAt.Add(pause)
@@ -124,19 +124,19 @@
 	if member.Name == "" || member.Name == t.self.Name {
 		return false
 	}
-	known, ok := t.contacts[member.Name]
+	node, ok := t.contacts[member.Name]
 	if !ok {
-		known = &contact{}
-		t.contacts[member.Name] = known
+		node = &contact{}
+		t.contacts[member.Name] = node
 	}
-	if member.Incarnation < known.member.Incarnation {
+	if member.Incarnation < node.member.Incarnation {
 		return false
 	}
-	if known.member != member || !t.isLive(now, known) {
+	if node.member != member || !t.isLive(now, node) {
 		t.invalidateOwnZone()
 	}
-	known.member = member
-	known.lastHeartbeat = now
+	node.member = member
+	node.lastHeartbeat = now
 	return true
 }
 
@@ -206,8 +206,8 @@
 	return live
 }
 
-func (t *Table) isLive(now time.Time, known *contact) bool {
-	return !known.lastHeartbeat.IsZero() && now.Sub(known.lastHeartbeat) <= t.options.FailureTimeout
+func (t *Table) isLive(now time.Time, node *contact) bool {
+	return !node.lastHeartbeat.IsZero() && now.Sub(node.lastHeartbeat) <= t.options.FailureTimeout
 }
 
 // ZoneMembers returns the live members of one zone, which the caller must not
@@ -266,8 +266,8 @@
 	if name == t.self.Name {
 		return t.self, true
 	}
-	if known, ok := t.contacts[name]; ok && t.isLive(now, known) {
-		return known.member, true
+	if node, ok := t.contacts[name]; ok && t.isLive(now, node) {
+		return node.member, true
 	}
 	for _, view := range t.zones {
 		if now.Sub(view.reportedAt) > t.options.ZoneTimeout {
@@ -324,13 +324,13 @@
 // given timeout for reports of other zones; mu must be held.
 func (t *Table) countReachable(now time.Time, zoneTimeout time.Duration) (reachable, known int) {
 	known, reachable = 1, 1
-	for _, candidate := range t.contacts {
-		recent := !candidate.lastHeartbeat.IsZero() && now.Sub(candidate.lastHeartbeat) <= t.options.ForgetTimeout
-		if candidate.member.Zone != t.self.Zone || !recent || candidate.member.State == StateDraining {
+	for _, node := range t.contacts {
+		recent := !node.lastHeartbeat.IsZero() && now.Sub(node.lastHeartbeat) <= t.options.ForgetTimeout
+		if node.member.Zone != t.self.Zone || !recent || node.member.State == StateDraining {
 			continue
 		}
 		known++
-		if t.isLive(now, candidate) {
+		if t.isLive(now, node) {
 			reachable++
 		}
 	}
@@ -351,12 +351,12 @@
 func (t *Table) HasLiveContact(now time.Time) (hasContact, everHad bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, known := range t.contacts {
-		if known.lastHeartbeat.IsZero() {
+	for _, node := range t.contacts {
+		if node.lastHeartbeat.IsZero() {
 			continue
 		}
 		everHad = true
-		if t.isLive(now, known) {
+		if t.isLive(now, node) {
 			return true, true
 		}
 	}
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -31,15 +31,15 @@
 	defer t.mu.Unlock()
 	remote := t.remoteTargets(now)
 	var targets []Target
-	for name, known := range t.contacts {
-		if t.forget(now, name, known) {
+	for name, node := range t.contacts {
+		if t.forget(now, name, node) {
 			continue
 		}
-		own := known.member.Zone == t.self.Zone
-		if (own || remote[name] || known.lastHeartbeat.IsZero()) && t.isDue(now, known) {
-			known.lastAttempt = now
+		own := node.member.Zone == t.self.Zone
+		if (own || remote[name] || node.lastHeartbeat.IsZero()) && t.isDue(now, node) {
+			node.lastAttempt = now
 			targets = append(targets, Target{
-				Name: name, Zone: known.member.Zone, Address: known.member.Address,
+				Name: name, Zone: node.member.Zone, Address: node.member.Address,
 			})
 		}
 	}
@@ -69,7 +69,7 @@
 }
 
 func (t *Table) ensureContact(members []Member, name string) {
-	known, exists := t.contacts[name]
+	node, exists := t.contacts[name]
 	for _, member := range members {
 		if member.Name != name {
 			continue
@@ -77,37 +77,37 @@
 		switch {
 		case !exists:
 			t.contacts[name] = &contact{member: Member{Name: name, Zone: member.Zone, Address: member.Address}}
-		case known.member.Address != member.Address && known.member.Incarnation < member.Incarnation:
-			known.member.Address = member.Address
+		case node.member.Address != member.Address && node.member.Incarnation < member.Incarnation:
+			node.member.Address = member.Address
 		}
 	}
 }
 
 func (t *Table) selectZone(zone string, selected map[string]bool) {
-	for name, known := range t.contacts {
-		if known.member.Zone == zone {
+	for name, node := range t.contacts {
+		if node.member.Zone == zone {
 			selected[name] = true
 		}
 	}
 }
 
-func (t *Table) isDue(now time.Time, known *contact) bool {
-	last := known.lastHeartbeat
-	if known.lastAttempt.After(last) {
-		last = known.lastAttempt
+func (t *Table) isDue(now time.Time, node *contact) bool {
+	last := node.lastHeartbeat
+	if node.lastAttempt.After(last) {
+		last = node.lastAttempt
 	}
 	wait := t.options.Interval - t.options.Interval/8
-	if !t.isLive(now, known) {
+	if !t.isLive(now, node) {
 		wait = retryIntervals * t.options.Interval
-	} else if t.self.Name > known.member.Name {
+	} else if t.self.Name > node.member.Name {
 		wait += t.options.Interval / 2
 	}
 	return now.Sub(last) >= wait
 }
 
 // forget removes a node without heartbeats for the forget timeout.
-func (t *Table) forget(now time.Time, name string, known *contact) bool {
-	if known.lastHeartbeat.IsZero() || now.Sub(known.lastHeartbeat) <= t.options.ForgetTimeout {
+func (t *Table) forget(now time.Time, name string, node *contact) bool {
+	if node.lastHeartbeat.IsZero() || now.Sub(node.lastHeartbeat) <= t.options.ForgetTimeout {
 		return false
 	}
 	delete(t.contacts, name)
@@ -121,9 +121,9 @@
 	defer t.mu.Unlock()
 	var targets []Target
 	for name := range t.remoteTargets(now) {
-		known, ok := t.contacts[name]
-		if ok && t.isLive(now, known) {
-			targets = append(targets, Target{Name: name, Zone: known.member.Zone, Address: known.member.Address})
+		node, ok := t.contacts[name]
+		if ok && t.isLive(now, node) {
+			targets = append(targets, Target{Name: name, Zone: node.member.Zone, Address: node.member.Address})
 		}
 	}
 	return targets
@@ -133,8 +133,8 @@
 func (t *Table) HasLiveAddress(now time.Time, address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, known := range t.contacts {
-		if known.member.Address == address && t.isLive(now, known) {
+	for _, node := range t.contacts {
+		if node.member.Address == address && t.isLive(now, node) {
 			return true
 		}
 	}
@@ -175,9 +175,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	selected := t.representativeMembers(t.self.Zone, t.ownZone(now).members)
-	for _, known := range t.contacts {
-		if known.member.Zone == contactZone && contactZone != t.self.Zone && t.isLive(now, known) {
-			selected = append(selected, known.member)
+	for _, node := range t.contacts {
+		if node.member.Zone == contactZone && contactZone != t.self.Zone && t.isLive(now, node) {
+			selected = append(selected, node.member)
 		}
 	}
 	for zone, view := range t.zones {
