--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -22,13 +22,13 @@
 // use.
 type Cluster struct {
 	table  *membership.Table
-	client membership.Caller
+	client membership.PeerCaller
 	local  peer.Handler
 	now    func() time.Time
 }
 
 // New returns a cluster that handles calls to the node itself with local.
-func New(table *membership.Table, client membership.Caller, local peer.Handler, now func() time.Time) *Cluster {
+func New(table *membership.Table, client membership.PeerCaller, local peer.Handler, now func() time.Time) *Cluster {
 	return &Cluster{table: table, client: client, local: local, now: now}
 }
 
--- a/membership/service.go
+++ b/membership/service.go
@@ -8,8 +8,8 @@
 	"github.com/reelrun/reelrun/tasks"
 )
 
-// Caller calls another node.
-type Caller interface {
+// PeerCaller calls another node.
+type PeerCaller interface {
 	Call(ctx context.Context, address string, request *peerpb.Request) (*peerpb.Response, error)
 	Reset(address string)
 }
@@ -24,7 +24,7 @@
 // Service exchanges heartbeats with other nodes.
 type Service struct {
 	table    *Table
-	caller   Caller
+	caller   PeerCaller
 	payload  Payload
 	observer Observer
 	seeds    []string
@@ -37,7 +37,7 @@
 // ServiceOptions are the dependencies of a Service.
 type ServiceOptions struct {
 	Table    *Table
-	Caller   Caller
+	Caller   PeerCaller
 	Payload  Payload
 	Observer Observer
 	// Seeds are addresses to contact while no other node is known.
