--- a/sim/sitemodel/engine.go
+++ b/sim/sitemodel/engine.go
@@ -15,13 +15,14 @@
 	sequence int
 	// preemptedAt is when it was preempted.
 	preemptedAt time.Duration
-	// reserved is memory that the engine keeps for it, used or not.
+	// reserved is the memory, in tokens, that the engine keeps for it, used or not.
 	reserved float64
 }
 
-// size is the memory that the run uses, held the memory that is unavailable to other runs.
-func (r *run) size() float64 { return float64(r.request.prompt) + r.generated }
-func (r *run) held() float64 { return max(r.size(), r.reserved) }
+// size is the memory, in tokens, that the run uses, and occupied the memory that is unavailable
+// to other runs.
+func (r *run) size() float64     { return float64(r.request.prompt) + r.generated }
+func (r *run) occupied() float64 { return max(r.size(), r.reserved) }
 
 // decodeEngine generates one token of each of its runs per step. The step time is taken as
 // constant between two changes of the batch.
@@ -31,21 +32,23 @@
 	batch      []*run
 	// preempted are runs that wait for the recomputation of their tokens.
 	preempted []*run
-	// reserved is memory reserved for runs that have not started.
-	reserved   float64
+	// reserved is the memory, in tokens, reserved for runs that have not started.
+	reserved float64
+	// advancedTo is the time up to which the tokens of the batch have been added.
 	advancedTo time.Duration
+	// admissions counts the runs admitted so far.
 	admissions int
 	// epoch is the number of the batch; events scheduled for an earlier one are ignored.
 	epoch int
-	// linkFree is when its link becomes free.
-	linkFree time.Duration
+	// linkFreeAt is when its link becomes free.
+	linkFreeAt time.Duration
 }
 
-// used returns the memory of the batch.
+// used returns the memory that the batch occupies, in tokens.
 func (e *decodeEngine) used() float64 {
 	total := 0.0
 	for _, current := range e.batch {
-		total += current.held()
+		total += current.occupied()
 	}
 	return total
 }
@@ -154,6 +157,6 @@
 
 // prefillEngine prefills one prompt at a time.
 type prefillEngine struct {
-	// free is when it will have prefilled all prompts assigned to it.
-	free time.Duration
+	// freeAt is when it will have prefilled all prompts assigned to it.
+	freeAt time.Duration
 }
--- a/sim/sitemodel/policy.go
+++ b/sim/sitemodel/policy.go
@@ -17,8 +17,8 @@
 type policy interface {
 	// place returns an engine, or nil if the request must wait.
 	place(s *simulation, incoming *request) *decodeEngine
-	// reservation returns the memory that an engine reserves for a run, from its placement to
-	// its end.
+	// reservation returns the memory, in tokens, that an engine reserves for a run, from its
+	// placement to its end.
 	reservation(incoming *request) float64
 	// ended reports the end of a run; completed is false if the run did not start.
 	ended(s *simulation, e *decodeEngine, finished *request, duration time.Duration, completed bool)
@@ -80,11 +80,11 @@
 }
 
 func (p *coordinatorPolicy) runOf(s *simulation, incoming *request) ledger.Run {
-	most := int(s.site.Events.Max) * s.site.EventTokens
-	expected := min(incoming.hint, most)
+	maxOutput := int(s.site.Events.Max) * s.site.EventTokens
+	expected := min(incoming.hint, maxOutput)
 	return ledger.Run{
-		ID: p.names[incoming], Prompt: incoming.prompt, CallerEstimate: expected, MaxOutput: most,
-		Output: p.output.Mean(expected, most), Holder: "node",
+		ID: p.names[incoming], Prompt: incoming.prompt, CallerEstimate: expected, MaxOutput: maxOutput,
+		Output: p.output.Mean(expected, maxOutput), Holder: "node",
 	}
 }
 
@@ -107,7 +107,7 @@
 // not include.
 const assumedFirstEvent = 150 * time.Millisecond
 
-// reservation returns zero: the ledger predicts the memory that runs grow into.
+// reservation returns zero: the ledger predicts how much memory runs will use.
 func (*coordinatorPolicy) reservation(*request) float64 { return 0 }
 
 func (p *coordinatorPolicy) ended(_ *simulation, _ *decodeEngine, finished *request, duration time.Duration, completed bool) {
@@ -126,7 +126,7 @@
 	return max(minRetryDelay, p.ledger.TimeUntilCapacity(s.Now(), p.runOf(s, rejected)))
 }
 
-// reservationPolicy reserves at an engine the memory that the caller expects to need.
+// reservationPolicy reserves memory at an engine, based on the caller's estimate of the output.
 type reservationPolicy struct{ random *rand.Rand }
 
 // reservedFactor is the reserved output as a multiple of the expected output.
--- a/sim/sitemodel/run.go
+++ b/sim/sitemodel/run.go
@@ -38,7 +38,7 @@
 	Load float64
 	// Length is the virtual time over which requests arrive.
 	Length time.Duration
-	// Prefill is the number of prefill engines; zero means that of the site.
+	// Prefill is the number of prefill engines; zero means the number of the site.
 	Prefill int
 }
 
@@ -59,7 +59,8 @@
 	// WastedPrefill is the share of the prefilled tokens that were wasted or recomputed.
 	WastedPrefill float64 `json:"wasted_prefill"`
 	Preemptions   int     `json:"preemptions"`
-	Offered       int     `json:"offered"`
+	// Offered is the number of requests.
+	Offered int `json:"offered"`
 }
 
 // simulation is one run of the model.
@@ -72,6 +73,7 @@
 	pending []int
 	policy  policy
 
+	// wastedTokens are the prefilled tokens that were wasted or recomputed.
 	prefilledTokens, wastedTokens float64
 	preemptions                   int
 }
@@ -111,9 +113,9 @@
 	return s
 }
 
-// arrive starts an attempt.
+// arrive starts an attempt at a request.
 func (s *simulation) arrive(arriving *request) {
-	arriving.attempt = s.Now()
+	arriving.attemptedAt = s.Now()
 	share := firstWait
 	if arriving.retried {
 		share = retryWait
@@ -125,7 +127,7 @@
 func (s *simulation) wait(waiting *request, until time.Duration) {
 	prefiller := s.shortestPrefill()
 	prefill := s.prefillTime(waiting.prompt)
-	inTime := max(s.Now(), prefiller.free)+prefill-waiting.attempt < s.site.Objective
+	inTime := max(s.Now(), prefiller.freeAt)+prefill-waiting.attemptedAt < s.site.Objective
 	if inTime {
 		if engine := s.policy.place(s, waiting); engine != nil {
 			s.prefill(waiting, prefiller, engine)
@@ -153,7 +155,7 @@
 func (s *simulation) shortestPrefill() *prefillEngine {
 	best := s.prefills[0]
 	for _, candidate := range s.prefills {
-		if candidate.free < best.free {
+		if candidate.freeAt < best.freeAt {
 			best = candidate
 		}
 	}
@@ -164,21 +166,21 @@
 	return s.site.PrefillOverhead + time.Duration(float64(tokens)/s.site.PrefillPerMillisecond*float64(time.Millisecond))
 }
 
-// prefill computes the prompt and transfers the result to the decode engine.
+// prefill prefills the prompt and transfers the result to the decode engine.
 func (s *simulation) prefill(assigned *request, prefiller *prefillEngine, engine *decodeEngine) {
 	assigned.prefills++
 	s.pending[engine.id]++
 	engine.reserved += s.policy.reservation(assigned)
-	prefiller.free = max(s.Now(), prefiller.free) + s.prefillTime(assigned.prompt)
-	s.After(prefiller.free-s.Now(), func() {
+	prefiller.freeAt = max(s.Now(), prefiller.freeAt) + s.prefillTime(assigned.prompt)
+	s.After(prefiller.freeAt-s.Now(), func() {
 		s.prefilledTokens += float64(assigned.prompt)
-		transferStart := max(s.Now(), engine.linkFree)
+		transferStart := max(s.Now(), engine.linkFreeAt)
 		transfer := s.site.TransferOverhead + time.Duration(float64(assigned.prompt)/s.site.LinkPerMillisecond*float64(time.Millisecond))
 		if transferStart-s.Now() > s.site.HandleTTL {
 			s.decodeRejected(assigned, engine)
 			return
 		}
-		engine.linkFree = transferStart + transfer
+		engine.linkFreeAt = transferStart + transfer
 		s.After(transferStart+transfer-s.Now(), func() { s.startDecode(assigned, engine) })
 	})
 }
@@ -191,7 +193,7 @@
 		return
 	}
 	engine.reserved -= reservation
-	assigned.first = s.Now() + engine.step()*time.Duration(s.site.EventTokens)
+	assigned.firstEventAt = s.Now() + engine.step()*time.Duration(s.site.EventTokens)
 	engine.admit(&run{request: assigned, reserved: reservation})
 }
 
@@ -213,7 +215,7 @@
 func (s *simulation) served(engine *decodeEngine, finished *run) {
 	s.pending[engine.id]--
 	finished.request.outcome = outcomeServed
-	s.policy.ended(s, engine, finished.request, s.Now()-finished.request.attempt, true)
+	s.policy.ended(s, engine, finished.request, s.Now()-finished.request.attemptedAt, true)
 }
 
 func (s *simulation) outcome(options Options, requests []*request) Outcome {
@@ -222,7 +224,7 @@
 		Offered: len(requests), Preemptions: s.preemptions,
 	}
 	for _, ended := range requests {
-		inTime := ended.first-ended.attempt <= s.site.Objective && !ended.paused
+		inTime := ended.firstEventAt-ended.attemptedAt <= s.site.Objective && !ended.paused
 		switch {
 		case ended.outcome == outcomeRejected:
 			result.Rejected++
--- a/sim/sitemodel/run_test.go
+++ b/sim/sitemodel/run_test.go
@@ -46,8 +46,7 @@
 	g.Expect(first).To(Equal(second))
 }
 
-// TestNothingIsLost checks that every request ends, and only once, at any load and with any
-// policy.
+// TestNothingIsLost checks that every request ends exactly once, at any load and with any policy.
 func TestNothingIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		options := Options{
--- a/sim/sitemodel/site.go
+++ b/sim/sitemodel/site.go
@@ -13,7 +13,7 @@
 	Name string
 	// Prefill and Decode are the numbers of engines in each role.
 	Prefill, Decode int
-	// Memory and Slots bound a decode engine.
+	// Memory, in tokens, and Slots, in runs, bound a decode engine.
 	Memory, Slots int
 	// Step is the time of one decode step with an empty batch, StepPerRun what each run
 	// adds, and StepPerThousand what each thousand tokens of context add.
@@ -95,8 +95,8 @@
 	return Site{}, errors.Newf("unknown site %q", name)
 }
 
-// Bursts multiply the rate for a part of each period. Those of the sites reach two to four
-// times the rate where they overlap.
+// Bursts multiply the rate by burstFactor at the end of each period. The bursts of the sites
+// themselves reach two to four times the rate where several overlap.
 const (
 	burstPeriod = 15 * time.Second
 	burstLength = 4 * time.Second
@@ -111,13 +111,15 @@
 	arrival      time.Duration
 	// retried is set once the request was rejected and its caller retries.
 	retried bool
-	// attempt is when the current attempt arrived.
-	attempt time.Duration
+	// attemptedAt is when the current attempt arrived.
+	attemptedAt time.Duration
 	// prefills counts the prefills of its prompt.
 	prefills int
 	outcome  outcome
-	first    time.Duration
-	paused   bool
+	// firstEventAt is when the first event of the output is sent.
+	firstEventAt time.Duration
+	// paused is set once the output was interrupted for longer than the site's MaxPause.
+	paused bool
 }
 
 // outcome is how a request ended.
@@ -144,7 +146,7 @@
 		output := s.Events.draw(random) * s.EventTokens
 		hint := max(1, int(float64(output)*math.Exp(s.HintDeviation*random.NormFloat64())))
 		requests = append(requests, &request{
-			prompt: s.Prompt.draw(random) + s.Shared.draw(random), output: output, hint: hint, arrival: at, attempt: at,
+			prompt: s.Prompt.draw(random) + s.Shared.draw(random), output: output, hint: hint, arrival: at, attemptedAt: at,
 		})
 	}
 }
