--- a/sim/platformsim/flaky.go
+++ b/sim/platformsim/faulty.go
@@ -11,7 +11,7 @@
 type Effect int
 
 // The effects. Reject fails a call without executing it; DropReply executes a
-// write and returns an error for it.
+// write and loses its response, so that the caller gets an error.
 const (
 	Pass Effect = iota
 	Reject
@@ -40,7 +40,7 @@
 	f.decide = decide
 }
 
-// Injected returns the numbers of rejected calls and of dropped replies.
+// Injected returns the numbers of rejected calls and of dropped responses.
 func (f *FaultyStore) Injected() (rejected, dropped int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/sim/platformsim/handler.go
+++ b/sim/platformsim/handler.go
@@ -35,8 +35,8 @@
 }
 
 func (h handler) put(w http.ResponseWriter, r *http.Request) {
-	const envelope = 64 << 10
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, objectapi.MaxValueBytes+envelope))
+	const envelopeBytes = 64 << 10
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, objectapi.MaxValueBytes+envelopeBytes))
 	if err != nil {
 		reply(w, nil, objectapi.ErrTooLarge)
 		return
--- a/sim/platformsim/store.go
+++ b/sim/platformsim/store.go
@@ -55,10 +55,13 @@
 	mu       sync.Mutex
 	revision int64
 	objects  map[key]objectapi.Object
-	history  []change
-	trimmed  int64
-	changed  chan struct{}
-	counts   Counts
+	// history holds the latest changes, and trimmedTo is the revision of the newest one
+	// removed from it.
+	history   []change
+	trimmedTo int64
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	counts  Counts
 }
 
 var _ objectapi.Store = (*Store)(nil)
@@ -74,6 +77,7 @@
 	}
 }
 
+// limiter returns a limiter whose burst is the calls of a quarter of a second.
 func limiter(perSecond float64) *rate.Limiter {
 	if perSecond == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -187,7 +191,7 @@
 func (s *Store) record(event objectapi.Event) {
 	s.history = append(s.history, change{s.revision, event})
 	if len(s.history) > watchHistory {
-		s.trimmed = s.history[len(s.history)-watchHistory-1].revision
+		s.trimmedTo = s.history[len(s.history)-watchHistory-1].revision
 		s.history = slices.Clone(s.history[len(s.history)-watchHistory:])
 	}
 	close(s.changed)
@@ -226,10 +230,12 @@
 	return err
 }
 
+// since returns the changes of a kind after a revision, and the channel that is closed at the
+// next change.
 func (s *Store) since(kind objectapi.Kind, after int64) ([]change, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.trimmed {
+	if after < s.trimmedTo {
 		return nil, nil, objectapi.ErrTooOld
 	}
 	var selected []change
