--- a/sim/memnet/bandwidth.go
+++ b/sim/memnet/bandwidth.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// segmentBytes is the unit in which connections share a limited link: those of a host alternate by
-// segments, as TCP connections share a link.
+// segmentBytes is the unit in which connections share a limited link: the connections of a host
+// alternate by segments, as TCP connections do.
 const segmentBytes = 4 << 10
 
 // maxFrameBytes is the largest write that is delivered in one piece. It is the largest yamux frame:
@@ -148,7 +148,7 @@
 			if c.network.limited.transmit(c.link, len(piece), c.closed) != nil {
 				return
 			}
-			// The link may have been blocked meanwhile.
+			// The link may have been blocked since the write was queued.
 			if c.network.filter.wait(c.link, c.closed) != nil {
 				return
 			}
