--- a/sim/fault/injector.go
+++ b/sim/fault/injector.go
@@ -26,9 +26,9 @@
 	// Drops is the number of requests whose connection is aborted before they run.
 	Drops int `json:"drops,omitempty"`
 	// LostReplies is the number of requests that run, but whose connection is aborted
-	// without a reply.
+	// without a response.
 	LostReplies int `json:"lost_replies,omitempty"`
-	// Cuts is the number of replies whose connection is aborted after CutAfterBytes.
+	// Cuts is the number of responses whose connection is aborted after CutAfterBytes.
 	Cuts          int `json:"cuts,omitempty"`
 	CutAfterBytes int `json:"cut_after_bytes,omitempty"`
 }
@@ -68,9 +68,9 @@
 
 // action is the set of faults for one request. A negative cutAfter means no cut.
 type action struct {
-	outage, drop, loseReply bool
-	delay                   time.Duration
-	cutAfter                int
+	outage, drop, loseResponse bool
+	delay                      time.Duration
+	cutAfter                   int
 }
 
 // nextAction waits until Freeze is cleared and returns the action for one request.
@@ -114,8 +114,8 @@
 	if chosen.drop {
 		return chosen
 	}
-	chosen.loseReply = i.consume("lost_reply", &i.faults.LostReplies)
-	if chosen.loseReply {
+	chosen.loseResponse = i.consume("lost_reply", &i.faults.LostReplies)
+	if chosen.loseResponse {
 		return chosen
 	}
 	if i.consume("cut", &i.faults.Cuts) {
@@ -162,7 +162,7 @@
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 	case chosen.drop:
 		panic(http.ErrAbortHandler)
-	case chosen.loseReply:
+	case chosen.loseResponse:
 		next.ServeHTTP(discardWriter{header: http.Header{}}, r)
 		panic(http.ErrAbortHandler)
 	case chosen.cutAfter >= 0:
@@ -184,7 +184,7 @@
 	_ = json.NewEncoder(w).Encode(i.Counts())
 }
 
-// discardWriter discards a reply.
+// discardWriter discards a response.
 type discardWriter struct{ header http.Header }
 
 func (d discardWriter) Header() http.Header            { return d.header }
@@ -192,7 +192,7 @@
 func (d discardWriter) WriteHeader(int)                {}
 func (d discardWriter) FlushError() error              { return nil }
 
-// cutWriter aborts the connection once more than the remaining bytes are written.
+// cutWriter aborts the connection when a write exceeds the remaining bytes.
 type cutWriter struct {
 	http.ResponseWriter
 	remaining int
