--- a/sim/servicesim/service.go
+++ b/sim/servicesim/service.go
@@ -42,7 +42,8 @@
 
 // Service is a stand-in service. It is safe for concurrent use.
 type Service struct {
-	name     string
+	name string
+	// callTime is how long each call takes.
 	callTime time.Duration
 
 	mu    sync.Mutex
