--- a/sim/certificates/authority.go
+++ b/sim/certificates/authority.go
@@ -40,10 +40,10 @@
 
 // Options configures an Authority.
 type Options struct {
-	// Validity is how long its certificates are valid. The default is 24h.
+	// Validity is how long the certificates are valid. Default 24h.
 	Validity time.Duration
-	// Addresses are the IP addresses in its certificates, for clients that verify them.
-	// The default is 127.0.0.1.
+	// Addresses are the IP addresses in the certificates, for clients that verify them.
+	// Default 127.0.0.1.
 	Addresses []net.IP
 }
 
--- a/sim/certificates/authority_test.go
+++ b/sim/certificates/authority_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestFilesAreNeverPartial reads the authority's file while more certificates are
-// issued into the same folder, as a process does that starts at that time. A file
-// written in place could be read partially.
+// issued into the same folder, as a process that starts at that time does. If the
+// file were written in place, a part of it could be read.
 func TestFilesAreNeverPartial(t *testing.T) {
 	authority, err := certificates.NewAuthority(certificates.Options{})
 	if err != nil {
