--- a/sim/fault/injector.go
+++ b/sim/fault/injector.go
@@ -12,7 +12,7 @@
 // Path is the HTTP path where faults are set and their counts are read.
 const Path = "/faults"
 
-// Faults are the active faults. Drops, LostReplies and Cuts are decremented with each
+// Faults are the active faults. Drops, LostResponses and Cuts are decremented with each
 // injection.
 type Faults struct {
 	// PathPrefix limits the faults to requests whose path starts with it.
@@ -25,9 +25,9 @@
 	DelayMillis int `json:"delay_ms,omitempty"`
 	// Drops is the number of requests whose connection is aborted before they run.
 	Drops int `json:"drops,omitempty"`
-	// LostReplies is the number of requests that run, but whose connection is aborted
+	// LostResponses is the number of requests that run, but whose connection is aborted
 	// without a response.
-	LostReplies int `json:"lost_replies,omitempty"`
+	LostResponses int `json:"lost_replies,omitempty"`
 	// Cuts is the number of responses whose connection is aborted after CutAfterBytes.
 	Cuts          int `json:"cuts,omitempty"`
 	CutAfterBytes int `json:"cut_after_bytes,omitempty"`
@@ -114,7 +114,7 @@
 	if chosen.drop {
 		return chosen
 	}
-	chosen.loseResponse = i.consume("lost_reply", &i.faults.LostReplies)
+	chosen.loseResponse = i.consume("lost_reply", &i.faults.LostResponses)
 	if chosen.loseResponse {
 		return chosen
 	}
