--- a/claim/property_test.go
+++ b/claim/property_test.go
@@ -38,7 +38,7 @@
 		pause:   time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond,
 		owners:  [2]int{rapid.IntRange(0, 2).Draw(t, "owner"), rapid.IntRange(0, 2).Draw(t, "successor")},
 		delay:   time.Duration(rapid.SampledFrom([]int{0, 0, 1000, 1800, 5000, 700_000}).Draw(t, "slow")) * time.Millisecond,
-		effects: rapid.SliceOfN(rapid.SampledFrom([]platformsim.Effect{platformsim.Pass, platformsim.Pass, platformsim.Reject, platformsim.DropReply}), 0, 6).Draw(t, "effects"),
+		effects: rapid.SliceOfN(rapid.SampledFrom([]platformsim.Effect{platformsim.Pass, platformsim.Pass, platformsim.Reject, platformsim.DropResponse}), 0, 6).Draw(t, "effects"),
 	}
 }
 
--- a/configuration/property_test.go
+++ b/configuration/property_test.go
@@ -30,7 +30,7 @@
 	return change{
 		behind:  rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "behind"),
 		pause:   time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond,
-		effects: rapid.SliceOfN(rapid.SampledFrom([]platformsim.Effect{platformsim.Pass, platformsim.Reject, platformsim.DropReply}), 0, 5).Draw(t, "effects"),
+		effects: rapid.SliceOfN(rapid.SampledFrom([]platformsim.Effect{platformsim.Pass, platformsim.Reject, platformsim.DropResponse}), 0, 5).Draw(t, "effects"),
 	}
 }
 
--- a/lease/property_test.go
+++ b/lease/property_test.go
@@ -122,7 +122,7 @@
 		case 5, 6:
 			s.markIdle(i)
 		case 7:
-			s.effect = rapid.SampledFrom([]platformsim.Effect{platformsim.Reject, platformsim.DropReply}).Draw(t, "effect")
+			s.effect = rapid.SampledFrom([]platformsim.Effect{platformsim.Reject, platformsim.DropResponse}).Draw(t, "effect")
 		default:
 			s.now = s.now.Add(time.Duration(rapid.IntRange(1, 15000).Draw(t, "advance")) * time.Millisecond)
 		}
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -114,7 +114,7 @@
 	It("accepts a plan once although its response was lost and the plan is confirmed again", func() {
 		plan, err := client.Plan(ctx, Intent{Action: ActionApply, Objects: pool(api.RoleDecode)})
 		Expect(err).NotTo(HaveOccurred())
-		effect = platformsim.DropReply
+		effect = platformsim.DropResponse
 		for range 2 {
 			confirmed, err := client.Confirm(ctx, plan)
 			Expect(err).NotTo(HaveOccurred())
--- a/sim/platformsim/faulty.go
+++ b/sim/platformsim/faulty.go
@@ -10,12 +10,12 @@
 // Effect is what a FaultyStore does with one call.
 type Effect int
 
-// The effects. Reject fails a call without executing it; DropReply executes a
+// The effects. Reject fails a call without executing it; DropResponse executes a
 // write and loses its response, so that the caller gets an error.
 const (
 	Pass Effect = iota
 	Reject
-	DropReply
+	DropResponse
 )
 
 // FaultyStore wraps a store and injects faults that a test chooses for each
@@ -44,7 +44,7 @@
 func (f *FaultyStore) Injected() (rejected, dropped int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.counts[Reject], f.counts[DropReply]
+	return f.counts[Reject], f.counts[DropResponse]
 }
 
 func (f *FaultyStore) effect(write bool) Effect {
@@ -76,7 +76,7 @@
 	switch f.effect(true) {
 	case Reject:
 		return objectapi.Object{}, objectapi.ErrUnavailable
-	case DropReply:
+	case DropResponse:
 		_, _ = f.Store.Put(ctx, object)
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	default:
@@ -89,7 +89,7 @@
 	switch f.effect(true) {
 	case Reject:
 		return objectapi.ErrUnavailable
-	case DropReply:
+	case DropResponse:
 		_ = f.Store.Delete(ctx, kind, name, version)
 		return objectapi.ErrUnavailable
 	default:
