--- a/quarantine/client.go
+++ b/quarantine/client.go
@@ -296,7 +296,7 @@
 }
 
 // send sends a report to a coordinator, possibly this node.
-func (c *Client) send(ctx context.Context, address string, reported report, timeout time.Duration) (reply, error) {
+func (c *Client) send(ctx context.Context, address string, reported report, timeout time.Duration) (reportResponse, error) {
 	if address == c.options.Coordinators.Own() {
 		return c.options.LocalCoordinator.handle(reported), nil
 	}
@@ -306,9 +306,9 @@
 		ReportCrashes: encodeReport(c.options.Now(), reported),
 	}})
 	if err != nil {
-		return reply{}, err
+		return reportResponse{}, err
 	}
-	return decodeReply(response.GetCrashStandings()), nil
+	return decodeReportResponse(response.GetCrashStandings()), nil
 }
 
 // ErrNotReport is returned for a call that is neither a report nor an announcement.
@@ -319,7 +319,7 @@
 	switch body := request.GetBody().(type) {
 	case *peerpb.Request_ReportCrashes:
 		response := c.options.LocalCoordinator.handle(decodeReport(c.options.Now(), body.ReportCrashes))
-		return &peerpb.Response{Body: &peerpb.Response_CrashStandings{CrashStandings: encodeReply(response)}}, nil
+		return &peerpb.Response{Body: &peerpb.Response_CrashStandings{CrashStandings: encodeReportResponse(response)}}, nil
 	case *peerpb.Request_AnnounceCrashes:
 		announcement, valid := decodeAnnouncement(body.AnnounceCrashes)
 		if !valid {
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -45,8 +45,8 @@
 	return &Coordinator{options: options, table: NewTable(), announced: map[Fingerprint]receivedStatus{}}
 }
 
-// handle applies a node's report and returns the reply.
-func (c *Coordinator) handle(reported report) reply {
+// handle applies a node's report and returns the response.
+func (c *Coordinator) handle(reported report) reportResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.options.Now()
@@ -54,7 +54,7 @@
 		c.table.Answered(request)
 		c.announce(now, request)
 	}
-	response := reply{statuses: make([]Status, len(reported.evidence))}
+	response := reportResponse{statuses: make([]Status, len(reported.evidence))}
 	for i, evidence := range reported.evidence {
 		if now-evidence.At < evidenceLifetime {
 			c.table.Add(evidence.At, evidence.Request, evidence.Backend)
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -24,8 +24,8 @@
 	all bool
 }
 
-// reply is the coordinator's response to a report.
-type reply struct {
+// reportResponse is the coordinator's response to a report.
+type reportResponse struct {
 	// statuses are those of the requests of the evidence, in its order.
 	statuses []Status
 	// announced are all announcements, for a node that requested them.
@@ -64,7 +64,7 @@
 	return reported
 }
 
-func encodeReply(response reply) *peerpb.CrashStandings {
+func encodeReportResponse(response reportResponse) *peerpb.CrashStandings {
 	encoded := &peerpb.CrashStandings{}
 	for _, status := range response.statuses {
 		encoded.Standings = append(encoded.Standings, &peerpb.CrashStanding{
@@ -77,8 +77,8 @@
 	return encoded
 }
 
-func decodeReply(encoded *peerpb.CrashStandings) reply {
-	var response reply
+func decodeReportResponse(encoded *peerpb.CrashStandings) reportResponse {
+	var response reportResponse
 	for _, status := range encoded.GetStandings() {
 		response.statuses = append(response.statuses, Status{
 			Crashes: int(status.GetCrashes()), Quarantined: peer.Millis(status.GetQuarantinedMs()),
