--- a/backend/backend.go
+++ b/backend/backend.go
@@ -21,8 +21,8 @@
 
 // Backend is one incarnation of a backend, as described by discovery.
 type Backend struct {
-	// ID identifies the incarnation: no other start of the backend has the same one, so that whatever is
-	// assigned, reserved, counted or recorded by it ends with the incarnation.
+	// ID identifies the incarnation: no other start of the backend has the same identifier, so that everything
+	// that is assigned, reserved, counted or recorded under it ends with the incarnation.
 	ID string
 	// RegisteredAs is the identifier that the backend keeps over its incarnations; empty if that is the ID.
 	RegisteredAs string
