--- a/service/handler.go
+++ b/service/handler.go
@@ -137,7 +137,7 @@
 		return api.NewError(http.StatusBadRequest, api.CodeInvalidRequest, api.OutcomeNotRun, "the body could not be read")
 	}
 	if len(body) > maxNonIdempotentBody {
-		return api.NewError(http.StatusRequestEntityTooLarge, api.CodeTooLarge, api.OutcomeNotRun, "the body of a non-idempotent call may have at most %d bytes", maxNonIdempotentBody)
+		return api.NewError(http.StatusRequestEntityTooLarge, api.CodeTooLarge, api.OutcomeNotRun, "the body of this call may have %d bytes", maxNonIdempotentBody)
 	}
 	c.body = body
 	return nil
