--- a/processtest/fleet_test.go
+++ b/processtest/fleet_test.go
@@ -116,7 +116,7 @@
 	portCount = 2_500
 )
 
-// portsChosen counts the ports chosen so far; each test process begins at a different port.
+// portsChosen counts the ports tried so far. The first port depends on the ID of the test process.
 var portsChosen atomic.Int64
 
 // freeAddress returns a loopback address that no process listens on.
@@ -134,7 +134,7 @@
 	return ""
 }
 
-// node is one router process.
+// node is one reelrund process, with its addresses and arguments.
 type node struct {
 	*process
 	name, caller, peer, operator string
@@ -253,7 +253,7 @@
 	return json.NewDecoder(response.Body).Decode(value) == nil
 }
 
-// ledgers returns the engines' reports of what they have executed.
+// ledgers returns the engines' reports of what they have run.
 func (f *fleet) ledgers() []enginesim.Report {
 	var reports []enginesim.Report
 	for _, address := range f.engines {
--- a/processtest/security_test.go
+++ b/processtest/security_test.go
@@ -29,12 +29,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	created := &security{authority: authority, folder: t.TempDir()}
-	files, _ := created.issue(t, "caller")
-	if created.clientConfig, err = tlsfiles.ClientConfig(files.Authority); err != nil {
+	secured := &security{authority: authority, folder: t.TempDir()}
+	files, _ := secured.issue(t, "caller")
+	if secured.clientConfig, err = tlsfiles.ClientConfig(files.Authority); err != nil {
 		t.Fatal(err)
 	}
-	return created
+	return secured
 }
 
 // issue writes a certificate, replacing an earlier one of the same name.
@@ -75,8 +75,8 @@
 	return &http.Client{Transport: transport}
 }
 
-// servedSerial returns the serial number of the certificate that an address serves,
-// or zero.
+// servedSerial returns the serial number of the certificate that the server at an address
+// presents; zero if the connection fails.
 func servedSerial(address string, config *tls.Config) int64 {
 	dialed, err := tls.Dial("tcp", address, config)
 	if err != nil {
--- a/processtest/signals_test.go
+++ b/processtest/signals_test.go
@@ -24,8 +24,8 @@
 	eventually(t, "release of the engines", func() bool { return f.heldStreams() == 0 })
 }
 
-// TestFrozenNodeHoldsNothing freezes the node that serves a running response, and the caller
-// disconnects. The engine must be released while the node is still frozen, and the
+// TestFrozenNodeHoldsNothing freezes the node that serves a running response, and then the
+// caller disconnects. The engine must be released while the node is still frozen, and the
 // node must serve again after it is resumed.
 func TestFrozenNodeHoldsNothing(t *testing.T) {
 	f := startFleet(t, 3)
@@ -77,7 +77,8 @@
 	return produced
 }
 
-// TestPlannedStop stops the node that serves a running response with SIGTERM.
+// TestPlannedStop sends SIGTERM to the node that serves a running response. The response must be
+// complete without a retry, and the process must end with status 0.
 func TestPlannedStop(t *testing.T) {
 	f := startFleet(t, 2)
 	done := f.send(context.Background(), newKey(t), 200, f.nodes[0])
@@ -94,8 +95,8 @@
 	expectAnswered(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[1]))
 }
 
-// TestPlatformOutage makes the platform unavailable: service continues, a restarted node
-// fetches the configuration from its peers, and a change is rejected.
+// TestPlatformOutage makes the platform unavailable. Requests must still be served, a restarted
+// node must fetch the configuration from its peers, and a change must be rejected.
 func TestPlatformOutage(t *testing.T) {
 	f := startFleet(t, 3)
 	setFaults(t, f.platformAddress, fault.Faults{Outage: true})
