--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -28,10 +28,10 @@
 	id   string
 	kind kind
 	node int
-	// tenant is the tenant of the caller's key, empty for a key that was in no configuration.
+	// tenant is the tenant of the caller's key; empty for a key that was in no configuration.
 	tenant string
-	// sent is set once the whole request was written; without it, the only check is that the
-	// request did not run twice.
+	// sent is set if the whole request was written. A request that was not may end without a
+	// response even if it ran.
 	sent bool
 	// status is 0 if there was no response.
 	status int
@@ -112,7 +112,7 @@
 	return false
 }
 
-// TestChecksDetectEachDefect seeds one defect for each check.
+// TestChecksDetectEachDefect injects one defect for each check.
 func TestChecksDetectEachDefect(t *testing.T) {
 	valid := observation{id: "r", kind: kindNonIdempotent, sent: true, status: 200, complete: true, body: standin.Body("r"), signature: "s", requestID: "r"}
 	cases := map[string]struct {
--- a/soak/configuration_test.go
+++ b/soak/configuration_test.go
@@ -15,8 +15,8 @@
 const (
 	// configurationStream numbers the random stream of the faults injected during configuration changes.
 	configurationStream = 7
-	// applyTime is how long after its acknowledgement a configuration is active at every connected node, and
-	// reconnectTime how long after its last disturbance a node counts as connected again.
+	// applyTime is the time from its acknowledgement within which a configuration must be active at every connected
+	// node, and reconnectTime how long after its last disturbance a node counts as connected again.
 	applyTime     = 3 * time.Second
 	reconnectTime = 4 * time.Second
 	// configurationNodes is above the number of nodes that watch the store.
@@ -32,7 +32,7 @@
 	}
 }
 
-// configurationSeeds returns the seed set in the environment, or the default one.
+// configurationSeeds returns the seed set in the environment, or the default seed.
 func configurationSeeds(t *testing.T) []uint64 { return seeds(t)[:1] }
 
 func soakConfigurations(t *testing.T, seed uint64) {
@@ -190,7 +190,8 @@
 	return violations, checked
 }
 
-// connected reports whether neither a node nor its connection to the store was disturbed for reconnectTime before at.
+// connected reports whether neither a node nor its connections to the store were disturbed in the reconnectTime
+// before a time.
 func (h *harness) connected(index int, at time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/soak/crashes_test.go
+++ b/soak/crashes_test.go
@@ -26,12 +26,12 @@
 	// crashEntryExpiry is how long after its crash the entry of a backend is removed.
 	crashEntryExpiry = 2 * time.Second
 	// crashThreshold is the number of crashes after which a request is quarantined, for quarantineTime at least,
-	// and quarantineDelay is when all undisturbed nodes have received the quarantine.
+	// and quarantineDelay is the time within which all undisturbed nodes receive the quarantine.
 	crashThreshold  = 2
 	quarantineTime  = 30 * time.Second
 	quarantineDelay = 3 * time.Second
-	// maxQuarantinedRetries is how many client retries may reach backends in spite of the quarantine: a killed
-	// node loses its evidence.
+	// maxQuarantinedRetries is how many client retries may reach backends in spite of the quarantine, since a
+	// killed node loses its evidence.
 	maxQuarantinedRetries = 3
 	// crashStream numbers the random stream of the callers of such requests.
 	crashStream = 4
@@ -101,7 +101,7 @@
 	}
 }
 
-// sendBody sends a request with the given body and waits for the response, whatever it is.
+// sendBody sends a request with the given body, waits for the response and discards it.
 func sendBody(ctx context.Context, transport http.RoundTripper, n *node, k kind, id, body string) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://127.0.0.1:%d/%s/x", n.ports[0], k), strings.NewReader(body))
 	if err != nil {
--- a/soak/disconnects_test.go
+++ b/soak/disconnects_test.go
@@ -20,7 +20,7 @@
 	// cancelTimeout is how long a request may still be processed after its caller has disconnected.
 	cancelTimeout = 500 * time.Millisecond
 	// maxOrphanedShare is the maximum share of such requests that may be processed longer, and minDisconnects the
-	// minimum number of disconnects for which the share is checked.
+	// number of disconnects below which the share is not checked.
 	maxOrphanedShare = 0.25
 	minDisconnects   = 8
 )
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -69,7 +69,7 @@
 	h.stallBackends(proxies...)
 }
 
-// stalledRequestTime is how long requests may stay in progress on a connection that was stalled.
+// stalledRequestTime is how long requests may stay in progress on a stalled connection.
 const stalledRequestTime = 6 * time.Second
 
 // drawFault returns a fault with all random values already drawn.
@@ -117,8 +117,8 @@
 	end()
 }
 
-// signalsHandledAfter is how long after its start a process has installed its signal handlers. Before
-// that, a signal has the kernel's default effect, whatever the program does.
+// signalsHandledAfter is how long after its start a process has installed its signal handlers. Until
+// then, a signal has the kernel's default effect, whatever the program does.
 const signalsHandledAfter = 100 * time.Millisecond
 
 // hangup sends SIGHUP. It may hit a process that has only just started, and terminate it: the platform
@@ -194,7 +194,7 @@
 	p.set(modePass)
 }
 
-// dropWatches has the store drop its watches and its history while objects change.
+// dropWatches has the store drop its watches and discard its history while the configuration changes.
 func (h *harness) dropWatches(faultDuration time.Duration) {
 	h.store.SetFaults(standin.StoreFaults{DropWatches: true, DropResponses: 1})
 	h.configure()
@@ -222,7 +222,7 @@
 	h.store.Remove("servers", b.id)
 }
 
-// clearFaults ends the faults that do not end by themselves.
+// clearFaults removes the faults that are still set at the store, the backends and the proxies.
 func (h *harness) clearFaults() {
 	h.store.SetFaults(standin.StoreFaults{})
 	h.mu.Lock()
--- a/soak/harness_test.go
+++ b/soak/harness_test.go
@@ -60,7 +60,7 @@
 	engine       *standin.Engine
 	server       *standin.Server
 	httpServer   *http.Server
-	// crashed makes sure that it crashes only once.
+	// crashed ensures that it crashes only once.
 	crashed sync.Once
 }
 
@@ -97,7 +97,7 @@
 	serving     sync.WaitGroup
 }
 
-// node is one daemon, across all its processes.
+// node is one daemon with its successive processes.
 type node struct {
 	index int
 	// requests records what callers send to this node.
@@ -192,7 +192,7 @@
 )
 
 // nodePorts returns the ports of a node. Other processes may run the same seed on this
-// machine: the ports depend on the process, and the next free ones are used.
+// machine, so the first range depends on the process ID, and ranges in use are skipped.
 func nodePorts(t *testing.T, seed uint64, index int) []int {
 	first := (int(seed%portRanges) + os.Getpid()) % portRanges
 	for shift := range portRanges {
@@ -348,8 +348,8 @@
 	_ = n.process.Process.Signal(signal) // The process may have ended.
 }
 
-// recordDisturbance records that a node is killed or frozen from now on. The function
-// that it returns records the end.
+// recordDisturbance begins a time in which a node is killed or frozen. The function that
+// it returns ends this time and records it.
 func (h *harness) recordDisturbance(n *node) func() {
 	from := time.Now()
 	return func() {
@@ -359,7 +359,7 @@
 	}
 }
 
-// received returns what reached the backends of each request, prefills included.
+// received returns the runs at the backends by request, prefills included.
 func (h *harness) received() map[string][]standin.Run {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/soak/load_test.go
+++ b/soak/load_test.go
@@ -106,6 +106,7 @@
 	return withEnd(o)
 }
 
+// withEnd returns an observation that ends now.
 func withEnd(o observation) observation {
 	o.ended = time.Now()
 	return o
--- a/soak/notices_test.go
+++ b/soak/notices_test.go
@@ -30,7 +30,7 @@
 	drainingTime = 2500 * time.Millisecond
 )
 
-// setCondition replaces the condition that a backend reports in its responses.
+// setCondition replaces the condition that controls a backend's notices.
 func (b *backend) setCondition(condition standin.Condition) {
 	if b.engine != nil {
 		b.engine.SetCondition(condition)
@@ -47,8 +47,8 @@
 	return b.server.Arrivals()
 }
 
-// injectNoticeFaults has backends announce in their responses that they leave, long before their entries do, and ask
-// for backoff: one backend, one for a share of its requests, or all backends of a service.
+// injectNoticeFaults has backends announce in their responses that they leave, long before their entries state it,
+// and has others ask for backoff: one backend for all or for a share of its requests, or all backends of a service.
 func (h *harness) injectNoticeFaults(random *rand.Rand, duration time.Duration) {
 	until := time.Now().Add(duration)
 	for time.Now().Before(until) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// nodeEvent is a time at which something happened at a node.
+// nodeEvent is the time of an event at a node.
 type nodeEvent struct {
 	node int
 	at   time.Time
@@ -140,7 +140,7 @@
 
 // noticeRecord is the input of the checks on backends that send notices.
 type noticeRecord struct {
-	// senders are the nodes that requests were sent to, and when, by request identifier.
+	// senders are the nodes that callers sent requests to, with the times, by request identifier.
 	senders map[string]nodeEvent
 	// arrivals are the requests that reached each backend, incarnations the starts of its incarnations.
 	arrivals     map[string][]standin.Arrival
@@ -174,8 +174,8 @@
 	return record
 }
 
-// undisturbed reports whether a node ran through a period without interruption, with the build under test: older
-// builds may not know backends' notices.
+// undisturbed reports whether a node ran without interruption in a period, with the build under test: older builds
+// may not support backends' notices.
 func (r *noticeRecord) undisturbed(node int, from, to time.Time) bool {
 	span := observation{node: node, began: from, ended: to}
 	older := false
@@ -204,21 +204,21 @@
 // checkLeaving returns the requests that reached backends from nodes that had already forwarded their leaving
 // notice, and the number of such notices.
 func checkLeaving(observations []observation, record noticeRecord) (violations []string, notices int) {
-	type pair struct {
+	type noticeSource struct {
 		backend string
 		node    int
 	}
-	firstSeen := map[pair]time.Time{}
+	firstForwarded := map[noticeSource]time.Time{}
 	for _, o := range observations {
 		if !o.leaving {
 			continue
 		}
-		source := pair{strings.TrimPrefix(o.signature, "sig."), o.node}
-		if first, known := firstSeen[source]; !known || o.ended.Before(first) {
-			firstSeen[source] = o.ended
+		source := noticeSource{strings.TrimPrefix(o.signature, "sig."), o.node}
+		if first, known := firstForwarded[source]; !known || o.ended.Before(first) {
+			firstForwarded[source] = o.ended
 		}
 	}
-	for source, at := range firstSeen {
+	for source, at := range firstForwarded {
 		for _, arrival := range record.arrivals[source.backend] {
 			sender, known := record.senders[arrival.Request]
 			ignored := known && sender.node == source.node && sender.at.After(at.Add(leavingGrace))
@@ -228,7 +228,7 @@
 			}
 		}
 	}
-	return violations, len(firstSeen)
+	return violations, len(firstForwarded)
 }
 
 // checkBackoffs returns the backends that got too many requests during a backoff that they had asked a node for, and
@@ -261,8 +261,8 @@
 	return violations, backoffs
 }
 
-// TestChecksDetectRequestsToLeavingBackends has a request reach a backend early and late after its notice, and late
-// where that is exempt.
+// TestChecksDetectRequestsToLeavingBackends has a request reach a backend soon and late after its notice. Late
+// requests are violations, except in the cases that are exempt.
 func TestChecksDetectRequestsToLeavingBackends(t *testing.T) {
 	g := NewWithT(t)
 	at := func(seconds float64) time.Time {
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -15,11 +15,11 @@
 	modePass proxyMode = iota
 	// modeDelay delays all bytes by proxyDelay.
 	modeDelay
-	// modeHold holds all bytes back until the mode changes.
+	// modeHold holds back all bytes until the mode changes.
 	modeHold
-	// modeOneWay holds back the bytes sent to the caller.
+	// modeOneWay holds back only the bytes sent to the caller.
 	modeOneWay
-	// modeRefuse closes new connections.
+	// modeRefuse closes new connections at once.
 	modeRefuse
 )
 
@@ -40,7 +40,7 @@
 	done        sync.WaitGroup
 }
 
-// stalledDirections records which directions of one connection no longer carry anything.
+// stalledDirections records which directions of one connection are stalled.
 type stalledDirections struct{ towardsTarget, towardsCaller atomic.Bool }
 
 const proxyDelay = 150 * time.Millisecond
@@ -88,8 +88,8 @@
 	both.Wait()
 }
 
-// stall makes the connections that are open now drop everything, both bytes and the close of the connection. New
-// connections work.
+// stall makes the open connections discard all bytes in the given directions, and no longer pass on that the other
+// end was closed. New connections work.
 func (p *proxy) stall(towardsTarget, towardsCaller bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +172,7 @@
 }
 
 // recordMode records the beginning or the end of a time in which connections are held; the caller holds the lock.
-// Until its end is recorded, the time has an end one hour from now.
+// Until the end is known, it is recorded as one hour from now.
 func (p *proxy) recordMode(mode proxyMode) {
 	now := time.Now()
 	if p.mode != modePass {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,7 +19,7 @@
 const (
 	defaultSeed     = 1
 	defaultDuration = 6 * time.Second
-	// startTime is how long the nodes have to become ready.
+	// startTime is the time within which the nodes must become ready.
 	startTime = 15 * time.Second
 	// recoveryTime is the time after the last fault within which the nodes must serve
 	// requests reliably again.
@@ -43,11 +43,11 @@
 	// A backend had restarted and asked for backoff before its new incarnation was known: the notice was
 	// attributed to the previous incarnation, and three requests followed.
 	56016, 56049,
-	// Processes did not run for four to five seconds under parallel load, while callers wait six seconds in all.
+	// Processes did not run for four to five seconds under parallel load, while callers wait at most six seconds.
 	91005, 91007, 91008,
 }
 
-// TestHangupDuringAStop sends SIGHUP to a node that drains. The node must end as
+// TestHangupDuringAStop sends SIGHUP to a draining node. The node must end as
 // planned, and the stream that it serves must be complete.
 func TestHangupDuringAStop(t *testing.T) {
 	h := newHarness(t, 250, 1, "")
@@ -224,7 +224,7 @@
 	var violations []string
 	for i, n := range h.nodes {
 		if served[i] < recoveryAttempts*3/4 {
-			violations = append(violations, fmt.Sprintf("node %d serves %d of %d after the faults", n.index, served[i], recoveryAttempts))
+			violations = append(violations, fmt.Sprintf("node %d serves %d of %d requests after the faults", n.index, served[i], recoveryAttempts))
 		}
 	}
 	return violations
--- a/soak/tenants_test.go
+++ b/soak/tenants_test.go
@@ -52,8 +52,8 @@
 	return tenants
 }
 
-// injectRegistryFaults has backends restart under the same identifiers, and invalid entries written, in parallel with
-// the other faults.
+// injectRegistryFaults restarts backends under the same identifiers, changes the configuration and writes invalid
+// entries, in parallel with the other faults.
 func (h *harness) injectRegistryFaults(random *rand.Rand, duration time.Duration) {
 	until := time.Now().Add(duration)
 	for round := 0; time.Now().Before(until); round++ {
@@ -72,7 +72,7 @@
 	}
 }
 
-// restartBackend restarts a backend under the same identifier: its connections are cut, and its state is
+// restartBackend restarts a backend under the same identifier: its connections are closed, and its state is
 // lost.
 func (h *harness) restartBackend(b *backend) {
 	h.recordInterruption(time.Now(), time.Now().Add(time.Second))
@@ -149,7 +149,7 @@
 	return maximum
 }
 
-// TestTenantChecksDetectEachDefect seeds one defect for each check.
+// TestTenantChecksDetectEachDefect injects one defect for each check.
 func TestTenantChecksDetectEachDefect(t *testing.T) {
 	named := func(tenant, key string) standin.Run {
 		run := standin.Run{Header: http.Header{}}
