--- a/sim/rehearsal/benchmark_test.go
+++ b/sim/rehearsal/benchmark_test.go
@@ -40,7 +40,8 @@
 	return fleet
 }
 
-// nodeOwning returns a node that owns the pool, or one that does not.
+// nodeOwning returns a node that owns the first pool, or one that does not if owns is
+// false.
 func nodeOwning(fleet *Fleet, owns bool) *Node {
 	pool := fleet.Options.Configuration.Pools[0]
 	for _, running := range fleet.Alive() {
--- a/sim/rehearsal/defects_test.go
+++ b/sim/rehearsal/defects_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// requestSteps returns a schedule of requests of all kinds, with some callers that
+// requestSteps returns a schedule of requests of all kinds. Some of the callers
 // disconnect.
 func requestSteps() []step {
 	random := rand.New(rand.NewPCG(11, 11))
--- a/sim/rehearsal/discovery_test.go
+++ b/sim/rehearsal/discovery_test.go
@@ -44,8 +44,8 @@
 
 // TestClientRetryWhileTheFleetStarts sends a request to the first node that is
 // ready after a start of the whole fleet, and retries it at another one as soon as
-// that is ready: it must be decoded once, although not all nodes are known to be
-// ready yet.
+// that one is ready. The request must be decoded once, although the nodes do not
+// know all ready nodes yet.
 func TestClientRetryWhileTheFleetStarts(t *testing.T) {
 	for range 5 {
 		inVirtualTime(t, func(t *testing.T) {
--- a/sim/rehearsal/doc.go
+++ b/sim/rehearsal/doc.go
@@ -3,6 +3,6 @@
 // testing/synctest bubble it runs in virtual time, so a test of minutes takes
 // seconds and gives the same result each time.
 //
-// It cannot reproduce a pause of a single process; the tests with real processes
-// do.
+// It cannot reproduce a pause of a single process; package processtest has the
+// tests for that.
 package rehearsal
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -51,7 +51,7 @@
 	Scheduler scheduler.Options
 	// Interval is the time between heartbeats. Default 1s.
 	Interval time.Duration
-	// Defects are injected to show that the oracles detect them.
+	// Defects are injected to check that the oracles detect them.
 	Defects Defects
 }
 
@@ -76,7 +76,8 @@
 	cancel  context.CancelFunc
 	stopped chan struct{}
 	// down is closed when the node has ended and its ports are free.
-	down    chan struct{}
+	down chan struct{}
+	// alive is set until a stop of the node begins.
 	alive   bool
 	serving sync.WaitGroup
 	// terminated is set once the node is killed; whatever it sends afterwards is
@@ -310,8 +311,8 @@
 	return true
 }
 
-// Kill ends a node like a termination of its process: every connection is closed,
-// and whatever the node still sends is discarded.
+// Kill ends a node as if its process were killed: every connection is closed, and
+// whatever the node still sends is discarded.
 func (f *Fleet) Kill(name string) {
 	killed := f.Node(name)
 	if !f.markStopped(killed) {
@@ -386,8 +387,8 @@
 	}
 }
 
-// WaitReady waits until every running node is ready and receives the heartbeats of
-// all others, and reports whether this happened within the limit.
+// WaitReady waits until every running node is ready and lists all others as live,
+// and reports whether this happened within the limit.
 func (f *Fleet) WaitReady(limit time.Duration) bool {
 	const step = 100 * time.Millisecond
 	for waited := time.Duration(0); waited < limit; waited += step {
@@ -428,7 +429,7 @@
 	return held
 }
 
-// DecodingStreams counts the streams that have produced a token.
+// DecodingStreams counts the streams in decoding that have produced a token.
 func (f *Fleet) DecodingStreams() int {
 	decoding := 0
 	for _, started := range f.Engines {
--- a/sim/rehearsal/monitor.go
+++ b/sim/rehearsal/monitor.go
@@ -18,13 +18,13 @@
 	// ActiveWithin is the time in which an accepted configuration must be active at
 	// all nodes.
 	ActiveWithin = 6 * time.Second
-	// LeavingWithin is the time after which a leaving backend must get no new work,
-	// from when the platform's list reports it as leaving.
+	// LeavingWithin is how long a backend may still get new work after the platform's
+	// list has reported it as leaving.
 	LeavingWithin = 5 * time.Second
 )
 
-// accepted records when a version was first observed in the platform.
-type accepted struct {
+// acceptedVersion records when a version was first observed in the platform.
+type acceptedVersion struct {
 	version uint64
 	at      time.Time
 }
@@ -35,9 +35,11 @@
 	fleet *Fleet
 
 	mu       sync.Mutex
-	versions []accepted
-	seen     map[*Node]uint64
-	leaving  map[string]time.Time
+	versions []acceptedVersion
+	// nodeVersions are the versions that the nodes had at the last check.
+	nodeVersions map[*Node]uint64
+	// leaving is when the platform's list reported backends as leaving, by name.
+	leaving map[string]time.Time
 	// unreadable are the times at which no node could read the platform's list.
 	unreadable []time.Time
 	violations []string
@@ -45,7 +47,7 @@
 
 // NewMonitor returns a monitor of a fleet.
 func NewMonitor(fleet *Fleet) *Monitor {
-	return &Monitor{fleet: fleet, seen: map[*Node]uint64{}, leaving: map[string]time.Time{}}
+	return &Monitor{fleet: fleet, nodeVersions: map[*Node]uint64{}, leaving: map[string]time.Time{}}
 }
 
 // Run checks periodically until the context ends.
@@ -75,10 +77,10 @@
 	}
 	for _, running := range m.fleet.Alive() {
 		version := running.Core.Configuration.Current().Version()
-		if version < m.seen[running] {
-			m.violatef("%s went from version %d back to %d", running.Name, m.seen[running], version)
+		if version < m.nodeVersions[running] {
+			m.violatef("%s went from version %d back to %d", running.Name, m.nodeVersions[running], version)
 		}
-		m.seen[running] = version
+		m.nodeVersions[running] = version
 		if running.Core.AcceptsWork() && version < required {
 			m.violatef("%s accepts work with version %d, %d was accepted over %s ago", running.Name, version, required, ActiveWithin)
 		}
@@ -94,7 +96,7 @@
 			return
 		}
 		if len(m.versions) == 0 || m.versions[len(m.versions)-1].version != head.Version {
-			m.versions = append(m.versions, accepted{head.Version, now})
+			m.versions = append(m.versions, acceptedVersion{head.Version, now})
 		}
 	}
 }
@@ -102,9 +104,9 @@
 // required returns the newest version that must be active at all nodes.
 func (m *Monitor) required(now time.Time) uint64 {
 	var version uint64
-	for _, seen := range m.versions {
-		if now.Sub(seen.at) > ActiveWithin {
-			version = max(version, seen.version)
+	for _, accepted := range m.versions {
+		if now.Sub(accepted.at) > ActiveWithin {
+			version = max(version, accepted.version)
 		}
 	}
 	return version
@@ -137,8 +139,8 @@
 }
 
 // isLate reports whether work began later than LeavingWithin after its backend was
-// listed as leaving. The time restarts whenever no node can read the list, since no
-// node can learn of the change then.
+// listed as leaving. The time starts anew whenever no node can read the list, since
+// the nodes cannot learn of the change then.
 func (m *Monitor) isLate(began, since time.Time) bool {
 	for _, at := range m.unreadable {
 		if at.After(since) && !at.After(began) {
@@ -148,6 +150,7 @@
 	return began.Sub(since) > LeavingWithin
 }
 
+// checkEngine checks that a leaving engine began no work too late.
 func (m *Monitor) checkEngine(started *Engine, machine string, since time.Time) {
 	for _, entry := range started.Report().Entries {
 		newWork := entry.Kind == enginesim.EntryDecodeStart || entry.Kind == enginesim.EntryPrefillStart
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -31,7 +31,7 @@
 }
 
 // startLongRequest starts a request whose output takes minutes, and waits until it
-// is being decoded.
+// is being decoded. The returned function has the caller disconnect.
 func startLongRequest(t *testing.T, fleet *Fleet, through *Node, key string) (disconnect func() load.Result) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestStalledTransferReusesThePrefill checks that a stalled transfer is retried from
-// the prefill result while that is kept, without a second prefill.
+// TestStalledTransferReusesThePrefill checks that a stalled transfer is retried while
+// the prefill result is kept, without a second prefill.
 func TestStalledTransferReusesThePrefill(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
@@ -274,6 +274,8 @@
 	}
 }
 
+// leaveUnderLoad marks backends as leaving under load, and returns the violations that
+// the monitor found.
 func leaveUnderLoad(t *testing.T, options Options) (violations []string) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, options)
@@ -314,9 +316,9 @@
 	return &load.Kind{Name: "lookup", Token: Token(0), Service: "service-0", Method: http.MethodGet, Path: "/plans/1", FirstToken: api.Duration(time.Second)}
 }
 
-// TestRacingOperators has two operators confirm plans based on one version through
-// different nodes, while responses of the platform are lost: exactly one must
-// succeed.
+// TestRacingOperators has two operators confirm plans based on the same version through
+// different nodes, while responses of the platform are lost. Exactly one of the plans
+// must be accepted.
 func TestRacingOperators(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
@@ -341,7 +343,7 @@
 }
 
 // confirmConcurrently has two operators confirm conflicting plans at once, and
-// returns which of them succeeded.
+// returns which of the plans were accepted.
 func confirmConcurrently(t *testing.T, fleet *Fleet, round int) [2]bool {
 	t.Helper()
 	var accepted [2]bool
--- a/sim/rehearsal/quarantine_test.go
+++ b/sim/rehearsal/quarantine_test.go
@@ -22,8 +22,8 @@
 	crashPrompt  = "a prompt that ends its engine"
 	crashAfter   = 50 * time.Millisecond
 	restartAfter = 3 * time.Second
-	// quarantineWithin is the time in which all nodes must have a record of a request that has crashed
-	// three engines; maxLateArrivals is how often it may reach engines after that.
+	// quarantineWithin is how long after the third crash all nodes must have a record of a request that
+	// has crashed three engines; maxLateArrivals is how often it may reach engines after that.
 	quarantineWithin = 3 * time.Second
 	maxLateArrivals  = 3
 )
@@ -66,7 +66,7 @@
 
 // crashEngines makes all engines of a fleet crash when they prefill crashPrompt.
 func crashEngines(fleet *Fleet) *crashes {
-	observed := &crashes{}
+	recorded := &crashes{}
 	for _, pool := range fleet.Options.Configuration.Pools {
 		for _, member := range pool.Engines {
 			started, address := fleet.Engines[member.Name], member.Address
@@ -79,27 +79,27 @@
 					healthy.ServeHTTP(w, r)
 					return
 				}
-				observed.arrived()
+				recorded.arrived()
 				time.Sleep(crashAfter)
-				observed.crashed()
+				recorded.crashed()
 				time.AfterFunc(restartAfter, func() { fleet.HTTP.Handle(address, handler) })
 				fleet.HTTP.Kill(started.Host)
 			})
 			fleet.HTTP.Handle(address, handler)
 		}
 	}
-	return observed
+	return recorded
 }
 
 // TestCompletionThatCrashesItsEnginesIsQuarantined retries a completion that crashes its engines. Without
 // quarantine, each client retry started it again: a request may have three attempts, and nodes did not
-// recognize the next request as the same. From 3 s after the third crash every node must have a record of
-// it, and other requests must be answered.
+// recognize the client retry as the same request. From 3 s after the third crash every node must have a
+// record of it, and other requests must be answered.
 func TestCompletionThatCrashesItsEnginesIsQuarantined(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
-		observed := crashEngines(fleet)
+		recorded := crashEngines(fleet)
 		client, nodes := fleet.Client("192.0.2.1"), fleet.Alive()
 		send := func(number int, prompt string) load.Result {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -113,8 +113,8 @@
 			send(number, crashPrompt)
 			time.Sleep(300 * time.Millisecond)
 		}
-		if late := observed.lateArrivals(t); late > maxLateArrivals {
-			t.Errorf("%d engines crashed; the request reached engines %d times more", len(observed.crashTimes), late)
+		if late := recorded.lateArrivals(t); late > maxLateArrivals {
+			t.Errorf("%d engines crashed; the request reached engines %d more times", len(recorded.crashTimes), late)
 		}
 		time.Sleep(restartAfter + 10*time.Second)
 		for number := range 8 {
--- a/sim/rehearsal/regions_test.go
+++ b/sim/rehearsal/regions_test.go
@@ -10,7 +10,7 @@
 	"github.com/reelrun/reelrun/sim/load"
 )
 
-// regionOptions returns a fleet of six zones, three in each region.
+// regionOptions returns the options of a fleet with six zones, three in each region.
 func regionOptions() Options {
 	options := smallOptions()
 	options.Zones = []string{"zone-a", "zone-b", "zone-c", "zone-d", "zone-e", "zone-f"}
@@ -44,9 +44,9 @@
 
 // TestRegionsPartitionedForMinutes separates two regions by a network partition for
 // three minutes, in which a configuration is accepted. The region that reaches the
-// platform continues to serve; the other one accepts no work with the older version,
-// rejects requests as not run, and serves again after the partition. If both reach
-// the platform, both continue.
+// platform continues to serve. The other one accepts no work with the older version,
+// rejects requests as not run, and serves again after the partition. If both regions
+// reach the platform, both continue to serve.
 func TestRegionsPartitionedForMinutes(t *testing.T) {
 	for name, secondReachesPlatform := range map[string]bool{"platform on one side": false, "platform on both sides": true} {
 		t.Run(name, func(t *testing.T) {
@@ -60,9 +60,9 @@
 				time.Sleep(3 * time.Minute)
 				for _, second := range []bool{false, true} {
 					for _, running := range inRegion(fleet, second) {
-						wanted := !second || secondReachesPlatform
-						if running.Core.AcceptsWork() != wanted {
-							t.Errorf("%s of %s accepts work: %t", running.Name, running.Zone, !wanted)
+						mustAccept := !second || secondReachesPlatform
+						if running.Core.AcceptsWork() != mustAccept {
+							t.Errorf("%s of %s accepts work: %t", running.Name, running.Zone, !mustAccept)
 						}
 					}
 				}
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestOutageAloneStopsNoNode combines an outage of the platform with the failure of a
-// whole zone, which leaves most of the fleet: all other nodes must accept work.
+// TestOutageAloneStopsNoNode combines an outage of the platform with the failure of one
+// zone. All other nodes must accept work, since they are most of the fleet.
 func TestOutageAloneStopsNoNode(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, regionOptions())
--- a/sim/rehearsal/roles_test.go
+++ b/sim/rehearsal/roles_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// slowPrefill is a prefill rate in tokens a second that short prompts can exhaust.
+// slowPrefill is a prefill rate, in tokens per second, that short prompts can exhaust.
 const slowPrefill = 2000
 
 // slowPrefillOptions returns a fleet with slow prefill engines and the given policy for
@@ -83,7 +83,8 @@
 	return options
 }
 
-// sendPrefillLoad sends requests with long prompts and short outputs for two minutes.
+// sendPrefillLoad sends requests with long prompts and short outputs for two minutes. It
+// returns how many were answered, and how many were sent.
 func sendPrefillLoad(fleet *Fleet) (answered, requests int) {
 	random := rand.New(rand.NewPCG(10, 10))
 	kind := *longKind(1)
@@ -106,9 +107,9 @@
 	return answered, requests + 1
 }
 
-// TestLoadChangesRoles offers more prefill load than the engines of that role can
-// serve. Under the policy "apply" decode engines change to that role and more
-// requests are answered; under "advise" the owners advise it and change nothing.
+// TestLoadChangesRoles offers more prefill load than the prefill engines can serve.
+// Under the policy "apply" decode engines become prefill engines, and more requests
+// are answered; under "advise" the owners of the pools only advise the change.
 func TestLoadChangesRoles(t *testing.T) {
 	answered := map[api.RoleChanges]int{}
 	for _, policy := range []api.RoleChanges{api.RoleChangesAdvise, api.RoleChangesApply} {
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -43,7 +43,8 @@
 	opCount
 )
 
-// step is one operation with its arguments and the pause after it.
+// step is one operation with its arguments and the pause after it. What the arguments
+// a and b select depends on the operation.
 type step struct {
 	op    operation
 	a, b  int
@@ -120,8 +121,8 @@
 	case opStallTransfers:
 		engine.Faults.Set(fault.Faults{Freeze: true, PathPrefix: "/v1/kv"})
 	case opEndFaults:
-		for _, frozen := range e.fleet.Engines {
-			frozen.Faults.Set(fault.Faults{})
+		for _, faulty := range e.fleet.Engines {
+			faulty.Faults.Set(fault.Faults{})
 		}
 	case opLeave:
 		e.leave(s)
@@ -162,8 +163,8 @@
 	e.block()
 }
 
-// leave marks a backend as leaving. The list reports it without delay here; the
-// fleet's pools keep one engine of each role.
+// leave marks a backend as leaving. The platform's list reports it without delay in
+// this fleet, and each pool keeps an engine of each role that is not leaving.
 func (e *execution) leave(s step) {
 	leaving := []string{"engine-0", "engine-1", "service-0-a"}[s.b%3]
 	if e.fleet.SetMachine(leaving, machines.StateLeaving) == nil {
@@ -199,7 +200,8 @@
 	}()
 }
 
-// request sends one request of some kind from a caller that may disconnect.
+// request sends one request, of the kind that the step selects, from a caller that may
+// disconnect.
 func (e *execution) request(s step) {
 	alive := e.fleet.Alive()
 	if len(alive) == 0 {
@@ -232,7 +234,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	if s.b >= 44 {
 		// Some callers disconnect in the middle of a stream that would take
-		// minutes: only a cancellation frees its memory.
+		// minutes, so that only a cancellation frees its memory.
 		if call.Kind.Stream {
 			call.Tokens = longOutput
 		}
@@ -264,8 +266,8 @@
 	return text.String()
 }
 
-// settleTime is the time without load at the end, longer than the resume window, the
-// hold time and the retries of cancellations.
+// settleTime is the time without load at the end. It is longer than the resume window,
+// the time for which prefill results are held, and the retries of cancellations.
 const settleTime = 40 * time.Second
 
 // runSchedule runs a schedule in virtual time, ends every fault, and returns the
@@ -330,7 +332,7 @@
 	}
 	time.Sleep(settleTime)
 	verdict := load.Evaluate(e.results, e.fleet.Ledgers())
-	verdict.Lost = 0 // A caller that reaches only terminated nodes, or disconnects, gets no response.
+	verdict.Lost = 0 // A caller that disconnects or reaches only terminated nodes gets no response.
 	if verdict.Failed() {
 		for _, violation := range verdict.Violations {
 			if !strings.Contains(violation, ": lost") {
