--- a/owner/inspect.go
+++ b/owner/inspect.go
@@ -26,12 +26,13 @@
 type holderState struct {
 	// isTerminated reports that the node's incarnation has ended.
 	isTerminated func(engine.Holder) bool
-	// seesMajority is set if this node has contact with most of its zone, so that its view of a node
-	// whose connections still exist is reliable.
+	// seesMajority is set if this node has contact with most of its zone, so that it can tell a
+	// terminated node from one that only this node cannot reach.
 	seesMajority bool
 }
 
-// inspect adopts streams without a booking, drops lost bookings, and returns the streams to cancel.
+// inspect compares the bookings with what the engines report: it adopts streams without a booking,
+// drops lost bookings, and returns the streams to cancel.
 func (p *pool) inspect(reports []engineReport, holders holderState, window time.Duration, suspects map[orphan]time.Time) []orphan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,8 +63,8 @@
 // adopt books a decode stream that no entry node has reported. If the stream has a booking, adopt
 // confirms that booking.
 func (p *pool) adopt(now time.Time, id, engineName string, status engine.StreamStatus) {
-	if known, ok := p.bookings[id]; ok {
-		known.lastSeen = now
+	if existing, ok := p.bookings[id]; ok {
+		existing.lastSeen = now
 		return
 	}
 	if status.MaxTokens <= 1 || status.Phase != "decode" {
@@ -99,8 +100,8 @@
 	return now.Sub(since) >= window
 }
 
-// unreturnedTimeout is when a grant that no engine holds counts as lost although its holder is
-// alive: the message that returned it did not arrive.
+// unreturnedTimeout is the time after which a grant that no engine holds counts as lost although
+// its holder is alive: the message that returned it did not arrive.
 const unreturnedTimeout = 15 * time.Second
 
 // dropLost frees bookings that no engine holds: those whose holder has terminated, adopted ones
@@ -122,7 +123,7 @@
 	}
 }
 
-// lossTimeout is how long a booking is kept that no engine reports.
+// lossTimeout is how long a booking is kept while no engine reports it.
 func (b *booking) lossTimeout(holders holderState, window time.Duration) time.Duration {
 	switch {
 	case b.adopted:
@@ -130,7 +131,7 @@
 	case holders.isTerminated(b.holder):
 		return window
 	case b.prefill == "" && b.decode == "":
-		// The request waits in the queue, which rejects it once it is late.
+		// The request waits in the queue, which rejects the request once it cannot be in time.
 		return time.Hour
 	default:
 		return unreturnedTimeout
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -63,10 +63,12 @@
 type Owner struct {
 	options Options
 
-	mu       sync.Mutex
-	pools    map[string]*pool
+	mu    sync.Mutex
+	pools map[string]*pool
+	// suspects is when each stream of a pool was first found to have no live holder.
 	suspects map[string]map[orphan]time.Time
-	offsets  map[string]uint64
+	// offsets is the sequence number of the last cache event that was read from each engine.
+	offsets map[string]uint64
 }
 
 // New returns an owner without pools. A pool's state is created by its first use.
@@ -82,7 +84,8 @@
 
 var errUnknownPool = api.NewError(http.StatusNotFound, api.CodeNotFound, api.OutcomeNotRun, "pool is not configured")
 
-// pool returns the state of a pool. Before it creates one, it asks the engines what they hold.
+// pool returns the state of a pool. Before creating one, it requests the streams and roles of all
+// engines.
 func (o *Owner) pool(ctx context.Context, name string) (*pool, error) {
 	snapshot := o.options.Configuration.Current()
 	configured, ok := snapshot.Pool(name)
@@ -90,16 +93,16 @@
 		return nil, errUnknownPool
 	}
 	o.mu.Lock()
-	known, ok := o.pools[name]
+	existing, ok := o.pools[name]
 	o.mu.Unlock()
 	if ok {
-		return known, nil
+		return existing, nil
 	}
 	reports := o.listEngines(ctx, configured, func(string) bool { return false })
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if known, ok := o.pools[name]; ok {
-		return known, nil
+	if existing, ok := o.pools[name]; ok {
+		return existing, nil
 	}
 	created := newPool(configured, o.options.Scheduler, o.options.Metrics, o.options.Now)
 	created.version = snapshot.Version()
--- a/owner/pool.go
+++ b/owner/pool.go
@@ -13,13 +13,13 @@
 	"github.com/reelrun/reelrun/scheduler"
 )
 
-// booking is a grant that the pool has made or that was reported to it.
+// booking is a request that waits for a grant or has one, made by this owner or reported to it.
 type booking struct {
 	request *scheduler.Request
 	holder  engine.Holder
 	prefill string
 	decode  string
-	// decisions receives the grant and then the decode engine.
+	// decisions receives the grant of the prefill engine and then that of the decode engine.
 	decisions chan scheduler.Decision
 	// lastSeen is when the booking was last confirmed by its holder or an engine, or could not be
 	// checked because its engine did not answer.
@@ -90,7 +90,8 @@
 // elapsed is the pool's scheduler time.
 func (p *pool) elapsed() time.Duration { return p.now().Sub(p.start) }
 
-// schedule delivers the decisions that are due. The caller holds the lock.
+// schedule delivers the decisions that are due, and sets a timer for the next check while requests
+// wait. The caller holds the lock.
 func (p *pool) schedule() {
 	for _, decision := range p.scheduler.Schedule(p.elapsed()) {
 		p.deliver(decision)
@@ -130,7 +131,8 @@
 	}
 }
 
-// decisionBuffer is enough for a grant, a decode engine and a few replacements of that engine.
+// decisionBuffer is enough for the grants of a prefill engine, of a decode engine and of a few
+// replacements of the latter.
 const decisionBuffer = 8
 
 // grant waits until the request is granted or rejected.
--- a/owner/reconcile.go
+++ b/owner/reconcile.go
@@ -14,8 +14,8 @@
 // listTimeout bounds the listing of an engine's streams.
 const listTimeout = time.Second
 
-// listEngines asks each engine of a pool for its streams and, unless its role is confirmed, for its
-// role.
+// listEngines requests the streams of each engine of a pool and, unless the engine's role is
+// confirmed, its role.
 func (o *Owner) listEngines(ctx context.Context, configured *api.Pool, confirmed func(engine string) bool) []engineReport {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -164,8 +164,8 @@
 	}
 }
 
-// retire drops the state of a pool that the node no longer owns. Its waiting requests are sent to
-// the new owner; the tracking of granted ones ends here.
+// retire drops the state of a pool that the node no longer owns, poolRetention after its last use.
+// The entry nodes send waiting requests to the new owner; granted ones are no longer tracked here.
 func (o *Owner) retire(name string) {
 	o.mu.Lock()
 	retired, ok := o.pools[name]
@@ -188,8 +188,8 @@
 	return p.lastUsed
 }
 
-// HandOver sends all waiting requests to the new owners. It is called when the node is draining and
-// no longer ready.
+// HandOver drops the state of all pools and makes the entry nodes send waiting requests to the new
+// owners. It is called when the node is draining and no longer ready.
 func (o *Owner) HandOver() {
 	o.mu.Lock()
 	handedOver := o.pools
