--- a/engine/client.go
+++ b/engine/client.go
@@ -19,9 +19,12 @@
 )
 
 const (
+	// maxResponseBytes bounds the body of a response, and maxErrorBytes that of an
+	// error response.
 	maxResponseBytes = 4 << 20
 	maxErrorBytes    = 64 << 10
-	controlTimeout   = 2 * time.Second
+	// controlTimeout bounds one call other than prefill, decode, resume and order.
+	controlTimeout = 2 * time.Second
 )
 
 // Client calls engines. It is safe for concurrent use.
@@ -93,7 +96,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Load returns the engine's load report, which lags behind.
+// Load returns the engine's load report, which may be some time old.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
 	var load Load
 	err := c.control(ctx, http.MethodGet, address, PathLoad, &load)
@@ -108,9 +111,10 @@
 	return events, err
 }
 
-// Order sends an order with a fencing token. The context bounds the time that it can
-// be in flight. Guard is called when the connection is established, right before the
-// order is written; its error prevents the order from being sent.
+// Order sends an order with a fencing token. The context bounds the time for which
+// the order can be in flight. Order calls guard once the connection is established,
+// right before the order is written; if guard returns an error, the order is not
+// sent.
 func (c *Client) Order(ctx context.Context, address string, order Order, guard func() error) error {
 	encoded, err := json.Marshal(order)
 	if err != nil {
@@ -182,8 +186,8 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "encode request")
 		}
-		// The wrapper hides the reader's type, so that net/http cannot send the
-		// request a second time on its own.
+		// The wrapper hides the reader's type, so that net/http cannot resend the
+		// request automatically.
 		reader = struct{ io.Reader }{bytes.NewReader(encoded)}
 	}
 	return c.sendBody(ctx, method, address, path, query, reader)
--- a/engine/dialect/dialect.go
+++ b/engine/dialect/dialect.go
@@ -22,8 +22,8 @@
 const (
 	// HeaderRequestID is the caller's identifier of an attempt.
 	HeaderRequestID = "Reelrun-Request-Id"
-	// HeaderWait is how long the caller waits, and to backends the time left, in
-	// milliseconds.
+	// HeaderWait is how long the caller waits and, in requests to backends, the time that is left,
+	// in milliseconds.
 	HeaderWait = "Reelrun-Wait-Ms"
 	// HeaderLastEvent is the id of the last event that the caller has received.
 	HeaderLastEvent = "Last-Event-Id"
@@ -47,8 +47,8 @@
 // Dialect implements the product's own engine protocol. It is safe for concurrent use.
 type Dialect struct {
 	options Options
-	// name is part of the identifier of each attempt, so that no identifier is chosen by a
-	// caller.
+	// name is the request identifier of all attempts, so that callers cannot choose the identifiers
+	// that engines receive.
 	name     string
 	attempts atomic.Uint32
 }
@@ -129,7 +129,7 @@
 	return last + 1, nil
 }
 
-// newAttempt returns an attempt with an identifier that no engine has seen.
+// newAttempt returns an attempt with an identifier that no engine has received.
 func (d *Dialect) newAttempt() engine.Attempt { return d.attempt(d.attempts.Add(1)) }
 
 func (d *Dialect) holder() engine.Holder { return engine.Holder{Node: d.options.Node} }
--- a/engine/dialect/dialect_test.go
+++ b/engine/dialect/dialect_test.go
@@ -134,7 +134,7 @@
 	return `{"model":"` + model + `","prompt":"` + prompt + `","max_tokens":` + strconv.Itoa(tokens) + `}`
 }
 
-// text returns the ids and the joined text of a stream of events.
+// text returns the event ids of a stream and its events' text, joined.
 func text(body io.Reader) ([]string, string, error) {
 	var ids []string
 	var joined strings.Builder
@@ -152,8 +152,8 @@
 
 // expectNothingHeld waits until no engine holds memory.
 func (f *fixture) expectNothingHeld(g *WithT) {
-	for name, held := range f.engines {
-		g.Eventually(func() int { return held.Report().HeldKVTokens }, eventuallyTimeout).Should(BeZero(), name)
+	for name, simulated := range f.engines {
+		g.Eventually(func() int { return simulated.Report().HeldKVTokens }, eventuallyTimeout).Should(BeZero(), name)
 	}
 }
 
@@ -175,8 +175,8 @@
 	response := f.send(t.Context(), t, "/plan/draft", generation(20), "11")
 	ids, joined, err := text(response.Body)
 	g.Expect(err).NotTo(HaveOccurred())
-	whole := answer.Text(model, prompt, 20)
-	g.Expect(joined).To(Equal(strings.TrimPrefix(whole, answer.Text(model, prompt, 12))))
+	complete := answer.Text(model, prompt, 20)
+	g.Expect(joined).To(Equal(strings.TrimPrefix(complete, answer.Text(model, prompt, 12))))
 	g.Expect(ids[0]).To(Equal("12"))
 }
 
@@ -222,10 +222,10 @@
 
 func TestMalformedRequests(t *testing.T) {
 	for name, test := range map[string]struct{ body, lastEvent string }{
-		"no JSON":       {"{", ""},
-		"no prompt":     {`{"max_tokens":3}`, ""},
-		"no length":     {`{"prompt":"x"}`, ""},
-		"no last event": {generation(3), "x"},
+		"malformed JSON":          {"{", ""},
+		"no prompt":               {`{"max_tokens":3}`, ""},
+		"no max_tokens":           {`{"prompt":"x"}`, ""},
+		"malformed last event ID": {generation(3), "x"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -245,7 +245,8 @@
 	g.Expect(bytes.Contains(body, []byte(`"/app/log"`))).To(BeTrue(), string(body))
 }
 
-// TestPlainServiceBackoffIsHonored has the only backend of a service request backoff.
+// TestPlainServiceBackoffIsHonored has the only backend of a plain service respond with a
+// Retry-After header. Until that time is over, it must receive no further request.
 func TestPlainServiceBackoffIsHonored(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t, time.Millisecond)
--- a/engine/dialect/events.go
+++ b/engine/dialect/events.go
@@ -37,7 +37,8 @@
 	return b.pending.Read(buffer)
 }
 
-// advance reads the next token, or the end, from the stream.
+// advance reads the next event of the stream: a token that the caller lacks becomes pending, one
+// that the caller has is skipped.
 func (b *eventBody) advance() error {
 	token, _, err := b.stream.Next()
 	switch {
--- a/engine/dialect/generate.go
+++ b/engine/dialect/generate.go
@@ -17,7 +17,7 @@
 )
 
 // minPrefillOnlyTokens is the smallest MaxTokens for which a prefill engine only prefills the
-// prompt; with one token, it answers the request without a decode engine.
+// prompt; if MaxTokens is one, it answers the request without a decode engine.
 const minPrefillOnlyTokens = 2
 
 // handle identifies a prefilled prompt: the number of its attempt and the engine's result.
@@ -49,7 +49,8 @@
 	result, err := d.options.Engines.Prefill(limited, target.Address, engine.PrefillRequest{
 		Attempt: attempt, Holder: d.holder(), Model: body.Model, Salt: request.Host, Prompt: body.Prompt,
 		MaxTokens: max(minPrefillOnlyTokens, body.MaxTokens),
-		// All attempts have the same seed, so that one can continue another one's output.
+		// All attempts have the same seed, so that each generates the same output and can continue
+		// that of an earlier one.
 		Seed: xxhash.Sum64String(request.Host + "\x00" + request.ID),
 	})
 	if err == nil {
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -157,7 +157,7 @@
 type Order struct {
 	// FencingToken increases with each holder of the pool's lease. An engine that
 	// checks fencing tokens rejects an order whose token is below the highest one that
-	// it has seen.
+	// it has received.
 	FencingToken uint64    `json:"fence"`
 	ID           string    `json:"id"`
 	Kind         OrderKind `json:"kind"`
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -45,7 +45,7 @@
 func (s *Stream) Offset() int { return s.next }
 
 // Next returns the next token, or the Done event with io.EOF as the error. Tokens
-// that were read before are dropped.
+// before the expected offset are dropped.
 func (s *Stream) Next() (Token, Done, error) {
 	for {
 		event, err, ok := s.pull()
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -62,9 +62,9 @@
 			text.WriteString(tokenEvent(testAttempt, offset))
 		}
 		text.WriteString(doneEvent(testAttempt, length))
-		whole := text.String()
-		cut := rapid.IntRange(0, len(whole)).Draw(t, "cut")
-		offsets, err := read(whole[:cut])
+		untruncated := text.String()
+		cut := rapid.IntRange(0, len(untruncated)).Draw(t, "cut")
+		offsets, err := read(untruncated[:cut])
 		for i, offset := range offsets {
 			if i != offset {
 				t.Fatalf("token %d was read at position %d", offset, i)
@@ -82,11 +82,11 @@
 		text string
 		want error
 	}{
-		"foreign token": {tokenEvent(foreign, 0), ErrAttemptMismatch},
-		"foreign end":   {doneEvent(foreign, 0), ErrAttemptMismatch},
-		"gap":           {tokenEvent(testAttempt, 1), ErrGap},
-		"short end":     {tokenEvent(testAttempt, 0) + doneEvent(testAttempt, 2), ErrGap},
-		"cut":           {tokenEvent(testAttempt, 0), ErrBroken},
+		"token of another request":        {tokenEvent(foreign, 0), ErrAttemptMismatch},
+		"done event of another request":   {doneEvent(foreign, 0), ErrAttemptMismatch},
+		"missing token":                   {tokenEvent(testAttempt, 1), ErrGap},
+		"missing token before done event": {tokenEvent(testAttempt, 0) + doneEvent(testAttempt, 2), ErrGap},
+		"no done event":                   {tokenEvent(testAttempt, 0), ErrBroken},
 	} {
 		if _, err := read(test.text); !errors.Is(err, test.want) {
 			t.Errorf("%s: got %v", name, err)
