--- a/controller/engineorder/reconciler.go
+++ b/controller/engineorder/reconciler.go
@@ -116,15 +116,15 @@
 func (r *Reconciler) lease(pool string) *lease.Lease {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.leases[pool]
+	poolLease, ok := r.leases[pool]
 	if !ok {
-		known = lease.New(lease.Options{
+		poolLease = lease.New(lease.Options{
 			Store: r.options.Store, Name: "pool-" + pool, Holder: r.options.Holder,
 			Duration: r.options.LeaseDuration, Now: r.options.Now,
 		})
-		r.leases[pool] = known
+		r.leases[pool] = poolLease
 	}
-	return known
+	return poolLease
 }
 
 // pendingOrder is an order that is still to be sent to an engine.
@@ -133,8 +133,8 @@
 	order  engine.Order
 }
 
-// pending compares the state that each engine reports with the configuration. An
-// engine that does not respond is left to the next round.
+// pending compares the state that each engine reports with the configuration, and returns the
+// orders that are needed. An engine that does not respond is left to the next round.
 func (r *Reconciler) pending(ctx context.Context, pool *api.Pool) []pendingOrder {
 	var orders []pendingOrder
 	for i := range pool.Engines {
@@ -168,7 +168,8 @@
 	return orders
 }
 
-// send sends the orders whose engines are drained. It reports whether it sent all of them.
+// send sends the orders whose engines are drained, and all adapter orders. It reports whether it
+// sent all orders.
 func (r *Reconciler) send(ctx context.Context, poolLease *lease.Lease, fencingToken uint64, orders []pendingOrder) (bool, error) {
 	allSent := true
 	for _, pending := range orders {
--- a/controller/engineorder/reconciler_test.go
+++ b/controller/engineorder/reconciler_test.go
@@ -21,7 +21,7 @@
 	load     engine.Load
 	streams  []engine.StreamStatus
 	received []engine.Order
-	// beforeOrder runs after the holder has checked its lease, before the order is sent.
+	// beforeOrder runs after the holder has acquired its lease, before the guard checks it.
 	beforeOrder func()
 }
 
@@ -49,7 +49,7 @@
 
 func (ownsAll) Owns(string, string) bool { return true }
 
-// fixture is two candidates for the lease of one pool in the same store.
+// fixture holds two reconcilers that compete for the lease of one pool in the same store.
 type fixture struct {
 	now     time.Time
 	engines *fakeEngines
@@ -57,12 +57,12 @@
 	second  *Reconciler
 }
 
-func newFixture(t *testing.T, checksFence bool) *fixture {
+func newFixture(t *testing.T, checksFencingToken bool) *fixture {
 	t.Helper()
 	f := &fixture{now: time.Unix(1000, 0), engines: &fakeEngines{load: engine.Load{Role: api.RoleDecode}}}
 	holder := configuration.NewHolder()
 	parts, err := configuration.Split(api.Configuration{Pools: []api.Pool{{
-		Name: "pool", Model: "m", Zone: "z", ChecksFencingToken: checksFence, Engines: []api.Engine{{Name: "e", Address: "127.0.0.1:1", Role: api.RolePrefill}},
+		Name: "pool", Model: "m", Zone: "z", ChecksFencingToken: checksFencingToken, Engines: []api.Engine{{Name: "e", Address: "127.0.0.1:1", Role: api.RolePrefill}},
 	}}})
 	if err != nil {
 		t.Fatal(err)
@@ -120,15 +120,15 @@
 	g.Expect(f.engines.received).To(HaveLen(1))
 }
 
-// TestSuspendedHolderSendsNothing suspends the first holder between the check of its
-// lease and the sending of the order, until the second holder has taken over.
+// TestSuspendedHolderSendsNothing suspends the first holder after it has acquired its lease and
+// before it sends the order, until the second holder has taken over.
 func TestSuspendedHolderSendsNothing(t *testing.T) {
-	for _, checksFence := range []bool{true, false} {
+	for _, checksFencingToken := range []bool{true, false} {
 		g := NewWithT(t)
-		f := newFixture(t, checksFence)
+		f := newFixture(t, checksFencingToken)
 		f.engines.beforeOrder = func() {
 			f.engines.beforeOrder = nil
-			reconcile(t, f.second) // Finds the lease held.
+			reconcile(t, f.second) // The first holder still has the lease.
 			f.now = f.now.Add(defaultLeaseDuration + time.Second)
 			reconcile(t, f.second) // Takes over.
 			f.now = f.now.Add(defaultOrderTimeout)
@@ -144,16 +144,16 @@
 // engine that does not check fencing tokens, the new holder must still wait for the longest
 // time that an order can be in flight.
 func TestTakeoverWaitsForOrdersInFlight(t *testing.T) {
-	for _, checksFence := range []bool{true, false} {
+	for _, checksFencingToken := range []bool{true, false} {
 		g := NewWithT(t)
-		f := newFixture(t, checksFence)
+		f := newFixture(t, checksFencingToken)
 		f.engines.streams = []engine.StreamStatus{{}}
 		reconcile(t, f.first) // Holds the lease while the engine drains.
 		reconcile(t, f.second)
 		f.engines.streams = nil
 		f.now = f.now.Add(defaultLeaseDuration + time.Second)
 		reconcile(t, f.second)
-		if checksFence {
+		if checksFencingToken {
 			g.Expect(f.engines.received).To(HaveLen(1))
 			continue
 		}
--- a/controller/manager.go
+++ b/controller/manager.go
@@ -24,8 +24,8 @@
 
 // Result determines when the object is reconciled again.
 type Result struct {
-	// RequeueAfter, if above zero, schedules the next round sooner than the
-	// controller's interval.
+	// RequeueAfter, if above zero, is the maximum time until the next round, which
+	// otherwise starts after the controller's interval.
 	RequeueAfter time.Duration
 }
 
@@ -42,7 +42,7 @@
 	return f(ctx, request)
 }
 
-// Controller is a reconciler with the objects it reconciles.
+// Controller is a reconciler with the objects that it reconciles.
 type Controller struct {
 	// Name appears in the counters reconciles_<name> and reconcile_errors_<name>.
 	Name       string
--- a/controller/rolechange/reconciler.go
+++ b/controller/rolechange/reconciler.go
@@ -34,7 +34,7 @@
 	Acceptor      Acceptor
 	Metrics       *metrics.Set
 	Events        *timeline.Ring
-	// Rebalance holds the thresholds. The zero value selects the measured defaults.
+	// Rebalance holds the thresholds. The zero value selects the defaults.
 	Rebalance rebalance.Options
 	// Now returns the current time. Default time.Now.
 	Now func() time.Time
@@ -96,7 +96,8 @@
 	return current
 }
 
-// Reconcile evaluates the demand on one pool since the previous call.
+// Reconcile evaluates the demand on one pool since the previous call, and applies new advice if the
+// pool's policy is "apply".
 func (r *Reconciler) Reconcile(ctx context.Context, request controller.Request) (controller.Result, error) {
 	configured, ok := r.options.Configuration.Current().Pool(request.Name)
 	demand, owned := r.options.Demand.Demand(request.Name)
@@ -127,33 +128,33 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Now()
-	known, ok := r.pools[configured.Name]
-	if !ok || demand.Epoch != known.demand.Epoch {
+	observed, ok := r.pools[configured.Name]
+	if !ok || demand.Epoch != observed.demand.Epoch {
 		// The demand counters start anew with each epoch of the pool's state at this node.
 		r.pools[configured.Name] = &observedPool{advisor: rebalance.New(r.options.Rebalance), startedAt: now, observedAt: now, demand: demand}
 		return nil
 	}
-	elapsed := now.Sub(known.observedAt).Seconds()
+	elapsed := now.Sub(observed.observedAt).Seconds()
 	if elapsed <= 0 {
 		return nil
 	}
 	load := rebalance.Load{
 		PrefillEngines: demand.PrefillEngines, DecodeEngines: demand.DecodeEngines,
-		Prefill: (demand.Prefill - known.demand.Prefill) / elapsed, Decode: (demand.Decode - known.demand.Decode) / elapsed,
+		Prefill: (demand.Prefill - observed.demand.Prefill) / elapsed, Decode: (demand.Decode - observed.demand.Decode) / elapsed,
 	}
-	if known.advice != nil && roleOf(configured, known.advice.Engine) == known.advice.Role {
-		known.advice = nil // The advice has been applied.
+	if observed.advice != nil && roleOf(configured, observed.advice.Engine) == observed.advice.Role {
+		observed.advice = nil // The advice has been applied.
 	}
-	known.observedAt, known.demand = now, demand
-	change, due := known.advisor.Observe(now.Sub(known.startedAt), load)
+	observed.observedAt, observed.demand = now, demand
+	change, due := observed.advisor.Observe(now.Sub(observed.startedAt), load)
 	if !due || demand.Changing {
 		return nil
 	}
-	known.advice = &Advice{
+	observed.advice = &Advice{
 		Pool: configured.Name, Engine: lastEngineWithRole(configured, change.From), Role: change.To,
 		PrefillUse: change.PrefillUse, DecodeUse: change.DecodeUse,
 	}
-	return known.advice
+	return observed.advice
 }
 
 func roleOf(pool *api.Pool, engine string) api.Role {
