--- a/sim/model/bound.go
+++ b/sim/model/bound.go
@@ -27,12 +27,12 @@
 	prefillRate := float64(prefills)
 	var prefillCosts, decodeCosts []float64
 	windows := map[time.Duration][]float64{}
-	longestFirstTokenTarget := time.Duration(0)
+	maxFirstTokenTarget := time.Duration(0)
 	for _, j := range jobs {
 		cost := float64(j.prompt-min(j.kind.sharedTokens, j.prompt))/parameters.PrefillTokensPerSecond + parameters.PrefillOverhead.Seconds()
 		prefillCosts = append(prefillCosts, cost)
 		windows[j.arrival/boundWindow] = append(windows[j.arrival/boundWindow], cost)
-		longestFirstTokenTarget = max(longestFirstTokenTarget, j.kind.firstToken)
+		maxFirstTokenTarget = max(maxFirstTokenTarget, j.kind.firstToken)
 		decodeTokens := 0.0
 		if j.kind.maxOutput > 1 {
 			decodeTokens = float64(j.output)
@@ -41,9 +41,9 @@
 	}
 	inWindows := 0
 	for _, costs := range windows {
-		inWindows += countWithin(costs, prefillRate*(boundWindow+longestFirstTokenTarget).Seconds())
+		inWindows += countWithin(costs, prefillRate*(boundWindow+maxFirstTokenTarget).Seconds())
 	}
-	horizon := (options.Length + longestFirstTokenTarget).Seconds()
+	horizon := (options.Length + maxFirstTokenTarget).Seconds()
 	step := parameters.Step.Time(parameters.Slots, 0).Seconds()
 	decodeRate := float64(parameters.DecodeEngines*parameters.Slots) / step
 	// Decoding an output can take as long as the token interval target allows.
--- a/sim/model/compare.go
+++ b/sim/model/compare.go
@@ -37,10 +37,14 @@
 	Goodput float64 `json:"goodput"`
 	// WastedPrefill is the share of prefilled tokens whose result was never used.
 	WastedPrefill float64 `json:"wasted_prefill"`
-	Rejected      float64 `json:"refused"`
-	Late          float64 `json:"late"`
-	// Jain is the fairness index of the tenants' goodput.
-	Jain    float64 `json:"jain"`
+	// Rejected is the share of offered requests that were rejected, and Late the share of those
+	// that missed a target for any other reason.
+	Rejected float64 `json:"refused"`
+	Late     float64 `json:"late"`
+	// Jain is Jain's fairness index of the tenants' goodput.
+	Jain float64 `json:"jain"`
+	// TTFTP95 and TBTP95 are the 95th percentiles, in seconds, of the time to the first token and
+	// of the mean time between the tokens of a request.
 	TTFTP95 float64 `json:"ttft_p95_s"`
 	TBTP95  float64 `json:"tbt_p95_s"`
 	// VictimGoodput is the goodput of all tenants except the flooding one.
@@ -71,7 +75,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// The requests have a random stream of their own, so that they are the same for all policies.
+	// The requests are drawn from a separate random stream, so that they are the same for all
+	// policies.
 	const requestStream, engineStream, policyStream = 1, 2, 3
 	parameters := options.Parameters
 	rate, prefills := capacity(mix, parameters)
@@ -146,7 +151,7 @@
 	offeredBy, metBy := map[string]float64{}, map[string]float64{}
 	for _, j := range jobs {
 		if j.disconnects {
-			continue // A caller that disconnects on its own is not counted.
+			continue // The caller disconnects whatever the policy does, so it is not counted.
 		}
 		result.Offered++
 		offeredBy[j.tenant]++
@@ -190,8 +195,8 @@
 	return math.Round(value*scale) / scale
 }
 
-// jain returns Jain's fairness index of the tenants' goodput. Tenants with few
-// requests are left out, because their goodput is mostly random.
+// jain returns Jain's fairness index of the tenants' goodput. Tenants with few requests are
+// omitted, because their goodput is mostly random.
 func jain(offered, met map[string]float64) float64 {
 	const minRequests = 20
 	names := make([]string, 0, len(offered))
--- a/sim/model/engines.go
+++ b/sim/model/engines.go
@@ -319,8 +319,8 @@
 	j.state.phase = phaseDone
 }
 
-// failDecodeEngine makes a decode engine unavailable for a time. Its jobs must start
-// again.
+// failDecodeEngine makes a decode engine unavailable for the given time. Its jobs
+// start again with a new attempt.
 func (s *simulation) failDecodeEngine(engine int, downtime time.Duration) {
 	target := s.decodes[engine]
 	target.available = false
--- a/sim/model/policies.go
+++ b/sim/model/policies.go
@@ -28,7 +28,8 @@
 	jobs() []*job
 }
 
-// Policies returns the names of the compared policies. The router's own is the last.
+// Policies returns the names of the compared policies. The last is the router's
+// policy.
 func Policies() []string {
 	return []string{"random", "round-robin", "least-loaded", "power-of-two", "prefix-affinity", "vtc", "reelrun"}
 }
@@ -101,7 +102,7 @@
 	return newIndependentRouter(s, jobs, choose, random), nil
 }
 
-// poolRouter routes with a scheduler.Pool, as the owner of a pool does.
+// poolRouter assigns jobs by a scheduler.Pool, as the owner of a pool does.
 type poolRouter struct {
 	simulation     *simulation
 	allJobs        []*job
@@ -250,8 +251,8 @@
 // engineChooser selects a prefill and a decode engine for a job.
 type engineChooser func(p *independentRouter, j *job) (prefill, decode int)
 
-// independentRouter assigns each request on arrival by delayed load reports. It has
-// no queue and rejects no request.
+// independentRouter assigns each request on arrival, based on delayed load reports. It
+// has no queue and rejects no request.
 type independentRouter struct {
 	simulation *simulation
 	allJobs    []*job
@@ -269,8 +270,8 @@
 	return p
 }
 
-// report takes a load snapshot, makes it visible after Parameters.LoadLag, and
-// repeats.
+// report takes a load snapshot, makes it visible after Parameters.LoadLag, and then
+// takes the next one.
 func (p *independentRouter) report() {
 	s := p.simulation
 	current := loadReport{queuedTokens: make([]int, len(s.prefills)), slotsInUse: make([]int, len(s.decodes)), decodeDown: make([]bool, len(s.decodes))}
--- a/sim/model/roles.go
+++ b/sim/model/roles.go
@@ -11,8 +11,8 @@
 const (
 	// roleInterval is the time between observations of the load.
 	roleInterval = 5 * time.Second
-	// drainPoll is the time between checks of a draining engine.
-	drainPoll = 100 * time.Millisecond
+	// drainCheckInterval is the time between checks of a draining engine.
+	drainCheckInterval = 100 * time.Millisecond
 	// roleChangeTime is how long a drained engine takes to carry out an order to change
 	// its role.
 	roleChangeTime = 10 * time.Second
@@ -56,8 +56,9 @@
 	c.start()
 }
 
-// apply stops scheduling to the last engine of the role that gives an engine up, waits
-// until it is drained and has carried out the order, and adds it to the other role.
+// apply stops scheduling to the last engine of the role that is to lose an engine,
+// waits until that engine is drained and has changed its role, and adds it to the other
+// role.
 func (c *roleChanger) apply(advice rebalance.Advice) {
 	s := c.poolRouter.simulation
 	if advice.To == api.RolePrefill {
@@ -100,7 +101,7 @@
 func (c *roleChanger) afterDrain(drained func() bool, add func()) {
 	s := c.poolRouter.simulation
 	if !drained() {
-		s.After(drainPoll, func() { c.afterDrain(drained, add) })
+		s.After(drainCheckInterval, func() { c.afterDrain(drained, add) })
 		return
 	}
 	s.After(roleChangeTime, func() {
--- a/sim/model/trace.go
+++ b/sim/model/trace.go
@@ -21,13 +21,14 @@
 type Timing struct {
 	Answered bool
 	Rejected bool
-	// FirstToken is the time to the first token, Interval the mean time between tokens.
+	// FirstToken is the time to the first token, and Interval the mean time between
+	// tokens.
 	FirstToken time.Duration
 	Interval   time.Duration
 }
 
 // RunTrace simulates a trace with the router's policy on the given number of prefill
-// engines. It serves to compare the model with other engines on the same requests.
+// engines, to compare the model with other engines on the same requests.
 func RunTrace(parameters Parameters, prefillEngines int, trace []Arrival) []Timing {
 	random := rand.New(rand.NewPCG(1, 1))
 	jobs := make([]*job, len(trace))
--- a/sim/model/workload.go
+++ b/sim/model/workload.go
@@ -35,8 +35,8 @@
 
 const second = time.Second
 
-// fisioXela and amrc are the request kinds of the supported deployments that reach a model.
-// The latency targets are those of the example configurations.
+// fisioXela and amrc are the workloads of the supported deployments, with the request kinds that
+// reach a model. The latency targets are those of the example configurations.
 var (
 	fisioXela = workload{name: "fisio-xela", tenants: 24, zipf: 0.8, kinds: []requestKind{
 		{"triage", 0.4, [2]int{1000, 10000}, 300, [2]int{1, 1}, 1, 1500 * time.Millisecond, 50 * time.Millisecond},
@@ -53,9 +53,9 @@
 	}}
 )
 
-// shift is fisio-xela with mostly triage checks in the first half of a run, which
-// lacks prefill engines, and mostly drafts in the second, which lacks decode engines.
-// The engines are provisioned for the mean of both halves.
+// shift is fisio-xela with mostly triage checks in the first half of a run, which need more prefill
+// engines than there are, and mostly drafts in the second half, which need more decode engines. The
+// engines are provisioned for the mean of both halves.
 var shift = workload{
 	name: "shift", tenants: fisioXela.tenants, zipf: fisioXela.zipf,
 	kinds: withShares(fisioXela.kinds, 0.65, 0.35), laterKinds: withShares(fisioXela.kinds, 0.15, 0.85),
@@ -81,9 +81,9 @@
 	return workload{}, errors.Newf("unknown workload %q", name)
 }
 
-// means returns two means per request of the mix: uncached is the number of tokens to
-// prefill when the shared prefix is cached, and decodeTokens the output of requests
-// that reach a decode engine.
+// means returns two means over all requests of the mix, in tokens: uncached is the number of tokens
+// to prefill when the shared prefix is cached, and decodeTokens the length of the output that a
+// decode engine generates, which is zero for requests that end with their prefill.
 func (w workload) means() (uncached, decodeTokens float64) {
 	if len(w.laterKinds) > 0 {
 		firstUncached, firstDecode := workload{kinds: w.kinds}.means()
@@ -116,7 +116,7 @@
 	state jobState
 }
 
-// drawTenant returns a random tenant, weighted by the Zipf distribution.
+// drawTenant returns the number of a random tenant, weighted by the Zipf distribution.
 func (w workload) drawTenant(random *rand.Rand, cumulative []float64) int {
 	value := random.Float64() * cumulative[len(cumulative)-1]
 	at, _ := slices.BinarySearch(cumulative, value)
@@ -133,8 +133,10 @@
 	return cumulative
 }
 
-// Shape of the arrivals over a run: a diurnal cycle, bursts, and a flooding tenant
-// between floodStart and floodEnd, as fractions of the run.
+// Shape of the arrivals over a run: a diurnal cycle, bursts, and a flooding tenant between
+// floodStart and floodEnd, as fractions of the run. floodLoad is the flooding tenant's request rate
+// as a share of the mean rate, and longestOutput the largest maxOutput of all request kinds, in
+// tokens.
 const (
 	diurnalAmplitude = 0.25
 	burstShare       = 0.15
@@ -149,13 +151,13 @@
 
 // rateAt returns the arrival rate at a time, relative to a mean of one.
 func rateAt(at, length time.Duration) float64 {
-	day := 1 + diurnalAmplitude*math.Sin(2*math.Pi*(float64(at)/float64(length)-0.25))
+	diurnal := 1 + diurnalAmplitude*math.Sin(2*math.Pi*(float64(at)/float64(length)-0.25))
 	// A burst raises the rate by burstShare; dividing by the mean keeps it at one.
 	mean := 1 + burstShare*float64(burstLength)/float64(burstPeriod)
 	if at%burstPeriod < burstLength {
-		return day * (1 + burstShare) / mean
+		return diurnal * (1 + burstShare) / mean
 	}
-	return day / mean
+	return diurnal / mean
 }
 
 // generate returns the requests of a run in order of arrival.
