--- a/sim/modelcheck/check.go
+++ b/sim/modelcheck/check.go
@@ -19,7 +19,8 @@
 	"github.com/reelrun/reelrun/sim/rehearsal"
 )
 
-// Properties shared by the model's engines and the stand-in engines, and of the trace.
+// Properties of the engines, which are the same for the model and the stand-in engines,
+// and of the trace. Sizes are in tokens and rates in tokens per second.
 const (
 	prefillEngines  = 2
 	decodeEngines   = 2
@@ -102,8 +103,8 @@
 	return matching
 }
 
-// fleetOptions returns the same properties as options of the nodes and the stand-in
-// engines.
+// fleetOptions returns the same properties as options of the fleet, which consists of
+// nodes and stand-in engines.
 func fleetOptions() rehearsal.Options {
 	zones := []string{"zone"}
 	configuration := rehearsal.Generate(rehearsal.Shape{
--- a/sim/modelcheck/check_test.go
+++ b/sim/modelcheck/check_test.go
@@ -31,8 +31,9 @@
 	return report
 }
 
-// TestModelFitsTheEngines bounds the difference between the model and the stand-in
-// engines below, near and above the load that fills the decode engines.
+// TestModelFitsTheEngines bounds the difference between the results of the model
+// and of the stand-in engines, below, near and above the load that fills the decode
+// engines.
 func TestModelFitsTheEngines(t *testing.T) {
 	for _, load := range []float64{0.6, 0.9, 1.2} {
 		g := NewWithT(t)
