--- a/sim/enginesim/cache.go
+++ b/sim/enginesim/cache.go
@@ -7,8 +7,8 @@
 	"github.com/reelrun/reelrun/engine"
 )
 
-// maxCacheEvents bounds the number of retained events. Beyond it only the newer half is
-// kept.
+// maxCacheEvents bounds the number of retained events. When there are more, only the
+// newest maxCacheEvents/2 are kept.
 const maxCacheEvents = 4096
 
 // prefixCache is an LRU cache of prompt blocks; capacity is in blocks. Its events become
@@ -79,6 +79,7 @@
 	}
 }
 
+// visible returns the visible events with a higher sequence number than after.
 func (c *prefixCache) visible(after uint64, now time.Time) []engine.CacheEvent {
 	selected := []engine.CacheEvent{}
 	for _, published := range c.events {
--- a/sim/enginesim/decode.go
+++ b/sim/enginesim/decode.go
@@ -20,8 +20,8 @@
 	importTimeout = 30 * time.Second
 	// kvBytesPerToken is the size of the padding that represents one token's KV cache.
 	kvBytesPerToken = 8
-	// exportChunkTokens is the number of tokens exported per wait for the link's rate
-	// limit.
+	// exportChunkTokens is the number of tokens that are exported at a time, after a
+	// wait for the link's rate limit.
 	exportChunkTokens = 256
 )
 
@@ -103,6 +103,8 @@
 	return s, nil
 }
 
+// reserve admits a decode stream if the engine has a free slot and free KV memory for
+// maxTokens. The memory for the prompt is not checked.
 func (e *Engine) reserve(s *stream) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -191,6 +193,7 @@
 	})
 }
 
+// stepTime returns the time until the next token for the batch as of now.
 func (e *Engine) stepTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/sim/enginesim/engine.go
+++ b/sim/enginesim/engine.go
@@ -25,8 +25,8 @@
 	// PrefillTokensPerSecond is the prefill throughput. Prompts are processed one at a
 	// time.
 	PrefillTokensPerSecond float64
-	// StepTime is the interval between tokens with a full batch. It falls linearly to half
-	// with an empty one.
+	// StepTime is the interval between tokens with a full batch. With an empty batch the interval
+	// is half as long, and in between it is linear.
 	StepTime time.Duration
 	// LinkTokensPerSecond is the rate of KV export, shared by all transfers of the engine.
 	LinkTokensPerSecond float64
@@ -38,8 +38,8 @@
 	LoadLag time.Duration
 	// ChecksFencingToken makes the engine reject orders with a stale fencing token.
 	ChecksFencingToken bool
-	// CacheBlocks is the size of the prefix cache. Its events become visible after
-	// CacheDelay, without those whose sequence number is divisible by CacheGapEvery.
+	// CacheBlocks is the size of the prefix cache in blocks. Its events become visible after
+	// CacheDelay; those whose sequence number is divisible by CacheGapEvery are omitted.
 	CacheBlocks   int
 	CacheDelay    time.Duration
 	CacheGapEvery uint64
@@ -50,8 +50,8 @@
 	HTTP *http.Client
 }
 
-// tombstoneTTL is how long a cancelled attempt is rejected if it arrives again.
-const tombstoneTTL = 5 * time.Minute
+// tombstoneLifetime is how long a cancelled attempt is rejected if it arrives again.
+const tombstoneLifetime = 5 * time.Minute
 
 // phase is the current stage of a stream.
 type phase int
@@ -78,14 +78,19 @@
 	generated int
 	priority  int
 	// computed is the number of tokens prefilled, excluding cached ones.
-	computed  int
-	kvTokens  int
-	used      bool
+	computed int
+	// kvTokens is the KV memory in use, in tokens.
+	kvTokens int
+	// used is set once a prefill result has been exported.
+	used bool
+	// produced is the number of output tokens, including those of earlier attempts, and maxTokens
+	// its bound.
 	produced  int
 	maxTokens int
-	readers   int
-	ctx       context.Context
-	cancel    context.CancelFunc
+	// readers is the number of connections that read the stream.
+	readers int
+	ctx     context.Context
+	cancel  context.CancelFunc
 	// changed is closed and replaced by notify.
 	changed chan struct{}
 }
@@ -156,7 +161,7 @@
 func (e *Engine) removeOldTombstones() {
 	now := time.Now()
 	for attempt, at := range e.tombstones {
-		if now.Sub(at) > tombstoneTTL {
+		if now.Sub(at) > tombstoneLifetime {
 			delete(e.tombstones, attempt)
 		}
 	}
@@ -169,7 +174,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Cancel ends an attempt and rejects it for tombstoneTTL if it arrives again.
+// Cancel ends an attempt and rejects it for tombstoneLifetime if it arrives again.
 func (e *Engine) Cancel(attempt engine.Attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -270,14 +275,15 @@
 	}
 }
 
-// CacheEvents returns the visible cache events with a higher sequence number.
+// CacheEvents returns the visible cache events with a higher sequence number than after.
 func (e *Engine) CacheEvents(after uint64) []engine.CacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cache.visible(after, time.Now())
 }
 
-// Report returns the ledger with its totals and what the engine holds now.
+// Report returns the ledger with its totals, and the streams and KV memory that the engine holds
+// now.
 func (e *Engine) Report() Report {
 	report := e.ledger.report()
 	report.Engine = e.options.Name
--- a/sim/enginesim/prefill.go
+++ b/sim/enginesim/prefill.go
@@ -84,8 +84,8 @@
 	return e.finishPrefill(s, hashes, tokens, cached)
 }
 
-// waitForStart waits until the prefill starts. It returns false if the attempt was
-// cancelled before.
+// waitForStart waits until the prefill starts. It returns false if the attempt is
+// cancelled first.
 func (e *Engine) waitForStart(s *stream) bool {
 	for {
 		e.mu.Lock()
--- a/sim/enginesim/timeline.go
+++ b/sim/enginesim/timeline.go
@@ -7,8 +7,8 @@
 // PathTimeline is the HTTP path of the engine's events for the common timeline.
 const PathTimeline = "/timeline"
 
-// Timeline returns the newest entries of the ledger as events. Their timestamps are
-// physical time only: an engine receives no logical timestamps.
+// Timeline returns the newest entries of the ledger as events. Their timestamps
+// contain only physical time, because an engine receives no logical timestamps.
 func (e *Engine) Timeline() []timeline.Event {
 	entries := e.ledger.report().Entries
 	entries = entries[max(len(entries)-timeline.DefaultCapacity, 0):]
