--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -15,7 +15,7 @@
 	"-operator-address", "127.0.0.1:7301", "-platform-address", "127.0.0.1:7000", "-operator-token-hash", strings.Repeat("0", 64),
 }
 
-func TestValidSettings(t *testing.T) {
+func TestValidSettingsAreParsed(t *testing.T) {
 	g := NewWithT(t)
 	parsed, findings, err := Parse(append(validArguments, "-seeds", "127.0.0.1:7201, 127.0.0.1:7202"), io.Discard)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestEnvironment(t *testing.T) {
+func TestEnvironmentSetsFlags(t *testing.T) {
 	g := NewWithT(t)
 	t.Setenv("REELRUN_ZONE", "zone-of-the-environment")
 	arguments := append([]string{}, validArguments[:3]...)
