--- a/soak/crashes_test.go
+++ b/soak/crashes_test.go
@@ -41,7 +41,7 @@
 
 // crash terminates a backend. Another one starts at another address after a while, and the old entry expires.
 func (h *harness) crash(b *backend) {
-	b.crashed.Do(func() {
+	b.crashOnce.Do(func() {
 		h.recordInterruption(time.Now(), time.Now().Add(crashEntryExpiry))
 		h.mu.Lock()
 		h.crashes = append(h.crashes, time.Now())
--- a/soak/harness_test.go
+++ b/soak/harness_test.go
@@ -60,8 +60,8 @@
 	engine       *standin.Engine
 	server       *standin.Server
 	httpServer   *http.Server
-	// crashed ensures that it crashes only once.
-	crashed sync.Once
+	// crashOnce ensures that it crashes only once.
+	crashOnce sync.Once
 }
 
 // harness holds the nodes and their environment.
