--- a/sim/rehearsal/property_test.go
+++ b/sim/rehearsal/property_test.go
@@ -12,8 +12,8 @@
 // operationNames are the names of the operations in the summary.
 var operationNames = map[operation]string{
 	opRequest: "request", opKill: "kill", opStart: "start", opStop: "planned-stop", opIsolate: "isolate", opHeal: "heal",
-	opIsolateFromPlatform: "cut-platform", opOutage: "outage", opLoseResponses: "lost-replies", opAbortExchanges: "cut-engine",
-	opFreezeEngine: "freeze-engine", opStallTransfers: "stall-transfers", opEndFaults: "thaw", opLeave: "leave",
+	opIsolateFromPlatform: "isolate-from-platform", opOutage: "outage", opLoseResponses: "lose-responses", opAbortExchanges: "abort-exchanges",
+	opFreezeEngine: "freeze-engine", opStallTransfers: "stall-transfers", opEndFaults: "end-faults", opLeave: "leave",
 	opConfigure: "configure", opRace: "operator-race",
 }
 
