--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -258,11 +258,11 @@
 }
 
 // TimeUntilCapacity returns the time until a run fits on some engine, if every run ends as expected
-// and no other run arrives. It is zero if the run would not fit on any engine even then.
+// and no other run arrives. It is zero if the run fits after the end of no other run.
 func (l *Ledger) TimeUntilCapacity(now time.Duration, run Run) time.Duration {
 	earliest := time.Duration(0)
 	for _, engine := range l.engines {
-		after, found := l.capacityAt(now, engine, run, l.byEngine[engine.ID])
+		after, found := l.timeUntilCapacityOn(now, engine, run, l.byEngine[engine.ID])
 		if found && (earliest == 0 || after < earliest) {
 			earliest = after
 		}
@@ -270,8 +270,9 @@
 	return earliest
 }
 
-// capacityAt returns the time until a run fits on one engine.
-func (l *Ledger) capacityAt(now time.Duration, engine Engine, run Run, active map[string]Run) (time.Duration, bool) {
+// timeUntilCapacityOn returns the time until a run fits on one engine. It reports false if the run
+// fits after the end of none of the active runs.
+func (l *Ledger) timeUntilCapacityOn(now time.Duration, engine Engine, run Run, active map[string]Run) (time.Duration, bool) {
 	byEnd := make([]Run, 0, len(active))
 	for _, current := range active {
 		byEnd = append(byEnd, current)
