--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -48,14 +48,14 @@
 	Unresponsive(address string, err error)
 }
 
-// Locator finds the node that coordinates a scope, for clients of state that one node keeps for the
-// fleet. Client implements it.
+// Locator finds the node that coordinates a scope. It is for clients of other state that one node
+// keeps for the fleet. Client implements it.
 type Locator interface {
 	// Coordinator returns the address of the node that coordinates a scope, if there is one.
 	Coordinator(scope string) (address string, found bool)
 	// Own returns the address of this node.
 	Own() string
-	// Answered records that a coordinator answered, Missed that it did not.
+	// Answered records that a coordinator answered a call, and Missed that it did not.
 	Answered(address string)
 	Missed(address string, err error)
 }
@@ -133,15 +133,15 @@
 // Answered records that a coordinator answered a call on which no request waits.
 func (c *Client) Answered(address string) { c.answered(address) }
 
-// Missed records that a coordinator did not answer such a call. The timeout of these calls is much
-// longer than firstResponseTimeout, so that one miss is enough to verify the node: in a large fleet
-// a node requests engines only once in several seconds, and missLimit missed calls would take too
-// long.
+// Missed records that a coordinator did not answer a call on which no request waits. The timeout of
+// these calls is much longer than firstResponseTimeout, so that one miss is enough to verify the
+// node: in a large fleet a node requests engines only once in several seconds, and it would take
+// too long until missLimit calls were missed.
 func (c *Client) Missed(address string, err error) { c.fleet.Unresponsive(address, err) }
 
-// missed records an unanswered call and reports whether the coordinator may merely be slow. A new
-// coordinator would have no record of the other nodes' runs, so the current one is replaced only
-// after repeated misses or once it is known to be down.
+// missed records an unanswered request for engines and reports whether the coordinator may merely
+// be slow. A new coordinator would have no record of the other nodes' runs, so the current one is
+// replaced only after repeated misses or once it is known to be down.
 func (c *Client) missed(address string, err error) bool {
 	c.mu.Lock()
 	c.misses[address]++
--- a/coordinator/learned.go
+++ b/coordinator/learned.go
@@ -8,8 +8,8 @@
 	"github.com/reelrun/reelrun/peer/peerpb"
 )
 
-// LearnedModel is what a coordinator has learned of a service. All nodes store it, and the first
-// that syncs with a new coordinator passes it on. Otherwise the new coordinator would use initial
+// LearnedModel is what a coordinator has learned about a service. All nodes store it, and the first
+// node that syncs with a new coordinator sends it. Otherwise the new coordinator would use initial
 // estimates until dozens of runs have ended, and would overfill or underfill the engines' memory
 // for several seconds.
 type LearnedModel struct {
@@ -18,7 +18,7 @@
 	Rate    ledger.LearnedRate
 }
 
-// Learned returns what has been learned of a service.
+// Learned returns what has been learned about a service.
 func (c *Coordinator) Learned(service string) LearnedModel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coordinator/serve.go
+++ b/coordinator/serve.go
@@ -45,17 +45,17 @@
 	current.decode.SetOutputDeviation(current.output.RelativeDeviation())
 	slices.SortStableFunc(current.waiting, compareRank)
 	var waiting []*waiter
-	var failed []ledger.Run
+	var unassigned []ledger.Run
 	round := servingRound{coordinator: c, service: service, current: current, now: now}
 	for _, queued := range current.waiting {
 		run := queued.request.Run
-		if len(failed) >= attempts || len(queued.request.Avoid) == 0 && isLarger(run, failed) {
+		if len(unassigned) >= attempts || len(queued.request.Avoid) == 0 && isLarger(run, unassigned) {
 			waiting = append(waiting, queued)
 			continue
 		}
 		assignment, ok := round.assign(queued)
 		if !ok {
-			failed = append(failed, run)
+			unassigned = append(unassigned, run)
 			waiting = append(waiting, queued)
 			continue
 		}
@@ -71,7 +71,8 @@
 	service     string
 	current     *serviceState
 	now         time.Duration
-	// all is set to all engines once a request found none in its shortlist.
+	// all is set to all engines once no engine of a shortlist fitted a request, or once a shortlist
+	// was complete.
 	all *Engines
 }
 
@@ -146,8 +147,8 @@
 }
 
 // isLarger reports whether a run is at least as large as one that did not fit.
-func isLarger(run ledger.Run, failed []ledger.Run) bool {
-	for _, smaller := range failed {
+func isLarger(run ledger.Run, unassigned []ledger.Run) bool {
+	for _, smaller := range unassigned {
 		if run.Prompt >= smaller.Prompt && run.Output >= smaller.Output {
 			return true
 		}
