--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -114,7 +114,8 @@
 // waiter is a request that waits for engines.
 type waiter struct {
 	request *Request
-	since   time.Duration
+	// since is when the request arrived.
+	since time.Duration
 	// maxWait is how long the request may wait; zero if it must not wait.
 	maxWait time.Duration
 	// unservable is set if the request cannot be assigned engines within the time that it may wait.
--- a/coordinator/demand.go
+++ b/coordinator/demand.go
@@ -32,9 +32,11 @@
 
 // utilizationMeter learns how much of the decode memory can be used. The zero value has no samples.
 type utilizationMeter struct {
+	// share is the smoothed utilization.
 	share   float64
 	samples int
-	at      time.Duration
+	// at is the time of the last sample.
+	at time.Duration
 }
 
 // due reports whether another sample is due.
@@ -49,8 +51,9 @@
 	m.share += max(utilizationWeight, 1/float64(m.samples)) * (share - m.share)
 }
 
-// demandMeter measures the demand on a service. The zero value has seen no request.
+// demandMeter measures the demand on a service. The zero value has no requests.
 type demandMeter struct {
+	// smoothed is the demand as of at, the time of the last request.
 	smoothed Demand
 	at       time.Duration
 	requests int
--- a/coordinator/health.go
+++ b/coordinator/health.go
@@ -24,6 +24,7 @@
 // failureRecord is the share of an engine's outcomes that were failures, weighted towards newer
 // ones.
 type failureRecord struct {
+	// share is the failure share as of at.
 	share float64
 	at    time.Duration
 }
--- a/coordinator/prefill.go
+++ b/coordinator/prefill.go
@@ -153,9 +153,9 @@
 
 // complete removes a prompt that an engine has prefilled. If the engine is the assigned one, the
 // duration of this prefill updates the model.
-func (q *prefillQueue) complete(now time.Duration, id, by string) {
+func (q *prefillQueue) complete(now time.Duration, id, engineID string) {
 	assigned, done, known := q.remove(id)
-	if !known || assigned != by {
+	if !known || assigned != engineID {
 		return
 	}
 	engine := q.engine(assigned)
@@ -167,9 +167,9 @@
 // timeOut removes a prompt that its node no longer waits for, and records that the engine takes
 // longer than the node has waited. Otherwise the model would never learn that all engines are slower
 // than the initial estimate, because no node would wait until a prefill ends.
-func (q *prefillQueue) timeOut(now time.Duration, id, by string) {
+func (q *prefillQueue) timeOut(now time.Duration, id, engineID string) {
 	assigned, abandoned, known := q.remove(id)
-	if known && assigned == by {
+	if known && assigned == engineID {
 		q.model.ObserveAtLeast(assigned, abandoned.tokens, now-max(abandoned.assignedAt, q.engine(assigned).lastDone))
 	}
 }
--- a/coordinator/rate.go
+++ b/coordinator/rate.go
@@ -8,8 +8,9 @@
 // rateTimeConstant is the time constant of a rate.
 const rateTimeConstant = 2 * time.Second
 
-// rateMeter measures the rate of events, weighted towards newer ones. The zero value has seen none.
+// rateMeter measures the rate of events, weighted towards newer ones. The zero value has no events.
 type rateMeter struct {
+	// rate is in events per second, as of at, the time of the last event.
 	rate   float64
 	at     time.Duration
 	events int
