--- a/owner/owner.go
+++ b/owner/owner.go
@@ -30,8 +30,8 @@
 	SeesMajority() bool
 }
 
-// Leaving reports whether a backend is leaving.
-type Leaving func(machine string) bool
+// Leaving reports whether the engine of the given name is leaving.
+type Leaving func(name string) bool
 
 // Options configure an Owner.
 type Options struct {
