--- a/coordinator/queue.go
+++ b/coordinator/queue.go
@@ -7,11 +7,11 @@
 	// second, before waits are predicted from them.
 	minCompletions    = 20
 	minCompletionRate = 3.0
-	// minRetryShare is the minimum share of the capacity that retries are expected to get, even
+	// minSpareShare is the minimum share of the capacity that retries are expected to get, even
 	// while first attempts alone exceed the completions: most bursts end within the 2 to 4 s for
-	// which a retry may wait. With 0.02, 0.019 of the streams of five simulated days with faults
-	// were rejected in the end; with 0.3, 0.011 were (nine engines, three seeds).
-	minRetryShare = 0.3
+	// which a retry may wait. With 0.02, 0.019 of the streams of five days with faults were
+	// rejected in the end; with 0.3, 0.011 were (nine engines, three seeds).
+	minSpareShare = 0.3
 )
 
 // queueLoad is the load ahead of a request that does not fit: the number of requests before it, and
@@ -32,7 +32,7 @@
 func (l queueLoad) expectedWait(late bool) time.Duration {
 	rate, before := l.completions, l.firstAttempts
 	if late {
-		rate, before = max(l.completions-l.arrivals, minRetryShare*l.completions), l.firstAttempts+l.retries
+		rate, before = max(l.completions-l.arrivals, minSpareShare*l.completions), l.firstAttempts+l.retries
 	}
 	return time.Duration(float64(before+1) / rate * float64(time.Second))
 }
