--- a/roles/plan.go
+++ b/roles/plan.go
@@ -73,8 +73,8 @@
 	// prefillHeadroom is the number of spare prefill engines as a multiple of the square root of
 	// the mean number of busy ones (square-root staffing, Halfin and Whitt 1981): any engine may
 	// take the next prompt, so larger pools need proportionally less headroom for short waits. With
-	// this value, three prefill engines of nine engines may be 0.75 busy, 20 prefill engines 0.89
-	// and 200 prefill engines 0.96.
+	// this value, three prefill engines may be 0.75 busy, which is the value measured with nine
+	// engines in all; 20 prefill engines may be 0.89 busy, and 200 may be 0.96 busy.
 	prefillHeadroom = 0.5
 	// maxChangeShare is the share of the engines of a role that may change at once. With a quarter,
 	// the prefill engines of a fleet of 600 go from a third to a fifth in 12 s; one by one that
