--- a/admission/totals.go
+++ b/admission/totals.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// retrySmoothing is the time constant of the upstream retry rate. It is longer than queues take to fill or
-	// to empty, because a change of their length looks like retries.
-	retrySmoothing = 3 * time.Second
+	// upstreamRetrySmoothing is the time constant of the upstream retry rate. It is longer than queues take to
+	// fill or to empty, because a change of their length looks like retries.
+	upstreamRetrySmoothing = 3 * time.Second
 	// maxRunsPerRequest bounds how much less is admitted because of upstream retries.
 	maxRunsPerRequest = 2.0
 )
@@ -71,7 +71,7 @@
 
 // observe adds the totals of a time span.
 func (r *upstreamRetries) observe(sum *totals, elapsed time.Duration) {
-	weight := 1 - math.Exp(-elapsed.Seconds()/retrySmoothing.Seconds())
+	weight := 1 - math.Exp(-elapsed.Seconds()/upstreamRetrySmoothing.Seconds())
 	r.runs += weight * (sum.runs() - r.runs)
 	r.admitted += weight * (sum.admitted - r.admitted)
 }
