--- a/quota/tolerance.go
+++ b/quota/tolerance.go
@@ -15,9 +15,9 @@
 	Overshoot, Slack float64
 }
 
-// grantedTolerance is the share of the tolerance that is granted to tenants. The rest is for grants that
-// coordinators do not know of each other: in random partitions that last two seconds or more, with a tenant at
-// four times its limit, the coordinators together grant up to 0.3 of a window too much.
+// grantedTolerance is the share of the tolerance that is granted to tenants. The rest is for what coordinators
+// grant without knowing of each other's grants: in random partitions that last two seconds or more, with a
+// tenant at four times its limit, the coordinators together grant up to 0.3 of a window too much.
 const grantedTolerance = 0.25
 
 // limit returns a limit whose burst includes the granted share of the tolerance. A small tenant's burst is the
