--- a/retrybudget/allocation.go
+++ b/retrybudget/allocation.go
@@ -68,7 +68,8 @@
 const minRaise = 0.25
 
 // Next returns the allocation for the given nodes, and whether it must be written. All nodes get about the same
-// share of the total. A share is increased only with units that other nodes have confirmed to have given up.
+// share of the total. Shares are reduced first; others are increased by these units only once the nodes with the
+// reduced shares have confirmed the reduction.
 func (a Allocation) Next(members []Member, total int) (next Allocation, changed bool) {
 	next = Allocation{Generation: a.Generation + 1, Shares: a.currentShares(members)}
 	targets := targetUnits(members, total)
