--- a/controller/engineorder/reconciler.go
+++ b/controller/engineorder/reconciler.go
@@ -54,7 +54,8 @@
 	defaultOrderTimeout  = 3 * time.Second
 	defaultLeaseDuration = 10 * time.Second
 	// busyRetryInterval is the time until the next attempt while an engine drains,
-	// another node holds the lease, or its orders may still be in flight.
+	// another node holds the lease, or orders of the previous holder may still be in
+	// flight, and after sending an order has failed.
 	busyRetryInterval = 500 * time.Millisecond
 )
 
