--- a/gateway/arrivals.go
+++ b/gateway/arrivals.go
@@ -2,7 +2,7 @@
 
 // arrivals counts the calls of one request that have reached backends, or may have.
 type arrivals struct {
-	// prefills are the calls that had the prompt prefilled, runs all others, accepted or rejected.
+	// prefills counts the prefill calls, runs all other calls, both whether accepted or rejected.
 	prefills, runs int
 	// prefilled is set once an engine has prefilled the prompt.
 	prefilled bool
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -38,8 +38,9 @@
 	g.Expect(allocations(20_000)).To(BeNumerically("<=", allocations(200)))
 }
 
-// TestPicksCoverAllBackends checks that nodes of five zones, over as many picks as there are requests in a few
-// minutes, pick almost all backends, and none of them more than about twice as often as the mean.
+// TestPicksCoverAllBackends checks that the picks of nodes in five zones spread over all backends, although each
+// pick examines only a few: over as many picks as there are requests in a few minutes, almost all backends are
+// picked, and none of them more than about twice as often as the mean.
 func TestPicksCoverAllBackends(t *testing.T) {
 	const (
 		backends = 1350
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -80,8 +80,8 @@
 }
 
 // allBackingOff returns the rejection of a request that has not run if all backends of its service have
-// requested backoff from this node, and the given error otherwise. The Retry-After of the
-// rejection is the time until the first of the backoffs ends, within the bounds of the policy.
+// requested backoff from this node, and the given error otherwise. The Retry-After of the rejection is the
+// time until the first of the backoffs ends, within the bounds of the policy.
 func (x *exchange) allBackingOff(role backend.Role, err error) error {
 	wait := x.handler.options.Backends.ServiceBackoff(x.service, role)
 	if wait == 0 || x.runs > 0 {
--- a/gateway/generate.go
+++ b/gateway/generate.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxPrefills bounds the prefills of one request.
+	// maxPrefills bounds how often a run is started, and the prefills for each start.
 	maxPrefills = 3
 	// maxLeavingTime is the longest time after a decode engine was reported leaving at which a run may still
 	// start there: the engine may have been reported while the prompt was being prefilled. It is half of the
--- a/gateway/policy.go
+++ b/gateway/policy.go
@@ -9,9 +9,9 @@
 // Policy controls how engines are chosen and when a request is rejected. docs/BENCH.md has the effect of each
 // field, measured separately.
 type Policy struct {
-	// OutputMargin is the share of the expected output that is reserved at an engine that the coordinator
-	// assigned. Default 0.1: an engine blocks the whole reservation until its run has ended, and the
-	// coordinator's ledger already accounts for the growth of runs.
+	// OutputMargin is the share of the output expected by the caller that is reserved at an engine that the
+	// coordinator assigned. Default 0.1: an engine blocks the whole reservation until its run has ended, and
+	// the coordinator's ledger already accounts for the growth of runs.
 	OutputMargin float64
 	// UncoordinatedOutputMargin is the same share without a coordinator. Default 1.3: without a
 	// coordinator, only the reservations at the engine protect its memory.
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -55,7 +55,8 @@
 	end      func()
 }
 
-// close ends the run. The number of events is that of the whole stream, including those from other engines.
+// close ends the run and reports its result to the coordinator. complete is set if the whole output was
+// relayed; events is the number of events of the whole stream, including those from other engines.
 func (s *reservedEngine) close(complete bool, events, eventTokens int) {
 	s.end()
 	s.watchdog.stop()
