--- a/completion/run.go
+++ b/completion/run.go
@@ -109,7 +109,8 @@
 	return !errors.As(err, &rejected)
 }
 
-// rejectedError is the final rejection of a request, which is not retried.
+// rejectedError is the final rejection of a request, by the owners of the pools or for
+// its quarantine. It is not retried.
 type rejectedError struct{ cause *api.Error }
 
 // Error implements error.
@@ -200,8 +201,8 @@
 	return errorA
 }
 
-// pools returns the pools of the request's model, those of the zone first. The
-// newest configuration is used, since it may have changed since the arrival.
+// pools returns the pools of the request's model, those of the zone first, in the
+// configuration that was active when the request arrived.
 func (r *run) pools(zone string) []*api.Pool {
 	all := r.exchange.Snapshot.PoolsOf(r.request.class.Model)
 	ordered := make([]*api.Pool, 0, len(all))
@@ -262,7 +263,8 @@
 	}
 }
 
-// engineOf returns an engine of the newest configuration available to this run.
+// engineOf returns an engine of the configuration that was active when the request
+// arrived.
 func (r *run) engineOf(name string) (configuration.EngineRef, error) {
 	ref, ok := r.exchange.Snapshot.Engine(name)
 	if !ok {
