--- a/filter/limit.go
+++ b/filter/limit.go
@@ -9,7 +9,8 @@
 )
 
 // Limit bounds the requests in flight of each tenant, so that one tenant cannot
-// exhaust a node's memory, and the size of their bodies.
+// exhaust a node's memory at the expense of the others, and the size of their
+// bodies.
 type Limit struct {
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
