--- a/heaplimit/heaplimit.go
+++ b/heaplimit/heaplimit.go
@@ -21,8 +21,8 @@
 	garbageShare = 1.0 / 32
 	minGarbage   = 4 << 20
 	// minPercent and maxPercent bound the growth of the heap between collections, as a percentage of the live
-	// heap: more frequent collections cost more than they free, and growth beyond twice the live heap, the
-	// runtime's default, is not needed.
+	// heap: more frequent collections cost more than they free, and a heap larger than twice the live heap,
+	// which is the runtime's default, is not needed.
 	minPercent = 20
 	maxPercent = 100
 	// adjustInterval is the time between adjustments of the growth to the live heap.
