--- a/settings/settings.go
+++ b/settings/settings.go
@@ -36,7 +36,7 @@
 	Seeds []string
 	// OperatorTokenHash is the hex SHA-256 digest of the operators' token.
 	OperatorTokenHash string
-	// PlainText allows connections without TLS, both of peers and of callers.
+	// PlainText allows peers without mutual TLS and callers without TLS.
 	PlainText bool
 	// PeerCertificate, PeerKey and PeerAuthority are PEM files for mutual TLS
 	// between nodes. They are read again when they change.
