--- a/cmd/reelrun-sim/compare.go
+++ b/cmd/reelrun-sim/compare.go
@@ -99,8 +99,7 @@
 	return errors.Wrap(table.Flush(), "write table")
 }
 
-// checkRequests is the number of requests in the trace for -check. The check takes about half a
-// minute.
+// checkRequests is the number of requests in the trace for -check, which lasts about half a minute.
 const checkRequests = 300
 
 func checkModel(ctx context.Context, options modelcheck.Options) error {
