--- a/soak/harness_test.go
+++ b/soak/harness_test.go
@@ -88,7 +88,7 @@
 	interruptions []disturbance
 	// crashes are the times at which a request crashed a backend.
 	crashes []time.Time
-	// restarting counts the backends that are being restarted or replaced.
+	// restarting counts the restarts, replacements and backoffs of backends that are in progress.
 	restarting      sync.WaitGroup
 	version         int
 	backendsCreated int
