--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -287,8 +287,8 @@
 	return 0, false
 }
 
-// SetCoverage sets the share of all runs that the ledger tracks, above 0 and up to 1. The predicted
-// use of each engine is divided by it.
+// SetCoverage sets the share of all runs that the ledger tracks, above 0 and up to 1. The memory
+// predicted for the runs of each engine is divided by it.
 func (l *Ledger) SetCoverage(share float64) { l.coverage = share }
 
 // RecentHolders returns how many holders had contact with the ledger within the given window.
