--- a/router/capabilities.go
+++ b/router/capabilities.go
@@ -22,7 +22,7 @@
 	capabilityQuotas capability = "quotas"
 	// capabilityQuarantines is the quarantine of requests that crash their backends.
 	capabilityQuarantines capability = "quarantines"
-	// capabilityRetryShares is the limit of the retry budget to the node's share in the store.
+	// capabilityRetryShares is to use no more of the retry budget than the node's share in the store.
 	capabilityRetryShares capability = "retryShares"
 )
 
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -5,7 +5,7 @@
 	"github.com/reelrun/reelrun/objectapi"
 )
 
-// freshness returns bounds on the age of this node's configuration.
+// freshness describes how current the configuration of this node is.
 func (r *Router) freshness() gateway.Freshness {
 	status := r.syncer.SyncStatus()
 	return gateway.Freshness{
--- a/router/watchstore.go
+++ b/router/watchstore.go
@@ -182,8 +182,8 @@
 }
 
 // discoveryTime is how long, at the first start of a large fleet, a node waits to learn of the others by anti-entropy
-// exchanges after it has listed a part of them. Later starts do not wait, since the store has the objects of earlier
-// starts, and the nodes with the widest links are among the parts that nodes list.
+// exchanges after it has listed a part of them: the time of several comparisons. Later starts do not wait, since the
+// store has the objects of earlier starts, and the nodes with the widest links are among the parts that nodes list.
 const discoveryTime = 1500 * time.Millisecond
 
 // nodesKnownBy is the time from which this node relies on the nodes that it knows, however many these are.
