--- a/antientropy/push_test.go
+++ b/antientropy/push_test.go
@@ -76,7 +76,8 @@
 	g.Eventually(slow.has("changed-2"), 10*time.Second).Should(BeTrue())
 }
 
-// TestPendingUpdatesAreBounded adds one change more than are kept.
+// TestPendingUpdatesAreBounded adds one change more than are kept: take must report that some were left out, so that
+// replicas are compared instead.
 func TestPendingUpdatesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var pending pendingUpdates
