--- a/membership/service.go
+++ b/membership/service.go
@@ -243,7 +243,8 @@
 }
 
 // HandleFetchZone returns the members of the requested zone, or of all zones if
-// none is named.
+// none is named. A request for representatives gets those of all zones instead,
+// with this node's live contacts in the named zone.
 func (s *Service) HandleFetchZone(request *peerpb.FetchZone) *peerpb.ZoneView {
 	var members []Member
 	switch {
--- a/membership/table.go
+++ b/membership/table.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// contact is a node with which heartbeats are exchanged directly.
+// contact is a node with which heartbeats are exchanged directly. lastHeartbeat is
+// zero for a node that has neither answered nor sent a heartbeat itself.
 type contact struct {
 	member        Member
 	lastHeartbeat time.Time
