--- a/operator/plan.go
+++ b/operator/plan.go
@@ -34,8 +34,8 @@
 	Objects api.Configuration `json:"objects,omitzero"`
 	// References name objects to remove, such as "tenants/x".
 	References []string `json:"references,omitempty"`
-	// Engine is the engine to change. The fields below hold its new values; an empty
-	// field leaves the value of the engine unchanged.
+	// Engine is the engine to change. The fields below state what to change: a role or
+	// a model version to set, and an adapter to add. Empty fields change nothing.
 	Engine       string   `json:"engine,omitempty"`
 	Role         api.Role `json:"role,omitempty"`
 	ModelVersion string   `json:"model_version,omitempty"`
