--- a/antientropy/wire.go
+++ b/antientropy/wire.go
@@ -49,7 +49,7 @@
 	maxExchangedBytes = 128 << 10
 	// maxCompressedContent bounds the uncompressed content that is compressed together for one message.
 	maxCompressedContent = 4 * maxExchangedBytes
-	// minCompressedBytes is the size of a content from which it is compressed. The objects of backends and
+	// minCompressedBytes is the size of a content from which compression is tried. The objects of backends and
 	// nodes have a few hundred bytes each.
 	minCompressedBytes = 4 << 10
 	// minBatchCompressedBytes is the same for several objects, which share their field names.
