--- a/soak/notices_test.go
+++ b/soak/notices_test.go
@@ -124,7 +124,7 @@
 // requestBackoff has backends ask for backoff while they reject a share of their requests, zero for all.
 func (h *harness) requestBackoff(requesting []*backend, share float64, faultDuration time.Duration) {
 	for _, b := range requesting {
-		b.setCondition(standin.Condition{Backoff: backoffText, RejectShare: share})
+		b.setCondition(standin.Condition{Backoff: backoffText, BackoffShare: share})
 	}
 	time.Sleep(faultDuration)
 	for _, b := range requesting {
@@ -240,7 +240,7 @@
 			ends := asked.At.Add(backoffTime)
 			// A node does not see a response that is held or lost, and a request that is held arrives late.
 			span := observation{began: asked.At.Add(-inFlightTime), ended: ends}
-			if !asked.Rejected || !known || !record.undisturbed(sender.node, span.began, ends) ||
+			if !asked.RejectedWithBackoff || !known || !record.undisturbed(sender.node, span.began, ends) ||
 				!record.sameIncarnation(backend, asked.At, ends) || interruptedDuring(span, record.interruptions[backend]) {
 				continue
 			}
@@ -304,9 +304,9 @@
 	g := NewWithT(t)
 	began := time.Unix(100, 0)
 	record := noticeRecord{senders: map[string]nodeEvent{}, arrivals: map[string][]standin.Arrival{}}
-	arrive := func(id string, node int, after time.Duration, rejected bool) {
+	arrive := func(id string, node int, after time.Duration, rejectedWithBackoff bool) {
 		record.senders[id] = nodeEvent{node, began}
-		record.arrivals["b"] = append(record.arrivals["b"], standin.Arrival{At: began.Add(after), Request: id, Rejected: rejected})
+		record.arrivals["b"] = append(record.arrivals["b"], standin.Arrival{At: began.Add(after), Request: id, RejectedWithBackoff: rejectedWithBackoff})
 	}
 	arrive("asked", 1, 0, true)
 	arrive("early", 1, inFlightTime, false)
--- a/soak/retries_test.go
+++ b/soak/retries_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// setRejecting has a backend reject a share of the callers' requests.
+// setRejecting has a backend reject a share of the callers' requests without asking for a backoff.
 func (b *backend) setRejecting(share float64) {
 	if b.engine != nil {
 		b.engine.SetRejectShare(share)
