--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -90,7 +90,7 @@
 	defer cancel()
 	for number := range 4 {
 		// The responses to the read, and then to the write, are lost.
-		f.faults.Set(fault.Faults{LostResponses: number})
+		f.faults.Set(fault.Faults{DropResponses: number})
 		counter, err := json.Marshal(number)
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = objectapi.Modify(ctx, f.client, objectapi.Change{
--- a/sim/fault/injector.go
+++ b/sim/fault/injector.go
@@ -12,7 +12,7 @@
 // Path is the HTTP path where faults are set and their counts are read.
 const Path = "/faults"
 
-// Faults are the active faults. Drops, LostResponses and Cuts are decremented with each
+// Faults are the active faults. Aborts, DropResponses and Cuts are decremented with each
 // injection.
 type Faults struct {
 	// PathPrefix limits the faults to requests whose path starts with it.
@@ -23,11 +23,11 @@
 	Freeze bool `json:"freeze,omitempty"`
 	// DelayMillis delays each request by this time.
 	DelayMillis int `json:"delay_ms,omitempty"`
-	// Drops is the number of requests whose connection is aborted before they run.
-	Drops int `json:"drops,omitempty"`
-	// LostResponses is the number of requests that run, but whose connection is aborted
-	// without a response.
-	LostResponses int `json:"lost_replies,omitempty"`
+	// Aborts is the number of requests whose connection is aborted before they run.
+	Aborts int `json:"drops,omitempty"`
+	// DropResponses is the number of requests that run, but whose response is dropped and
+	// whose connection is then aborted.
+	DropResponses int `json:"lost_replies,omitempty"`
 	// Cuts is the number of responses whose connection is aborted after CutAfterBytes.
 	Cuts          int `json:"cuts,omitempty"`
 	CutAfterBytes int `json:"cut_after_bytes,omitempty"`
@@ -68,9 +68,9 @@
 
 // action is the set of faults for one request. A negative cutAfter means no cut.
 type action struct {
-	outage, drop, loseResponse bool
-	delay                      time.Duration
-	cutAfter                   int
+	outage, abort, dropResponse bool
+	delay                       time.Duration
+	cutAfter                    int
 }
 
 // nextAction waits until Freeze is cleared and returns the action for one request.
@@ -110,12 +110,12 @@
 	if chosen.delay > 0 {
 		i.counts["delay"]++
 	}
-	chosen.drop = i.consume("drop", &i.faults.Drops)
-	if chosen.drop {
+	chosen.abort = i.consume("drop", &i.faults.Aborts)
+	if chosen.abort {
 		return chosen
 	}
-	chosen.loseResponse = i.consume("lost_reply", &i.faults.LostResponses)
-	if chosen.loseResponse {
+	chosen.dropResponse = i.consume("lost_reply", &i.faults.DropResponses)
+	if chosen.dropResponse {
 		return chosen
 	}
 	if i.consume("cut", &i.faults.Cuts) {
@@ -160,9 +160,9 @@
 	switch {
 	case chosen.outage:
 		http.Error(w, "outage", http.StatusServiceUnavailable)
-	case chosen.drop:
+	case chosen.abort:
 		panic(http.ErrAbortHandler)
-	case chosen.loseResponse:
+	case chosen.dropResponse:
 		next.ServeHTTP(discardWriter{header: http.Header{}}, r)
 		panic(http.ErrAbortHandler)
 	case chosen.cutAfter >= 0:
--- a/sim/platformsim/faulty.go
+++ b/sim/platformsim/faulty.go
@@ -11,7 +11,7 @@
 type Effect int
 
 // The effects. Reject fails a call without executing it; DropResponse executes a
-// write and loses its response, so that the caller gets an error.
+// write and drops its response, so that the caller gets an error.
 const (
 	Pass Effect = iota
 	Reject
--- a/sim/rehearsal/platform.go
+++ b/sim/rehearsal/platform.go
@@ -15,7 +15,7 @@
 	mu              sync.Mutex
 	outage          bool
 	unreachable     map[string]bool
-	responsesToLose int
+	responsesToDrop int
 	changed         chan struct{}
 }
 
@@ -40,8 +40,8 @@
 	p.change(func() { p.unreachable[node] = unreachable })
 }
 
-// LoseResponses executes the next count writes, but returns errors for them.
-func (p *Platform) LoseResponses(count int) { p.change(func() { p.responsesToLose = count }) }
+// DropResponses executes the next count writes, but drops their responses: the callers get errors.
+func (p *Platform) DropResponses(count int) { p.change(func() { p.responsesToDrop = count }) }
 
 func (p *Platform) isDown(node string) (bool, chan struct{}) {
 	p.mu.Lock()
@@ -49,13 +49,13 @@
 	return p.outage || p.unreachable[node], p.changed
 }
 
-func (p *Platform) takeLostResponse() bool {
+func (p *Platform) takeDroppedResponse() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.responsesToLose == 0 {
+	if p.responsesToDrop == 0 {
 		return false
 	}
-	p.responsesToLose--
+	p.responsesToDrop--
 	return true
 }
 
@@ -93,7 +93,7 @@
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	stored, err := s.platform.Store.Put(ctx, object)
-	if s.platform.takeLostResponse() {
+	if s.platform.takeDroppedResponse() {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	return stored, err
@@ -105,7 +105,7 @@
 		return objectapi.ErrUnavailable
 	}
 	err := s.platform.Store.Delete(ctx, kind, name, version)
-	if s.platform.takeLostResponse() {
+	if s.platform.takeDroppedResponse() {
 		return objectapi.ErrUnavailable
 	}
 	return err
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -206,7 +206,7 @@
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		for _, engine := range fleet.Engines {
-			engine.Faults.Set(fault.Faults{PathPrefix: "/v1/kv", Drops: 1})
+			engine.Faults.Set(fault.Faults{PathPrefix: "/v1/kv", Aborts: 1})
 		}
 		result := load.Send(context.Background(), load.Call{
 			Client: fleet.Client("192.0.2.1"), Nodes: []string{fleet.Alive()[0].CallerAddress()}, Kind: longKind(0), Key: newKey(),
@@ -324,7 +324,7 @@
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
 		for round := range 10 {
-			fleet.Platform.LoseResponses(round % 3)
+			fleet.Platform.DropResponses(round % 3)
 			outcomes := confirmConcurrently(t, fleet, round)
 			if outcomes[0] == outcomes[1] {
 				t.Fatalf("round %d: both operators got accepted=%t", round, outcomes[0])
--- a/sim/rehearsal/property_test.go
+++ b/sim/rehearsal/property_test.go
@@ -12,7 +12,7 @@
 // operationNames are the names of the operations in the summary.
 var operationNames = map[operation]string{
 	opRequest: "request", opKill: "kill", opStart: "start", opStop: "planned-stop", opIsolate: "isolate", opHeal: "heal",
-	opIsolateFromPlatform: "isolate-from-platform", opOutage: "outage", opLoseResponses: "lose-responses", opAbortExchanges: "abort-exchanges",
+	opIsolateFromPlatform: "isolate-from-platform", opOutage: "outage", opDropResponses: "lose-responses", opAbortExchanges: "abort-exchanges",
 	opFreezeEngine: "freeze-engine", opStallTransfers: "stall-transfers", opEndFaults: "end-faults", opLeave: "leave",
 	opConfigure: "configure", opRace: "operator-race",
 }
--- a/sim/rehearsal/schedule_test.go
+++ b/sim/rehearsal/schedule_test.go
@@ -32,7 +32,7 @@
 	opHeal
 	opIsolateFromPlatform
 	opOutage
-	opLoseResponses
+	opDropResponses
 	opAbortExchanges
 	opFreezeEngine
 	opStallTransfers
@@ -104,8 +104,8 @@
 		e.fleet.Platform.SetUnreachable(name, s.b%2 == 0)
 	case opOutage:
 		e.fleet.Platform.SetOutage(s.b%2 == 0)
-	case opLoseResponses:
-		e.fleet.Platform.LoseResponses(s.b % 4)
+	case opDropResponses:
+		e.fleet.Platform.DropResponses(s.b % 4)
 	default:
 		e.applyToEngines(s)
 	}
@@ -298,7 +298,7 @@
 func (e *execution) recover() {
 	e.heal()
 	e.fleet.Platform.SetOutage(false)
-	e.fleet.Platform.LoseResponses(0)
+	e.fleet.Platform.DropResponses(0)
 	for _, engine := range e.fleet.Engines {
 		engine.Faults.Set(fault.Faults{})
 	}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -210,7 +210,7 @@
 		return
 	}
 	b.server.SetFaults(standin.ServerFaults{
-		Fail: count, Reject: count, Unavailable: 1, Truncate: count, Drop: count, Misattribute: 1, Unsigned: 1, Unresponsive: 1,
+		Fail: count, Reject: count, Unavailable: 1, Truncate: count, DropResponses: count, Misattribute: 1, Unsigned: 1, Unresponsive: 1,
 	})
 }
 
