--- a/sim/sitemodel/run.go
+++ b/sim/sitemodel/run.go
@@ -176,7 +176,7 @@
 		s.prefilledTokens += float64(assigned.prompt)
 		transferStart := max(s.Now(), engine.linkFreeAt)
 		transfer := s.site.TransferOverhead + time.Duration(float64(assigned.prompt)/s.site.LinkPerMillisecond*float64(time.Millisecond))
-		if transferStart-s.Now() > s.site.HandleTTL {
+		if transferStart-s.Now() > s.site.HandleLifetime {
 			s.decodeRejected(assigned, engine)
 			return
 		}
--- a/sim/sitemodel/site.go
+++ b/sim/sitemodel/site.go
@@ -26,8 +26,8 @@
 	// millisecond, TransferOverhead the constant time of each transfer.
 	LinkPerMillisecond float64
 	TransferOverhead   time.Duration
-	// HandleTTL is how long a prefill result is kept.
-	HandleTTL time.Duration
+	// HandleLifetime is how long a prefill result is kept.
+	HandleLifetime time.Duration
 	// EventTokens is the number of tokens in one event.
 	EventTokens int
 	// Rate is the number of requests a second at load 1.
@@ -62,7 +62,7 @@
 		Name: "fisio-xela-site", Prefill: 3, Decode: 6, Memory: 89_659, Slots: 64,
 		Step: 579 * time.Microsecond, StepPerRun: 19_100 * time.Nanosecond, StepPerThousand: 344 * time.Nanosecond,
 		PrefillPerMillisecond: 55.5556, PrefillOverhead: 2400 * time.Microsecond, LinkPerMillisecond: 6_780, TransferOverhead: time.Millisecond,
-		HandleTTL: 500 * time.Millisecond, EventTokens: 64, Rate: 10.35,
+		HandleLifetime: 500 * time.Millisecond, EventTokens: 64, Rate: 10.35,
 		Prompt: Size{5000, 0.5, 11_000}, Shared: Size{200, 0.2, 300}, Events: Size{69, 0.7, 170}, HintDeviation: 0.5,
 		Objective: 900 * time.Millisecond, MaxPause: 300 * time.Millisecond,
 	},
@@ -70,7 +70,7 @@
 		Name: "amrc-site", Prefill: 3, Decode: 6, Memory: 89_474, Slots: 64,
 		Step: 632 * time.Microsecond, StepPerRun: 14_900 * time.Nanosecond, StepPerThousand: 230 * time.Nanosecond,
 		PrefillPerMillisecond: 55.5556, PrefillOverhead: 2700 * time.Microsecond, LinkPerMillisecond: 4_747, TransferOverhead: 1300 * time.Microsecond,
-		HandleTTL: 500 * time.Millisecond, EventTokens: 63, Rate: 10.41,
+		HandleLifetime: 500 * time.Millisecond, EventTokens: 63, Rate: 10.41,
 		Prompt: Size{5000, 0.5, 11_000}, Shared: Size{200, 0.2, 300}, Events: Size{70, 0.7, 170}, HintDeviation: 0.5,
 		Objective: 900 * time.Millisecond, MaxPause: 300 * time.Millisecond,
 	},
