--- a/soak/tenants_test.go
+++ b/soak/tenants_test.go
@@ -15,6 +15,9 @@
 	"github.com/reelrun/reelrun/platform/standin"
 )
 
+// Besides the tenants of the callers and the checks for them, this file contains the faults of the backends'
+// entries: injectRegistryFaults, restartBackend and writeInvalidEntry.
+
 // The tenants of the callers. A caller without one has a key that was in no configuration.
 const (
 	steadyTenant  = "steady"
