--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -89,7 +89,7 @@
 func checkSuccess(o observation, report func(observation, string)) {
 	want := standin.Body(o.id)
 	if o.kind == kindStream || o.kind == kindResumable {
-		want = standin.StreamText(o.id, events)
+		want = standin.StreamText(o.id, eventCount)
 	}
 	switch {
 	case o.requestID != o.id || o.signature == "":
@@ -136,7 +136,7 @@
 		"joined streams": {func(o *observation) {
 			o.kind, o.body = kindResumable, standin.EventText("r", 1)+standin.EventText("r", 1)
 		}, 2, "other bytes"},
-		"resumed": {func(o *observation) { o.kind, o.body = kindResumable, standin.StreamText("r", events) }, 2, ""},
+		"resumed": {func(o *observation) { o.kind, o.body = kindResumable, standin.StreamText("r", eventCount) }, 2, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/soak/configuration_test.go
+++ b/soak/configuration_test.go
@@ -45,7 +45,7 @@
 	faults := rand.New(rand.NewPCG(seed, configurationStream))
 	until := time.Now().Add(environmentDuration(t))
 	var running sync.WaitGroup
-	running.Go(func() { checks.change(rand.New(rand.NewPCG(seed, seed)), until) })
+	running.Go(func() { checks.addRoutes(rand.New(rand.NewPCG(seed, seed)), until) })
 	for time.Now().Before(until) {
 		inject := h.drawNodeFault(faults)
 		running.Go(inject)
@@ -104,7 +104,7 @@
 			end()
 		}
 	case 4:
-		return each(func(n *node) { h.holdConnections(n.store, mode, faultDuration) })
+		return each(func(n *node) { h.interruptConnections(n.store, mode, faultDuration) })
 	case 5:
 		return each(func(n *node) { n.store.stall(true, true) })
 	default:
@@ -130,8 +130,8 @@
 	responses []configurationResponse
 }
 
-// change adds routes one after the other until the given time.
-func (c *configurationChecks) change(random *rand.Rand, until time.Time) {
+// addRoutes adds routes one after the other until the given time.
+func (c *configurationChecks) addRoutes(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		c.addRoute()
 		time.Sleep(time.Duration(200+random.IntN(1300)) * time.Millisecond)
@@ -141,7 +141,7 @@
 // addRoute stores a configuration with one more route, and sends each node a request for it when it has to be
 // active and at two later times.
 func (c *configurationChecks) addRoute() {
-	route := c.harness.nextAdded()
+	route := c.harness.nextAddedRoute()
 	c.harness.configure()
 	added := time.Now()
 	for _, n := range c.harness.nodes {
@@ -154,8 +154,8 @@
 	}
 }
 
-// nextAdded returns the name of a new route, which is part of all later versions.
-func (h *harness) nextAdded() string {
+// nextAddedRoute returns the name of a new route, which is part of all later versions.
+func (h *harness) nextAddedRoute() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	route := fmt.Sprintf("added%d", len(h.addedRoutes))
--- a/soak/crashes_test.go
+++ b/soak/crashes_test.go
@@ -50,7 +50,7 @@
 		if b.engine != nil {
 			stage = b.engine.Stage()
 		}
-		h.restarting.Go(func() {
+		h.backendFaults.Go(func() {
 			b.proxy.close()
 			_ = b.httpServer.Close()
 			time.Sleep(crashDowntime)
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -91,9 +91,9 @@
 	case 3:
 		return func() { h.hangup(n) }
 	case 4:
-		return func() { h.holdConnections(n.store, mode, faultDuration) }
+		return func() { h.interruptConnections(n.store, mode, faultDuration) }
 	case 5:
-		return func() { h.holdConnections(b.proxy, mode, faultDuration) }
+		return func() { h.interruptConnections(b.proxy, mode, faultDuration) }
 	case 6:
 		return func() { b.proxy.reset() }
 	case 7:
@@ -187,7 +187,8 @@
 	}
 }
 
-func (h *harness) holdConnections(p *proxy, mode proxyMode, faultDuration time.Duration) {
+// interruptConnections sets the mode of a proxy for a time.
+func (h *harness) interruptConnections(p *proxy, mode proxyMode, faultDuration time.Duration) {
 	h.recordInterruption(time.Now(), time.Now().Add(faultDuration))
 	p.set(mode)
 	time.Sleep(faultDuration)
--- a/soak/harness_test.go
+++ b/soak/harness_test.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// events is the number of events of a stream.
-	events    = 12
-	eventTime = 40 * time.Millisecond
-	routeHost = "soak.example"
+	// eventCount is the number of events of a stream, and eventInterval the time between them.
+	eventCount    = 12
+	eventInterval = 40 * time.Millisecond
+	routeHost     = "soak.example"
 )
 
 // binary is the path of the daemon.
@@ -88,8 +88,8 @@
 	interruptions []disturbance
 	// crashes are the times at which a request crashed a backend.
 	crashes []time.Time
-	// restarting counts the restarts, replacements and backoffs of backends that are in progress.
-	restarting      sync.WaitGroup
+	// backendFaults counts the restarts, replacements and backoffs of backends that are in progress.
+	backendFaults   sync.WaitGroup
 	version         int
 	backendsCreated int
 	// addedRoutes are routes that are part of all later versions.
@@ -264,17 +264,17 @@
 	b := &backend{id: fmt.Sprintf("i-%d", h.backendsCreated), service: service, stage: stage, zone: h.zoneOf(h.backendsCreated)}
 	b.recordStart()
 	var handler http.Handler
-	crashing := &standin.CrashTrigger{BodyContains: crashText, After: crashAfter, Crash: func() { h.crash(b) }}
+	crashTrigger := &standin.CrashTrigger{BodyContains: crashText, After: crashAfter, Crash: func() { h.crash(b) }}
 	if service == "llm" {
 		b.engine = standin.NewEngine(b.id, stage)
-		b.engine.EventCount, b.engine.EventInterval, b.engine.StageSwitchTime = events, eventTime, time.Second
+		b.engine.EventCount, b.engine.EventInterval, b.engine.StageSwitchTime = eventCount, eventInterval, time.Second
 		b.engine.OnStageChange = func(stage string) { h.announce(b, "ready", stage) }
-		b.engine.CrashTrigger = crashing
+		b.engine.CrashTrigger = crashTrigger
 		handler = b.engine
 	} else {
 		b.server = standin.NewServer(b.id)
 		b.server.WorkTime = 20 * time.Millisecond
-		b.server.CrashTrigger = crashing
+		b.server.CrashTrigger = crashTrigger
 		handler = b.server
 	}
 	address := h.serve(handler, &b.httpServer)
@@ -426,7 +426,7 @@
 
 // close terminates the processes that this harness started, and its stand-ins.
 func (h *harness) close() {
-	h.restarting.Wait()
+	h.backendFaults.Wait()
 	for _, n := range h.nodes {
 		h.signal(n, syscall.SIGCONT)
 		h.signal(n, syscall.SIGKILL)
--- a/soak/notices_test.go
+++ b/soak/notices_test.go
@@ -61,13 +61,13 @@
 		faultDuration := time.Duration(500+random.IntN(3000)) * time.Millisecond
 		switch random.IntN(4) {
 		case 0:
-			h.restarting.Go(func() { h.announceLeaving(b, leavingGrace+faultDuration) })
+			h.backendFaults.Go(func() { h.announceLeaving(b, leavingGrace+faultDuration) })
 		case 1:
-			h.restarting.Go(func() { h.requestBackoff([]*backend{b}, 0, faultDuration) })
+			h.backendFaults.Go(func() { h.requestBackoff([]*backend{b}, 0, faultDuration) })
 		case 2:
-			h.restarting.Go(func() { h.requestBackoff([]*backend{b}, 0.4, faultDuration) })
+			h.backendFaults.Go(func() { h.requestBackoff([]*backend{b}, 0.4, faultDuration) })
 		default:
-			h.restarting.Go(func() { h.requestBackoff(h.backendsOf(b.service), 0, faultDuration/2) })
+			h.backendFaults.Go(func() { h.requestBackoff(h.backendsOf(b.service), 0, faultDuration/2) })
 		}
 		time.Sleep(time.Duration(200+random.IntN(800)) * time.Millisecond)
 	}
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -32,8 +32,8 @@
 	mode    proxyMode
 	changed chan struct{}
 	open    map[net.Conn]struct{}
-	// stalled holds the stalled directions of each open connection.
-	stalled map[*stalledDirections]struct{}
+	// directions has one entry for each open connection: its stalled directions.
+	directions map[*stalledDirections]struct{}
 	// interrupted are the times in which the proxy held, closed or stalled connections.
 	interrupted []disturbance
 	closed      bool
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, changed: make(chan struct{}), open: map[net.Conn]struct{}{}, stalled: map[*stalledDirections]struct{}{}}
+	p := &proxy{listener: listener, target: target, changed: make(chan struct{}), open: map[net.Conn]struct{}{}, directions: map[*stalledDirections]struct{}{}}
 	p.done.Go(p.accept)
 	return p, nil
 }
@@ -94,7 +94,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recordInstant()
-	for stalled := range p.stalled {
+	for stalled := range p.directions {
 		stalled.towardsTarget.Store(stalled.towardsTarget.Load() || towardsTarget)
 		stalled.towardsCaller.Store(stalled.towardsCaller.Load() || towardsCaller)
 	}
@@ -206,7 +206,7 @@
 func (p *proxy) track(stalled *stalledDirections, conns ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stalled[stalled] = struct{}{}
+	p.directions[stalled] = struct{}{}
 	for _, conn := range conns {
 		p.open[conn] = struct{}{}
 	}
@@ -216,7 +216,7 @@
 func (p *proxy) untrack(stalled *stalledDirections, conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.stalled, stalled)
+	delete(p.directions, stalled)
 	for _, conn := range conns {
 		delete(p.open, conn)
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,8 +19,8 @@
 const (
 	defaultSeed     = 1
 	defaultDuration = 6 * time.Second
-	// startTime is the time within which the nodes must become ready.
-	startTime = 15 * time.Second
+	// startTimeout is the time within which the nodes must become ready.
+	startTimeout = 15 * time.Second
 	// recoveryTime is the time after the last fault within which the nodes must serve
 	// requests reliably again.
 	recoveryTime = 8 * time.Second
@@ -62,7 +62,7 @@
 	h.signal(n, syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
 	h.signal(n, syscall.SIGHUP)
-	if o := <-responses; !o.complete || o.body != standin.StreamText("stopping", events) {
+	if o := <-responses; !o.complete || o.body != standin.StreamText("stopping", eventCount) {
 		t.Errorf("the stream is incomplete: %+v", o)
 	}
 	<-n.ended
@@ -143,7 +143,7 @@
 	disconnecting.stop()
 	load.stop()
 	crashRetries := crashCaller.stop()
-	h.restarting.Wait()
+	h.backendFaults.Wait()
 	violations := checkObservations(load.observations(), h.runs(), h.disturbances)
 	orphaned, counted := countOrphaned(disconnecting.disconnects(), h.endings(), h.disturbances, h.interruptions)
 	violations = append(violations, checkOrphaned(orphaned, counted)...)
@@ -182,7 +182,7 @@
 
 // awaitReady waits until every node is ready.
 func (h *harness) awaitReady() {
-	until := time.Now().Add(startTime)
+	until := time.Now().Add(startTimeout)
 	for _, n := range h.nodes {
 		for !n.ready() {
 			select {
