--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -58,7 +58,7 @@
 	serveInterval = 40 * time.Millisecond
 	// attemptsPerEvent and attemptsPerInterval bound how many requests that do not fit are tried
 	// when a run ends and once per interval. Without these bounds, a coordinator with 60 engines
-	// and 100 waiting requests missed 231 calls in one burst.
+	// and 100 waiting requests missed 231 calls in one burst; docs/KYKLOS.md has the figures.
 	attemptsPerEvent    = 6
 	attemptsPerInterval = 48
 	// recentPrefillWindow is the time after a finished prefill in which the timeout of another
@@ -72,7 +72,8 @@
 	initialLocalPrefillFactor = 3
 	// localPrefillMemoryShare is the share of decode memory in use up to which decode engines take
 	// prompts that prefill engines cannot serve in time. Above it the decode engines are loaded as
-	// well, and the role allocation is not the cause of the shortage.
+	// well, and the role allocation is not the cause of the shortage; docs/KYKLOS.md has the
+	// figures.
 	localPrefillMemoryShare = 0.5
 )
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -38,7 +38,7 @@
 	// UsableShare is the share of an engine's memory that may be assigned. Default 1.
 	UsableShare float64
 	// Deviations is how many standard deviations of the total output of an engine's runs are kept
-	// free. Default 1.
+	// free. Default 1; docs/KYKLOS.md has the figures.
 	Deviations float64
 	// Overrun is how much further a run that has reached its expected output is assumed to grow, as
 	// a share of that output. Default 0.25.
