--- a/cmd/reelrunctl/show.go
+++ b/cmd/reelrunctl/show.go
@@ -152,7 +152,7 @@
 		lines = append(lines, fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%d\t%s", status.Node.Name, status.Node.Zone, status.State, status.Version, status.Live, status.Grants, strings.Join(pools, ",")))
 		for _, advice := range status.Advice {
 			adviceLines = append(adviceLines, fmt.Sprintf("advice for pool %s (prefill use %.2f, decode use %.2f): reelrunctl engine -role %s %s",
-				advice.Pool, advice.PrefillUse, advice.DecodeUse, advice.Role, advice.Engine))
+				advice.Pool, advice.PrefillUtilization, advice.DecodeUtilization, advice.Role, advice.Engine))
 		}
 	}
 	return c.rows(append(lines, adviceLines...)...)
--- a/controller/rolechange/reconciler.go
+++ b/controller/rolechange/reconciler.go
@@ -45,10 +45,10 @@
 	Pool   string   `json:"pool"`
 	Engine string   `json:"engine"`
 	Role   api.Role `json:"role"`
-	// PrefillUse and DecodeUse are the utilizations of the roles when the advice was
-	// given: the demand divided by the capacity of the engines of the role.
-	PrefillUse float64 `json:"prefill_use"`
-	DecodeUse  float64 `json:"decode_use"`
+	// PrefillUtilization and DecodeUtilization are the utilizations of the roles when the advice
+	// was given: the demand divided by the capacity of the engines of the role.
+	PrefillUtilization float64 `json:"prefill_use"`
+	DecodeUtilization  float64 `json:"decode_use"`
 }
 
 // observedPool is a pool whose load is monitored.
@@ -152,7 +152,7 @@
 	}
 	observed.advice = &Advice{
 		Pool: configured.Name, Engine: lastEngineWithRole(configured, change.From), Role: change.To,
-		PrefillUse: change.PrefillUtilization, DecodeUse: change.DecodeUtilization,
+		PrefillUtilization: change.PrefillUtilization, DecodeUtilization: change.DecodeUtilization,
 	}
 	return observed.advice
 }
