--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -53,7 +53,9 @@
 	NoForecast bool
 	// MaxScan is how many waiting tenants are considered if the first cannot be granted. Default 8.
 	MaxScan int
-	// Quantum is the credit in tokens that a refill adds. Default 4096.
+	// Quantum is the credit of OrderDeficit that one round of a refill adds per unit of tenant
+	// weight, in cost units: tokens weighted by inputTokenWeight and outputTokenWeight. A refill
+	// raises no credit above one quantum per unit of weight. Default 4096.
 	Quantum float64
 	// NoAdmission disables rejections for the deadline.
 	NoAdmission bool
