--- a/coordinator/assign.go
+++ b/coordinator/assign.go
@@ -75,8 +75,8 @@
 const sameZoneAllowance = 40 * time.Millisecond
 
 // assignLocalPrefill assigns a request that no prefill engine can serve in time to a decode engine
-// that runs the prefill itself. That is slower and slows down the engine's other runs, so each
-// decode engine gets one such prompt at a time.
+// that runs the prefill itself. A local prefill is slower and slows down the engine's other runs, so
+// each decode engine gets one such prompt at a time.
 func (c *Coordinator) assignLocalPrefill(
 	now time.Duration, current *serviceState, engines Engines, queued *waiter, run ledger.Run, avoid map[string]bool,
 ) (Assignment, bool) {
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -1,7 +1,7 @@
 // Package coordinator assigns engines to requests. Rendezvous hashing over the
-// live nodes chooses one coordinator for each service. It tracks all runs that
-// it has assigned, so that memory that a run will need later is not assigned
-// twice, and keeps one queue of requests for which no capacity is free.
+// live nodes chooses one coordinator for each service. The coordinator tracks all
+// runs that it has assigned, so that memory that a run will need later is not
+// assigned twice, and keeps one queue of requests for which no capacity is free.
 //
 // It learns from the reports of all nodes: the duration of prefills, the decode
 // rate, the lengths of outputs, and which engines fail. It learns the
--- a/coordinator/learned_test.go
+++ b/coordinator/learned_test.go
@@ -22,7 +22,8 @@
 
 // TestNewCoordinatorAdoptsLearnedModel has a coordinator learn that prefills take six times as long
 // and outputs are twice as long as initially estimated. A successor that adopts its model expects
-// the same of its first run, within a tenth; one without it expects a sixth and a half of that.
+// the same of its first run, within a tenth; a successor without the model expects a sixth of the
+// prefill time and half of the output.
 func TestNewCoordinatorAdoptsLearnedModel(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Second
--- a/coordinator/prefill.go
+++ b/coordinator/prefill.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// promptLifetime is the longest time for which a prompt counts as queued. If it is older, its
-	// node or the messages about it were lost.
+	// promptLifetime is the longest time for which a prompt counts as queued. If a prompt is older,
+	// its node or the messages about it were lost.
 	promptLifetime = 5 * time.Second
 	// stallFactor and stallSlack bound the time that an engine may take for the prompt at the head
-	// of its queue, relative to the expected time. Beyond the bound it counts as stalled. The factor
-	// covers the variance of prefill times; the slack covers message delays and the error of the
-	// initial estimate of the engine's rate.
+	// of its queue, relative to the expected time. Beyond the bound the engine counts as stalled. The
+	// factor covers the variance of prefill times; the slack covers message delays and the error of
+	// the initial estimate of the engine's rate.
 	stallFactor = 3
 	stallSlack  = 300 * time.Millisecond
 )
