--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -76,8 +76,8 @@
 	// decodeRate and firstTokenDelay are learned; options holds the initial estimates.
 	decodeRate      float64
 	firstTokenDelay time.Duration
-	// samples counts the outputs that these were learned from; tokens and seconds are the weighted
-	// totals of these outputs.
+	// samples counts the outputs from which decodeRate and firstTokenDelay were learned; tokens and
+	// seconds are the weighted totals of these outputs.
 	samples         int
 	tokens, seconds float64
 	engines         []Engine
@@ -166,7 +166,7 @@
 }
 
 // Rejected records that the engine of a run rejected it. The engine has information that the ledger
-// lacks, so it gets no runs for the given time.
+// lacks, so the engine gets no runs for the given time.
 func (l *Ledger) Rejected(now time.Duration, id string, pause time.Duration) {
 	if run, known := l.runs[id]; known {
 		l.rejectedUntil[run.Engine] = max(l.rejectedUntil[run.Engine], now+pause)
@@ -288,7 +288,7 @@
 }
 
 // SetCoverage sets the share of all runs that the ledger tracks, above 0 and up to 1. The memory
-// predicted for the runs of each engine is divided by it.
+// predicted for the runs of each engine is divided by this share.
 func (l *Ledger) SetCoverage(share float64) { l.coverage = share }
 
 // RecentHolders returns how many holders had contact with the ledger within the given window.
