--- a/roles/controller.go
+++ b/roles/controller.go
@@ -185,8 +185,8 @@
 	if !c.due(service, planned) {
 		return
 	}
-	// Changes that are still needed after these must be needed for the whole stabilization time
-	// again.
+	// Changes that are still needed after the planned ones must be needed for the whole
+	// stabilization time again.
 	c.desired[service] = desiredChange{planned[0].Role, c.options.Now()}
 	if err := c.order(ctx, planned); err != nil {
 		c.options.Logger.Warn("role change failed", "service", service, "engines", len(planned),
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -85,10 +85,11 @@
 	// minEngines is the smallest number of engines that can be allocated to both roles.
 	minEngines = 2
 	// shareTolerance is how far the share of prefill engines may deviate from PrefillShare while
-	// the demand is unknown, if that is lightLoadEngines engines or more: PrefillShare is not more
-	// accurate than that, and in a fleet of thousands the tolerance saves hundreds of orders, each
-	// of which makes an engine unavailable for seconds. In smaller fleets every engine in the wrong
-	// role is needed in the first burst, and would change roles in the middle of it.
+	// the demand is unknown, if the tolerance amounts to lightLoadEngines engines or more:
+	// PrefillShare is not more accurate than the tolerance, and in a fleet of thousands the
+	// tolerance saves hundreds of orders, each of which makes an engine unavailable for seconds. In
+	// smaller fleets every engine in the wrong role is needed in the first burst, and would change
+	// roles in the middle of the burst.
 	shareTolerance = 0.03
 	// A role is lightly loaded if at most lightLoad of it is busy and at least lightLoadEngines are
 	// free: another allocation would serve none of its requests sooner. Without this exception, a
