--- a/admission/gate.go
+++ b/admission/gate.go
@@ -96,14 +96,14 @@
 	ID string
 	// SameZone is set if the backend is in the node's zone.
 	SameZone bool
-	// ZoneOnly is set if the backend was sampled for its zone. A choice among all zones ignores it: its zone
-	// would receive more than its share.
+	// ZoneOnly is set if the backend was sampled for its zone. A choice among all zones ignores such a backend:
+	// its zone would receive more than its share.
 	ZoneOnly bool
 	// Pending is the number of this node's requests in flight there.
 	Pending int
 	// FailureRate is the share of this node's requests that failed there recently.
 	FailureRate float64
-	// Full is set if it has just rejected a request of this node.
+	// Full is set if the backend has just rejected a request of this node.
 	Full bool
 }
 
--- a/admission/report.go
+++ b/admission/report.go
@@ -42,7 +42,7 @@
 	// FirstAttempts and Retries count the callers' requests, including those not admitted. A retry is a client
 	// retry: its caller was rejected before.
 	FirstAttempts, Retries int
-	// Admitted is how many of them were sent to backends, some of them more than once.
+	// Admitted is how many of the callers' requests were sent to backends, some of them more than once.
 	Admitted int
 	Backends []BackendCounts
 }
@@ -67,7 +67,8 @@
 	// Backends are those that differ from the usual, which is a weight of 1 and a utilization below one half.
 	// If too many differ, they are those that deviate most.
 	Backends []BackendPlan
-	// RestUtilization is the mean utilization of the others, if not all that differ are listed.
+	// RestUtilization is the mean utilization of the backends that the plan does not list; zero if the plan
+	// lists all that differ.
 	RestUtilization float64
 }
 
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -30,7 +30,8 @@
 	busy, pending float64
 }
 
-// totals adds up the last reports of all nodes. The counts of each are divided by its own interval.
+// totals adds up the last reports of all nodes. The counts of each report are divided by the
+// report's own interval.
 func (s *serviceState) totals(now time.Duration) totals {
 	sum := totals{backends: map[string]*backendTotals{}}
 	// A fixed order, because a floating-point sum depends on it.
