--- a/quota/coordinator.go
+++ b/quota/coordinator.go
@@ -48,8 +48,8 @@
 // Grant is the response to a Charge.
 type Grant struct {
 	Granted bool
-	// TenantKnown is set if the coordinator knows the tenant. One with an older configuration may not; the node
-	// then decides locally.
+	// TenantKnown is set if the coordinator knows the tenant. A coordinator with an older configuration may not
+	// know the tenant; the node then decides locally.
 	TenantKnown bool
 	// RetryAfter is when the tenant's credit suffices, if it does not now.
 	RetryAfter time.Duration
--- a/quota/replay_test.go
+++ b/quota/replay_test.go
@@ -155,7 +155,7 @@
 }
 
 // worstOvershoot returns a tenant's excess in its worst window, as a fraction of what is allowed; negative if
-// it never exceeded it.
+// the tenant never used that much.
 func (r *replay) worstOvershoot(index int) float64 {
 	steps := int(replayWindow / replayStep)
 	limit := r.tenants[index].Quota
