--- a/retrybudget/allocation.go
+++ b/retrybudget/allocation.go
@@ -19,8 +19,8 @@
 	Shares map[string]Share `json:"shares"`
 }
 
-// DecodeAllocation decodes the content of the object. It returns an error if that is not an allocation, or
-// allocates more than the total.
+// DecodeAllocation decodes the content of the object. It returns an error if the content is not an
+// allocation, or allocates more than the total.
 func DecodeAllocation(content []byte, total int) (Allocation, error) {
 	var allocation Allocation
 	if err := json.Unmarshal(content, &allocation); err != nil {
@@ -44,8 +44,8 @@
 	Incarnation string `json:"start"`
 	// Units is how many retries the node may send per window.
 	Units int `json:"units"`
-	// Unconfirmed is how many more it may still be sending, because it has not confirmed the reduction of its
-	// share, and Lowered is the generation that reduced it.
+	// Unconfirmed is how many more the node may still be sending, because it has not confirmed the reduction of
+	// its share, and Lowered is the generation that reduced the share.
 	Unconfirmed int   `json:"unconfirmed,omitempty"`
 	Lowered     int64 `json:"lowered,omitempty"`
 	// Initial is set if no other node has ever had any of the share: it was assigned by the first generation,
@@ -62,9 +62,9 @@
 	Confirmed int64
 }
 
-// minRaise is the smallest increase of a share, as a fraction of it. A restarting node is absent briefly;
+// minRaise is the smallest increase of a share, as a fraction of the share. A restarting node is absent briefly;
 // without this threshold, all others would get slightly more for that time, and each of them would have to
-// confirm that it has given it back.
+// confirm that it has given the increase back.
 const minRaise = 0.25
 
 // Next returns the allocation for the given nodes, and whether it must be written. All nodes get about the same
