--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -15,8 +15,8 @@
 type record struct {
 	// Backends are the incarnations of backends that ended while running the request.
 	Backends []string `json:"backends,omitempty"`
-	// UntilMillis is when the quarantine ends, as a Unix millisecond; zero if there is none. Its length of an
-	// hour is long compared to the seconds by which clocks differ.
+	// UntilMillis is when the quarantine ends, as a Unix millisecond; zero if there is none. The quarantine's
+	// length of an hour is long compared to the seconds by which clocks differ.
 	UntilMillis int64 `json:"untilMillis,omitempty"`
 }
 
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -26,7 +26,7 @@
 
 // reportResponse is the coordinator's response to a report.
 type reportResponse struct {
-	// statuses are those of the requests of the evidence, in its order.
+	// statuses are the statuses of the requests of the evidence, in the order of the evidence.
 	statuses []Status
 	// announced are all announcements, for a node that requested them.
 	announced []Announcement
