--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -180,7 +180,7 @@
 	runs     int
 	// retryGrant is what the retry budget has granted to the request.
 	retryGrant *retrybudget.Grant
-	// keptPrompt is a prompt that was prefilled for a run which its engine rejected; nil for none.
+	// keptPrompt is a prompt that was prefilled for a run which the decode engine did not take; nil for none.
 	keptPrompt *prefilledPrompt
 	// admission is the decision on a request to a plain service.
 	admission admission.Decision
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -19,9 +19,10 @@
 	reserveTimeout = 100 * time.Millisecond
 	// releaseTimeout bounds the calls that free reservations and prompts.
 	releaseTimeout = 2 * time.Second
-	// maxFreeDelay is the longest time for which such a call is delayed until the backoff of its engine
-	// ends. With a longer backoff the call is not made: reservations and prompts also expire at the engine
-	// without a call, reservations after 2 s on the supported deployments and prompts soon after.
+	// maxFreeDelay is the longest time for which a call that frees a reservation or a prompt is delayed
+	// until the backoff of its engine ends. With a longer backoff the call is not made: reservations and
+	// prompts also expire at the engine without a call, reservations after 2 s on the supported deployments
+	// and prompts soon after.
 	maxFreeDelay = 5 * time.Second
 	// reserveInterval is the pause between two rounds over all engines.
 	reserveInterval = 40 * time.Millisecond
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -25,7 +25,8 @@
 	// pauseLimitFactor times the longest pause of the route is how long an engine may be unresponsive within
 	// a stream that can continue at another engine.
 	pauseLimitFactor = 3
-	// minPauseLimit bounds that time from below, also if the route sets no longest pause.
+	// minPauseLimit bounds from below how long an engine may be unresponsive within a stream that can
+	// continue at another engine, also if the route sets no longest pause.
 	minPauseLimit = time.Second
 )
 
