--- a/router/router.go
+++ b/router/router.go
@@ -128,15 +128,15 @@
 	// traffic counts the bytes of calls to other nodes.
 	traffic  nodeTraffic
 	rejected rejectedEntries
-	// watching is set while this node watches the store, and staleness decides whether it must although it is not
-	// selected as a watcher.
+	// watching is set while this node watches the store, and staleness decides whether the node must watch it
+	// although it is not selected as a watcher.
 	watching  atomic.Bool
 	staleness *staleness
 	// activeRevision is the revision of the object whose configuration is active.
 	activeRevision atomic.Int64
 	// withdrawn is set once the node has removed its own object.
 	withdrawn atomic.Bool
-	// removed signals that another node has removed it.
+	// removed signals that another node has removed this node's object.
 	removed chan struct{}
 	// someNodesKnown is set once this node knows some others: all nodes of a small fleet, or its neighbours by name in a
 	// large one. nodesKnown is set once it has had the time to learn of all.
--- a/router/staleness.go
+++ b/router/staleness.go
@@ -8,7 +8,8 @@
 
 const (
 	// staleAfter is the age of a node's configuration, according to other nodes, from which the node watches the store
-	// itself. It exchanges with about four nodes in that time, and a configuration may take 2 to 4 s to reach all nodes.
+	// itself. A node exchanges objects with about four others in that time, and a configuration may take 2 to 4 s to
+	// reach all nodes.
 	staleAfter = 1500 * time.Millisecond
 	// staleJitter is the range by which the limits of nodes differ, so that of many nodes that are partitioned together
 	// the first watch the store and the others receive changes from them.
