--- a/processtest/fleet_test.go
+++ b/processtest/fleet_test.go
@@ -137,8 +137,8 @@
 // node is one reelrund process, with its addresses and arguments.
 type node struct {
 	*process
-	name, caller, peer, operator string
-	arguments                    []string
+	name, callerAddress, peerAddress, operatorAddress string
+	arguments                                         []string
 }
 
 // fleet is a small system of processes.
@@ -148,7 +148,7 @@
 	platform        *process
 	platformAddress string
 	nodes           []*node
-	engines         []string
+	engineAddresses []string
 	configuration   api.Configuration
 }
 
@@ -180,7 +180,7 @@
 		address := freeAddress(t)
 		name := fmt.Sprintf("engine-%d", number)
 		start(t, "reelrun-sim", "engine", "-address", address, "-name", name, "-model", "model", "-role", string(role), "-step", "20ms", "-platform", f.platformAddress, "-checks-fence")
-		f.engines = append(f.engines, address)
+		f.engineAddresses = append(f.engineAddresses, address)
 		pool.Engines = append(pool.Engines, api.Engine{Name: name, Address: address, Role: role})
 	}
 	f.configuration = api.Configuration{
@@ -190,14 +190,14 @@
 	}
 	var seeds []string
 	for number := range nodes {
-		added := &node{name: fmt.Sprintf("node-%d", number), caller: freeAddress(t), peer: freeAddress(t), operator: freeAddress(t)}
-		seeds = append(seeds, added.peer)
+		added := &node{name: fmt.Sprintf("node-%d", number), callerAddress: freeAddress(t), peerAddress: freeAddress(t), operatorAddress: freeAddress(t)}
+		seeds = append(seeds, added.peerAddress)
 		f.nodes = append(f.nodes, added)
 	}
 	for _, added := range f.nodes {
 		added.arguments = []string{
-			"-name", added.name, "-zone", "zone", "-caller-address", added.caller, "-peer-address", added.peer,
-			"-operator-address", added.operator, "-platform-address", f.platformAddress, "-seeds", strings.Join(seeds, ","),
+			"-name", added.name, "-zone", "zone", "-caller-address", added.callerAddress, "-peer-address", added.peerAddress,
+			"-operator-address", added.operatorAddress, "-platform-address", f.platformAddress, "-seeds", strings.Join(seeds, ","),
 			"-operator-token-hash", configuration.HashToken(operatorToken), "-drain-delay", "200ms", "-resume-window", "2s",
 		}
 		added.arguments = append(added.arguments, secured.arguments(t, added.name)...)
@@ -211,7 +211,7 @@
 }
 
 func (f *fleet) client(through *node) *operator.Client {
-	return &operator.Client{BaseURL: f.security.url(through.operator), Token: operatorToken, HTTP: f.security.client()}
+	return &operator.Client{BaseURL: f.security.url(through.operatorAddress), Token: operatorToken, HTTP: f.security.client()}
 }
 
 // accept plans an intent and confirms the plan through the first node.
@@ -231,7 +231,7 @@
 func (f *fleet) awaitReady(t *testing.T, awaited *node) {
 	t.Helper()
 	eventually(t, awaited.name+" being ready", func() bool {
-		return status(f.security.client(), f.security.url(awaited.caller)+"/readyz") == http.StatusOK
+		return status(f.security.client(), f.security.url(awaited.callerAddress)+"/readyz") == http.StatusOK
 	})
 }
 
@@ -256,7 +256,7 @@
 // ledgers returns the engines' reports of what they have run.
 func (f *fleet) ledgers() []enginesim.Report {
 	var reports []enginesim.Report
-	for _, address := range f.engines {
+	for _, address := range f.engineAddresses {
 		var report enginesim.Report
 		if getJSON("http://"+address+enginesim.PathLedger, &report) {
 			reports = append(reports, report)
@@ -316,7 +316,7 @@
 	done := make(chan load.Result, 1)
 	var addresses []string
 	for _, through := range nodes {
-		addresses = append(addresses, f.security.url(through.caller))
+		addresses = append(addresses, f.security.url(through.callerAddress))
 	}
 	go func() {
 		done <- load.Send(ctx, load.Call{
--- a/processtest/security_test.go
+++ b/processtest/security_test.go
@@ -100,12 +100,12 @@
 	f.nodes[0].kill(t)
 	expectAnswered(t, <-done)
 
-	before := servedSerial(f.nodes[1].caller, secured.clientConfig)
+	before := servedSerial(f.nodes[1].callerAddress, secured.clientConfig)
 	_, renewed := secured.issue(t, f.nodes[1].name)
 	if before == renewed {
 		t.Fatal("the certificate was not renewed")
 	}
-	eventually(t, "the renewed certificate", func() bool { return servedSerial(f.nodes[1].caller, secured.clientConfig) == renewed })
+	eventually(t, "the renewed certificate", func() bool { return servedSerial(f.nodes[1].callerAddress, secured.clientConfig) == renewed })
 	expectAnswered(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[1]))
 }
 
@@ -115,12 +115,12 @@
 	secured, other := newSecurity(t), newSecurity(t)
 	f := startFleetWith(t, 2, secured)
 	files, _ := other.issue(t, "stranger")
-	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
+	strangerCertificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	member, _ := secured.issue(t, "member")
-	own, err := tls.LoadX509KeyPair(member.Certificate, member.Key)
+	memberCertificate, err := tls.LoadX509KeyPair(member.Certificate, member.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,13 +129,13 @@
 		accepted     bool
 	}{
 		"no certificate":                     {nil, false},
-		"a certificate of another authority": {[]tls.Certificate{certificate}, false},
-		"a certificate of the fleet":         {[]tls.Certificate{own}, true},
+		"a certificate of another authority": {[]tls.Certificate{strangerCertificate}, false},
+		"a certificate of the fleet":         {[]tls.Certificate{memberCertificate}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			config := secured.clientConfig.Clone()
 			config.Certificates = attempt.certificates
-			if accepted := answersPeerCall(f.nodes[0].peer, config); accepted != attempt.accepted {
+			if accepted := answersPeerCall(f.nodes[0].peerAddress, config); accepted != attempt.accepted {
 				t.Fatalf("accepted: %t", accepted)
 			}
 		})
--- a/processtest/signals_test.go
+++ b/processtest/signals_test.go
@@ -64,7 +64,7 @@
 // producedTokens returns the number of tokens that the held streams have produced.
 func (f *fleet) producedTokens() int {
 	produced := 0
-	for _, address := range f.engines {
+	for _, address := range f.engineAddresses {
 		var streams []struct {
 			Offset int `json:"offset"`
 		}
@@ -129,7 +129,7 @@
 		var load struct {
 			Role string `json:"role"`
 		}
-		return getJSON("http://"+f.engines[3]+"/v1/load", &load) && load.Role == "prefill"
+		return getJSON("http://"+f.engineAddresses[3]+"/v1/load", &load) && load.Role == "prefill"
 	})
 	expectAnswered(t, <-f.send(context.Background(), newKey(t), 10, f.nodes[0]))
 }
