--- a/sim/rehearsal/defects_test.go
+++ b/sim/rehearsal/defects_test.go
@@ -25,7 +25,7 @@
 
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-func emptyResponse(r *http.Request, body string) *http.Response {
+func jsonResponse(r *http.Request, body string) *http.Response {
 	return &http.Response{
 		StatusCode: http.StatusOK, Header: http.Header{"Content-Type": {"application/json"}},
 		Body: io.NopCloser(strings.NewReader(body)), Request: r,
@@ -70,9 +70,9 @@
 		return roundTripper(func(r *http.Request) (*http.Response, error) {
 			switch {
 			case strings.HasSuffix(r.URL.Path, "/cancel"):
-				return emptyResponse(r, "{}"), nil
+				return jsonResponse(r, "{}"), nil
 			case strings.HasSuffix(r.URL.Path, "/v1/streams"):
-				return emptyResponse(r, "[]"), nil
+				return jsonResponse(r, "[]"), nil
 			}
 			return next.RoundTrip(r)
 		})
@@ -249,10 +249,10 @@
 }
 
 func TestMonitorReportsNothingWhenConfigurationPropagates(t *testing.T) {
-	var never atomic.Bool
+	var unused atomic.Bool
 	options := smallOptions()
 	options.Defects.Store = func(next objectapi.Store) objectapi.Store { return staleStore{next, new(atomic.Bool)} }
-	if violations := changeConfiguration(t, options, &never); len(violations) > 0 {
+	if violations := changeConfiguration(t, options, &unused); len(violations) > 0 {
 		t.Fatal(violations)
 	}
 }
--- a/sim/rehearsal/fleet.go
+++ b/sim/rehearsal/fleet.go
@@ -227,14 +227,14 @@
 		defer close(started.stopped)
 		_ = started.Core.Run(ctx, listener)
 	}()
-	chain := node.CallerHandler(started.Core, transport, maxBodyBytes)
+	handler := node.CallerHandler(started.Core, transport, maxBodyBytes)
 	if wrap := f.Options.Defects.Handler; wrap != nil {
-		chain = wrap(chain)
+		handler = wrap(handler)
 	}
 	f.HTTP.Handle(started.CallerAddress(), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		started.serving.Add(1)
 		defer started.serving.Done()
-		chain.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 	}))
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -290,8 +290,8 @@
 	return alive
 }
 
-// readsPlatform reports whether any running node reaches the platform.
-func (f *Fleet) readsPlatform() bool {
+// reachesPlatform reports whether any running node reaches the platform.
+func (f *Fleet) reachesPlatform() bool {
 	for _, running := range f.Alive() {
 		if down, _ := f.Platform.isDown(running.Name); !down {
 			return true
--- a/sim/rehearsal/monitor.go
+++ b/sim/rehearsal/monitor.go
@@ -72,7 +72,7 @@
 	defer m.mu.Unlock()
 	m.recordAccepted(now)
 	required := m.required(now)
-	if !m.fleet.readsPlatform() {
+	if !m.fleet.reachesPlatform() {
 		m.unreadable = append(m.unreadable, now)
 	}
 	for _, running := range m.fleet.Alive() {
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestStalledTransferReusesThePrefill checks that a stalled transfer is retried while
-// the prefill result is kept, without a second prefill.
+// TestStalledTransferReusesThePrefill aborts the first transfer of each engine. The
+// transfer must be retried while the prefill result is kept, without a second prefill.
 func TestStalledTransferReusesThePrefill(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
