--- a/coordinator/client.go
+++ b/coordinator/client.go
@@ -83,8 +83,8 @@
 	misses map[string]int
 	// lastSync is the last sync with the coordinator of each service.
 	lastSync map[string]syncRecord
-	// learned is the model that the coordinator of each service had learned at its last accepted
-	// sync.
+	// learned is, for each service, the newest model that keepLearned accepted from the coordinator:
+	// the coordinator returns its model at each sync of this node.
 	learned map[string]LearnedModel
 }
 
--- a/quota/local.go
+++ b/quota/local.go
@@ -65,8 +65,8 @@
 	return Grant{Granted: true, TenantKnown: true, Level: current.level}
 }
 
-// draw grants units that are available, and a larger request at random: the level is the expected usage either
-// way, and is consumed by the draw.
+// draw grants units that the level covers. A larger request is granted with the probability level/units, so that
+// its expected usage is the level; the draw consumes the level whether or not the request is granted.
 func (l *LocalLimiter) draw(current *bucket, units float64) bool {
 	if current.level >= units {
 		return true
--- a/retrybudget/account.go
+++ b/retrybudget/account.go
@@ -40,8 +40,9 @@
 // A window's retries may count against its own requests or those of the window before it, whichever are more,
 // and thus against half of both together. All nodes use this mean: if each node chose for itself, callers that
 // move from one node to another would count at both. Requests that the window will still receive only raise the
-// mean. A window that begins within a bucket includes a part of that bucket and of the one a window earlier: the
-// retries of the first count whole, and the requests of the second not at all.
+// mean. If a window begins within a bucket, the window before it begins within the bucket that is one window
+// earlier, so each includes only a part of the bucket in which it begins. All retries of the later bucket are
+// counted, and no requests of the earlier one; both can only lower the result.
 func (a *account) remaining(burst, ratio float64) float64 {
 	remaining := math.Inf(1)
 	retries, requests := a.reserved, a.requestsFrom(a.newest-bucketsPerWindow+1)
--- a/router/capabilities.go
+++ b/router/capabilities.go
@@ -12,7 +12,10 @@
 // capability is a role that a build can take for the fleet. Nodes of two builds run side by side during a
 // rolling upgrade: a role is only assigned to nodes whose build supports it, because a node that does not
 // would answer each call of the role with an error. Where no supporting node is live, each node decides
-// locally, within the bound that applies to this case.
+// locally: it requests reservations from engines in turn for a bounded time, admits all requests to plain
+// services, limits tenants by its equal share of each limit (see quota.LocalLimiter), and quarantines requests
+// by the crashes that it saw and the statuses that it received earlier. Shares of the retry budget need no
+// coordinator: a node without a share sends only as many retries as the ratio allows.
 type capability string
 
 const (
--- a/router/watchstore.go
+++ b/router/watchstore.go
@@ -56,8 +56,8 @@
 	// expiryWindow is the time after a failed store call in which a missing entry may merely have expired because its
 	// backend could not renew it.
 	expiryWindow = 4 * time.Second
-	// expiryGrace is how long a missing entry is still kept. Entries of live backends are back in the store about two
-	// seconds after the failure.
+	// expiryGrace is how long a missing entry is still kept. A live backend that reaches the store has its entry back
+	// about two seconds after the store answers again.
 	expiryGrace = 1800 * time.Millisecond
 )
 
--- a/sim/rehearsal/promises_test.go
+++ b/sim/rehearsal/promises_test.go
@@ -199,9 +199,9 @@
 	}
 }
 
-// TestStalledTransferReusesThePrefill aborts the first transfer of each engine. The
+// TestAbortedTransferReusesThePrefill aborts the first transfer of each engine. The
 // transfer must be retried while the prefill result is kept, without a second prefill.
-func TestStalledTransferReusesThePrefill(t *testing.T) {
+func TestAbortedTransferReusesThePrefill(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		fleet := startFleet(t, smallOptions())
 		defer fleet.Close()
--- a/soak/disconnects_test.go
+++ b/soak/disconnects_test.go
@@ -87,8 +87,9 @@
 	return append([]disconnect(nil), c.disconnected...)
 }
 
-// countOrphaned counts the disconnects whose requests were processed for longer than cancelTimeout, among those
-// that overlap no disturbance of their node and no interruption of connections to backends.
+// countOrphaned counts the disconnects whose requests were processed for longer than cancelTimeout afterwards. It
+// considers only requests that reached a backend, and only if no disturbance of their node and no interruption of
+// connections to backends overlaps the time from one second before the disconnect until cancelTimeout after it.
 func countOrphaned(disconnected []disconnect, endings map[string]time.Time, disturbances, interruptions []disturbance) (orphaned, counted int) {
 	for _, d := range disconnected {
 		o := observation{node: d.node, began: d.at.Add(-time.Second), ended: d.at.Add(cancelTimeout)}
