--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Plays every day of examples/days on the given site files and prints the days that
-# break a rule or whose processes end by themselves. BENCH names the users' bench.
+# Runs every scenario ("day") of examples/days on the given site files, and prints those
+# that break a rule or whose processes terminate by themselves. BENCH is the path of the
+# reference benchmark.
 #   BENCH=path/to/fleetbench scripts/days.sh SITE...
 set -uo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,9 +1,8 @@
 #!/usr/bin/env bash
-# Runs both users' example fleets on loopback as separate processes, sends the
-# mixed load, and judges the answers. All connections of the nodes among each other
-# and with callers and operators are secured by TLS. With "faults" as its argument it kills one
-# node and freezes another in the middle of the load; with "serve" it sends nothing
-# and keeps the fleet up until it is interrupted.
+# Runs both example fleets on loopback as separate processes, sends their mixed load, and
+# checks the responses. All connections between nodes, and with callers and operators, use
+# TLS. With the argument "faults" it kills one node and freezes another during the load;
+# with "serve" it sends nothing and keeps the fleet running until it is interrupted.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mode=${1:-}
@@ -15,7 +14,7 @@
 
 stop_all() {
   for ((i = ${#pids[@]} - 1; i >= 0; i--)); do kill -CONT "${pids[$i]}" 2>/dev/null || true; done
-  # Nodes first, so that they drain while their back ends still answer.
+  # Stop the nodes first, so that they drain while their backends still respond.
   for group in nodes standins; do
     local -n members="$group"
     for pid in "${members[@]:-}"; do [ -n "$pid" ] && kill -TERM "$pid" 2>/dev/null || true; done
--- a/scripts/explained.sh
+++ b/scripts/explained.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays days with all logs and checks that each request that the bench names as not
-# served leads to a line with its cause at the node that took it.
+# Runs scenarios ("days") of the reference benchmark with all logs. For each request that the
+# benchmark reports as not served, checks that the node that received it has logged the cause.
 #   BENCH=path/to/fleetbench scripts/explained.sh SITE DAY...
 set -uo pipefail
 cd "$(dirname "$0")/.."
@@ -12,9 +12,9 @@
 trap 'rm -f "$out"' EXIT
 for day in "$@"; do
   "$BENCH" run "$site" "$day" --log all --why "each failed request has a line: $day" >"$out" 2>&1
-  # What the bench tells of a failure begins with the request and the node.
+  # The benchmark's report of a failure begins with the request and the node.
   while read -r id; do
-    # A request that no node read cannot have a line.
+    # There is no log line for a request that no node has read.
     if grep -q "$id.* sent to" "$out" && ! grep -A6 "request $id .*sent to" "$out" | grep -qE 'no connection'; then
       checked=$((checked + 1))
       if ! grep -q "\"request\":\"$id\"" "$out"; then
--- a/scripts/prove.sh
+++ b/scripts/prove.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The long form of the proofs. PROVE_CASES is the number of cases a property,
-# PROVE_SEED the seed (drawn if unset), PROVE_FUZZ the time for each fuzz target.
-# A failure is repeated by: PROVE_SEED=<seed> make prove
+# Runs the property tests with many cases, and the fuzz targets. PROVE_CASES is the number
+# of cases per property, PROVE_SEED the seed (random if unset), PROVE_FUZZ the time for each
+# fuzz target. To repeat a failure: PROVE_SEED=<seed> make prove
 set -uo pipefail
 cd "$(dirname "$0")/.."
 cases=${PROVE_CASES:-1000}
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# The fault soak by hand: SOAK_SEEDS seeds from SOAK_FIRST on (drawn if unset), each
-# for SOAK_DURATION of faults, SOAK_JOBS at a time, with SOAK_NODES nodes if that is set. A seed that fails keeps the logs of
-# its nodes in the folder for temporary files; repeat it by SOAK_SEED=<seed> go test ./soak
+# Runs the fault-injection soak test with SOAK_SEEDS seeds, starting at SOAK_FIRST (random if
+# unset). Each seed injects faults for SOAK_DURATION; SOAK_JOBS seeds run at a time, with
+# SOAK_NODES nodes if that is set. The node logs of a seed that fails are kept in the folder
+# for temporary files; to repeat it: SOAK_SEED=<seed> go test ./soak
 set -uo pipefail
 cd "$(dirname "$0")/.."
 seeds=${SOAK_SEEDS:-50}
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,16 +1,16 @@
 #!/usr/bin/env bash
-# Runs all tests with the race detector. Properties run from a fixed seed, so that
-# the verdict is the same each time; 'make prove' draws other seeds.
+# Runs all tests with the race detector. Property tests use a fixed seed, so that the
+# result is the same each time; 'make prove' uses other seeds.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seed=${TEST_SEED:-20261202}
-# KNOWN-RED.txt lists tests that fail for a known fault, one a line, the name first. They run
-# last, and what they say does not decide.
+# KNOWN-RED.txt lists tests that fail because of a known fault: one per line, starting with
+# the name. They run last, and their results do not affect the exit code.
 known_red=$(grep -oE '^(Test|Fuzz)[A-Za-z0-9_]+' KNOWN-RED.txt 2>/dev/null || true)
 pattern="^($(paste -sd '|' <<<"$known_red"))\$"
 skip=()
 [ -z "$known_red" ] || skip=(-skip "$pattern")
-# importing PACKAGE lists the packages whose tests import a package.
+# importing PACKAGE lists the packages whose tests import PACKAGE.
 importing() {
   go list -f '{{$path := .ImportPath}}{{range .TestImports}}{{$path}} {{.}}{{"\n"}}{{end}}{{range .XTestImports}}{{$path}} {{.}}{{"\n"}}{{end}}' ./... |
     awk -v wanted="$1" '$2 == wanted {print $1}' | sort -u
@@ -20,8 +20,8 @@
 plain=$(comm -23 <(echo "$all") <(echo "$properties"))
 virtual=$(comm -12 <(echo "$plain") <(importing testing/synctest))
 plain=$(comm -23 <(echo "$plain") <(echo "$virtual"))
-# Tests of whole nodes run one process each: yamux keeps timers in a pool of the
-# process, which virtual time cannot share between tests.
+# Each test of whole nodes runs in its own process: yamux keeps timers in a pool of the
+# process, which tests in virtual time cannot share.
 rehearsal=$(grep '/sim/rehearsal$' <<<"$properties")
 properties=$(grep -v '/sim/rehearsal$' <<<"$properties")
 virtual=$(grep -v '/platform/standin$' <<<"$virtual")
@@ -44,9 +44,9 @@
 # Tests in virtual time run on one thread under the race detector. The runtime of
 # Go 1.26 gives all timers of a synctest bubble one detector context and uses it
 # without a lock from every thread that receives from a timer's channel, so that
-# the detector fails by itself ("CHECK failed: tsan_rtl.cpp", or a SIGSEGV below
-# runtime.maybeRunChan). It finds races by order, not by chance, so one thread
-# hides none. Without the detector they use all threads.
+# the detector itself fails ("CHECK failed: tsan_rtl.cpp", or a SIGSEGV below
+# runtime.maybeRunChan). The detector derives races from the order of events, not from
+# their timing, so one thread hides none. Without the detector these tests use all threads.
 # shellcheck disable=SC2086
 GOMAXPROCS=1 go test -race -timeout 15m "${skip[@]}" $virtual
 # shellcheck disable=SC2086
